--- a/simulation/world.cpp
+++ b/simulation/world.cpp
@@ -166,6 +166,7 @@
         alive_(std::move(alive)) {}
   void send(const std::string& bytes) override {
     if (!*alive_) return;
+    loop_.world().report_traffic(from_, to_.text(), "stream", bytes);
     loop_.world().send(from_, to_.host, [&streams = streams_, to = to_, bytes] {
       if (auto it = streams.find(to.text()); it != streams.end()) it->second(bytes);
     });
@@ -237,9 +238,11 @@
 void World::ask(const std::string& from, const std::string& to, Method method, std::string target,
                 std::string body, const Answer& answer) {
   const std::string host = host_of(from);
+  report_traffic(from, to, std::to_string(static_cast<int>(method)) + " " + target, body);
   send(host, to,
        [this, from, host, to, method, target = std::move(target), body = std::move(body), answer] {
          Answer back = [this, host, to, answer](const HttpReply& reply) {
+           report_traffic(to, host, std::to_string(reply.status), reply.body);
            send(to, host, [answer, reply] { answer(reply); });
          };
          auto it = servers_.find(to);
--- a/simulation/world.hpp
+++ b/simulation/world.hpp
@@ -56,6 +56,15 @@
   // behind the host, "10.1.0.2#7": a server tells it from others.
   virtual void ask(const std::string& from, const std::string& to, Method method,
                    std::string target, std::string body, const Answer& answer);
+  /// Called for every request, response and stream message at the moment it is sent, with its
+  /// bytes.
+  using TrafficObserver = std::function<void(const std::string& from, const std::string& to,
+                                             std::string_view header, std::string_view body)>;
+  void observe_traffic(TrafficObserver observer) { traffic_observer_ = std::move(observer); }
+  void report_traffic(const std::string& from, const std::string& to, std::string_view header,
+                      std::string_view body) const {
+    if (traffic_observer_) traffic_observer_(from, to, header, body);
+  }
 
  protected:
   // When something happens next; nothing: infinite.
@@ -74,6 +83,7 @@
     std::deque<std::function<void()>> messages;
   };
   std::map<std::pair<std::string, std::string>, Held> cuts_;
+  TrafficObserver traffic_observer_;
 };
 
 // One controller's clocks; its steady clock runs at `rate`, its time of day is off by `wall_off`.
--- a/tests/fault_scenario_test.cpp
+++ b/tests/fault_scenario_test.cpp
@@ -6,12 +6,11 @@
 #include <spdlog/spdlog.h>
 
 #include <cstdlib>
-#include <filesystem>
 #include <fstream>
-#include <sstream>
 
 #include "scenarios/random_replica_scenario.hpp"
 #include "scenarios/random_scenario.hpp"
+#include "scenarios/trace_variants.hpp"
 
 namespace damsonport::simulation {
 namespace {
@@ -46,49 +45,10 @@
 
 class FaultScenarios : public testing::TestWithParam<std::string> {};
 
-// A line `vary NAME 1 2 3` plays the trace once for each value, put where $NAME stands.
-std::vector<std::vector<std::string>> variants(std::istream& in) {
-  std::vector<std::vector<std::string>> out(1);
-  for (std::string text; std::getline(in, text);) {
-    if (!text.starts_with("vary ")) {
-      for (auto& lines : out) lines.push_back(text);
-      continue;
-    }
-    std::istringstream words(text.substr(5));
-    std::string name;
-    words >> name;
-    std::vector<std::vector<std::string>> more;
-    for (std::string value; words >> value;)
-      for (auto& lines : out) {
-        more.push_back(lines);
-        more.back().push_back(fmt::format("let {} {}", name, value));
-      }
-    out = std::move(more);
-  }
-  for (auto& lines : out) {
-    std::vector<std::pair<std::string, std::string>> values;
-    std::vector<std::string> played;
-    for (auto& text : lines) {
-      if (text.starts_with("let ")) {
-        std::istringstream words(text.substr(4));
-        auto& [name, value] = values.emplace_back();
-        words >> name >> value;
-        continue;
-      }
-      for (auto& [name, value] : values)
-        for (size_t at = 0; (at = text.find("$" + name)) != std::string::npos;)
-          text.replace(at, name.size() + 1, value);
-      played.push_back(text);
-    }
-    lines = std::move(played);
-  }
-  return out;
-}
-
 TEST_P(FaultScenarios, BreakNoRule) {
-  std::ifstream in(std::string(TRACE_DIR) + "/scenarios/" + GetParam() + ".trace");
+  std::ifstream in(scenario_path(TRACE_DIR, GetParam()));
   ASSERT_TRUE(in);
-  for (auto& lines : variants(in))
+  for (auto& lines : trace_variants(in))
     for (uint64_t seed : {1, 2, 3}) {
       spdlog::info("--- seed {}", seed);
       FaultScenario scenario(seed);
@@ -151,14 +111,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Suite, DrawnReplicaScenarios, testing::Range(uint64_t{0}, drawn_groups));
 
-std::vector<std::string> scenario_names() {
-  std::vector<std::string> out;
-  for (auto& f : std::filesystem::directory_iterator(std::string(TRACE_DIR) + "/scenarios"))
-    if (f.path().extension() == ".trace") out.push_back(f.path().stem());
-  std::sort(out.begin(), out.end());
-  return out;
-}
-INSTANTIATE_TEST_SUITE_P(Kept, FaultScenarios, testing::ValuesIn(scenario_names()),
+INSTANTIATE_TEST_SUITE_P(Kept, FaultScenarios, testing::ValuesIn(kept_scenarios(TRACE_DIR)),
                          [](auto& test) { return test.param; });
 
 }  // namespace
--- a/tests/scenarios/fault_scenario.hpp
+++ b/tests/scenarios/fault_scenario.hpp
@@ -21,6 +21,7 @@
   // Every happening of the trace begins `seconds` later, to try its times one against another.
   double shift_s = 0;
   const World& world() const { return world_; }
+  World& world() { return world_; }
 
  private:
   struct Event {
--- /dev/null
+++ b/tests/scenarios/scenario_digest.cpp
@@ -0,0 +1,115 @@
+/// Prints a hash over all traffic of fault scenarios on virtual time: requests, responses and
+/// stream messages as bytes, in order, with their virtual times. Two versions of the program whose
+/// digests are equal behave alike in these scenarios. See tests/README.md.
+///
+///   scenario_digest --list          names of all scenarios, one on a line
+///   scenario_digest NAME [NAME...]  a line "NAME HASH" for each
+#include <spdlog/spdlog.h>
+
+#include <bit>
+#include <charconv>
+#include <fstream>
+#include <iomanip>
+#include <iostream>
+
+#include "scenarios/fault_scenario.hpp"
+#include "scenarios/random_replica_scenario.hpp"
+#include "scenarios/random_scenario.hpp"
+#include "scenarios/trace_variants.hpp"
+
+namespace damsonport::simulation {
+namespace {
+
+constexpr uint64_t drawn_seeds = 100;  // of each kind of drawn scenario
+constexpr std::string_view drawn_prefix = "drawn/";
+constexpr std::string_view drawn_replica_prefix = "drawn-replica/";
+using Lines = std::vector<std::string>;
+
+/// FNV-1a, 64 bits.
+class TrafficHash {
+ public:
+  void add(std::string_view bytes) {
+    constexpr uint64_t prime = 0x100000001b3;
+    for (const unsigned char byte : bytes) {
+      value_ ^= byte;
+      value_ *= prime;
+    }
+    // Separates the fields from one another.
+    value_ ^= bytes.size();
+    value_ *= prime;
+  }
+  void add(double number) { add(std::to_string(std::bit_cast<uint64_t>(number))); }
+  uint64_t value() const { return value_; }
+
+ private:
+  uint64_t value_ = 0xcbf29ce484222325;
+};
+
+void play(const Lines& lines, uint64_t seed, TrafficHash& hash) {
+  FaultScenario scenario(seed);
+  scenario.fixtures_dir = FIXTURES_DIR;
+  for (const auto& text : lines) {
+    if (const auto complaint = scenario.line(text); !complaint.empty())
+      throw std::runtime_error(text + ": " + complaint);
+  }
+  scenario.world().observe_traffic([&](const std::string& from, const std::string& to,
+                                       std::string_view header, std::string_view body) {
+    hash.add(scenario.world().now());
+    hash.add(from);
+    hash.add(to);
+    hash.add(header);
+    hash.add(body);
+  });
+  for (const auto& unmet : scenario.play()) hash.add(unmet);
+}
+
+uint64_t seed_behind(const std::string& name, std::string_view prefix) {
+  return std::stoull(name.substr(prefix.size()));
+}
+
+uint64_t digest(const std::string& name) {
+  TrafficHash hash;
+  if (name.starts_with(drawn_prefix)) {
+    const uint64_t seed = seed_behind(name, drawn_prefix);
+    play(random_scenario(seed), seed, hash);
+  } else if (name.starts_with(drawn_replica_prefix)) {
+    const uint64_t seed = seed_behind(name, drawn_replica_prefix);
+    play(random_replica_scenario(seed), seed, hash);
+  } else {
+    std::ifstream in(scenario_path(TRACE_DIR, name));
+    if (!in) throw std::runtime_error(name + ": there is no such scenario");
+    for (const auto& lines : trace_variants(in)) play(lines, 1, hash);
+  }
+  return hash.value();
+}
+
+void list_scenarios() {
+  for (const auto& name : kept_scenarios(TRACE_DIR)) std::cout << name << '\n';
+  for (const auto prefix : {drawn_prefix, drawn_replica_prefix})
+    for (uint64_t seed = 1; seed <= drawn_seeds; ++seed) std::cout << prefix << seed << '\n';
+}
+
+}  // namespace
+}  // namespace damsonport::simulation
+
+int main(int argc, char** argv) {
+  using namespace damsonport::simulation;
+  const std::vector<std::string> arguments(argv + 1, argv + argc);
+  if (arguments.empty()) {
+    std::cerr << "usage: scenario_digest --list | NAME...\n";
+    return 2;
+  }
+  spdlog::set_level(spdlog::level::off);
+  if (arguments.front() == "--list") {
+    list_scenarios();
+    return 0;
+  }
+  try {
+    for (const auto& name : arguments)
+      std::cout << name << ' ' << std::hex << std::setw(16) << std::setfill('0') << digest(name)
+                << std::endl;
+  } catch (const std::exception& error) {
+    std::cerr << error.what() << '\n';
+    return 1;
+  }
+}
