--- a/simulation/fleet.cpp
+++ b/simulation/fleet.cpp
@@ -92,8 +92,10 @@
     }
     hands.push_back(std::move(m));
   }
-  return {{"vessel", id},        {"address", address},       {"hull", type},    {"dock", zone},
-          {"tender", spot},      {"watch", session_},        {"tally", ++seq_}, {"helm", token_},
+  return {{"vessel", id},        {"address", address},
+          {"hull", type},        {"dock", zone},
+          {"tender", spot},      {"watch", session_},
+          {"tally", ++seq_},     {"helm", fencing_token_},
           {"recall_s", nullptr}, {"hands", std::move(hands)}};
 }
 
@@ -132,10 +134,10 @@
   double next = fleet_.settings.report_s * world_.uniform(0.75, 1.25);
   if (status == 200) {
     const bool has = body.is_object() && body.contains("helm");
-    const uint64_t token = has ? body["helm"].get<uint64_t>() : 0;
+    const uint64_t fencing_token = has ? body["helm"].get<uint64_t>() : 0;
     // One that is dropped holds the worker at that node all the same.
-    if (has && token >= token_ && session == session_) {
-      learn(token);
+    if (has && fencing_token >= fencing_token_ && session == session_) {
+      learn(fencing_token);
       acknowledged_ = sent;
       watch_lease();
       execute(body.value("orders", Json::array()));
@@ -158,9 +160,9 @@
   schedule(next);
 }
 
-void Worker::learn(uint64_t token) {
-  if (token <= token_) return;
-  token_ = token;
+void Worker::learn(uint64_t fencing_token) {
+  if (fencing_token <= fencing_token_) return;
+  fencing_token_ = fencing_token;
   changed();
 }
 
@@ -171,9 +173,9 @@
   auto m = decode_map(body);
   if (target != "/commands" || !m.is_object() || !m.contains("helm") || !m.contains("watch"))
     return answer({400, {}});
-  const uint64_t token = m["helm"], session = m["watch"];
-  if (token < token_ || session != session_) return answer({409, encode(report())});
-  learn(token);
+  const uint64_t fencing_token = m["helm"], session = m["watch"];
+  if (fencing_token < fencing_token_ || session != session_) return answer({409, encode(report())});
+  learn(fencing_token);
   execute(m.value("orders", Json::array()));
   answer({200, encode(report())});
 }
--- a/simulation/fleet.hpp
+++ b/simulation/fleet.hpp
@@ -115,7 +115,7 @@
   void changed();
   void answered(int status, const Json& body, uint64_t session, double sent);
   void execute(const Json& orders);
-  void learn(uint64_t token);
+  void learn(uint64_t fencing_token);
   void serve(Method method, const std::string& target, const std::string& body,
              const World::Answer& answer);
   void watch_lease();
@@ -133,7 +133,7 @@
 
   World& world_;
   Fleet& fleet_;
-  uint64_t session_ = 1, seq_ = 0, token_ = 0;
+  uint64_t session_ = 1, seq_ = 0, fencing_token_ = 0;
   double acknowledged_ = 0, last_report_ = -1e9, hung_until_ = -1;
   size_t node_ = 0;
   uint64_t connection_ = 0;
--- a/src/coordination/budgets/region_network.cpp
+++ b/src/coordination/budgets/region_network.cpp
@@ -49,9 +49,9 @@
   return taken;
 }
 
-void RegionNetwork::tell_all(uint64_t term) {
+void RegionNetwork::tell_all(uint64_t fencing_token) {
   for (auto& [region, links] : links_) {
-    const auto bytes = encode_region_message(budgets_.message_to(region, term));
+    const auto bytes = encode_region_message(budgets_.message_to(region, fencing_token));
     for (auto& link : links) link->send(bytes);
   }
 }
@@ -67,13 +67,14 @@
   }
 }
 
-Task<void> RegionNetwork::run(std::function<uint64_t()> term, std::stop_token token) {
+Task<void> RegionNetwork::run(std::function<uint64_t()> fencing_token, std::stop_token stop_token) {
   if (links_.empty()) co_return;
-  while (!token.stop_requested()) {
+  while (!stop_token.stop_requested()) {
     note_silence();
-    if (const uint64_t held = term(); held != 0) tell_all(held);
-    if (!co_await Sleep(loop_, settings_.report_s * news_pause_reports, token)) co_return;
-    co_await wake_.wait(settings_.report_s * period_reports * loop_.uniform(0.85, 1.05), token);
+    if (const uint64_t held = fencing_token(); held != 0) tell_all(held);
+    if (!co_await Sleep(loop_, settings_.report_s * news_pause_reports, stop_token)) co_return;
+    co_await wake_.wait(settings_.report_s * period_reports * loop_.uniform(0.85, 1.05),
+                        stop_token);
   }
 }
 
--- a/src/coordination/budgets/region_network.hpp
+++ b/src/coordination/budgets/region_network.hpp
@@ -19,7 +19,7 @@
                 const RegionSettings* regions, TeamBudgets& budgets);
   bool listening() const { return !regions_ || (listener_ && listener_->listening()); }
   // Tells the other regions as long as `term` yields one: that of the grant held here.
-  Task<void> run(std::function<uint64_t()> term, std::stop_token token);
+  Task<void> run(std::function<uint64_t()> fencing_token, std::stop_token stop_token);
   // Something should be told at once.
   void wake() { wake_.notify(); }
   // A message calls for a change of records.
@@ -27,7 +27,7 @@
 
  private:
   long take(std::string_view bytes);
-  void tell_all(uint64_t term);
+  void tell_all(uint64_t fencing_token);
   // Says in the log when a region falls silent and when it is heard again.
   void note_silence();
 
@@ -35,7 +35,7 @@
   const Settings& settings_;
   const RegionSettings* regions_;
   TeamBudgets& budgets_;
-  Signal wake_;
+  Notification wake_;
   std::map<size_t, std::vector<std::unique_ptr<StreamLink>>> links_;  // by region
   std::unique_ptr<StreamListener> listener_;
   std::set<size_t> silent_;  // regions that were said not to be heard
--- a/src/coordination/budgets/team_budgets.cpp
+++ b/src/coordination/budgets/team_budgets.cpp
@@ -63,7 +63,7 @@
   return guarantees_.at(team.name);
 }
 
-void TeamBudgets::begin_term() {
+void TeamBudgets::begin_lease() {
   peaks_.clear();
   demands_.clear();
   measured_at_ = never;
@@ -207,12 +207,12 @@
   });
 }
 
-RegionMessage TeamBudgets::message_to(size_t region, uint64_t term) {
+RegionMessage TeamBudgets::message_to(size_t region, uint64_t fencing_token) {
   RegionMessage message;
   message.region = regions_->own().name;
   message.receiver = regions_->regions[region].name;
   message.node = settings_.node_name;
-  message.term = term;
+  message.fencing_token = fencing_token;
   message.number = next_number_++;
   for (auto& team : settings_.teams) {
     auto known = cache_.budgets().find(team.name);
@@ -233,9 +233,10 @@
   const auto region = regions_->index_of(message.region);
   if (!region || *region == regions_->own_index) return false;
   auto& heard = heard_[message.region];
-  const bool newer = std::pair(message.term, message.number) > std::pair(heard.term, heard.number);
+  const bool newer = std::pair(message.fencing_token, message.number) >
+                     std::pair(heard.fencing_token, heard.number);
   if (newer) {
-    heard.term = message.term;
+    heard.fencing_token = message.fencing_token;
     heard.number = message.number;
     heard.at = now;
   }
--- a/src/coordination/budgets/team_budgets.hpp
+++ b/src/coordination/budgets/team_budgets.hpp
@@ -33,7 +33,7 @@
   placing::Amounts guarantee(const TeamSettings& team) const;
 
   // A new term begins: what was heard before still counts, what was measured doesn't.
-  void begin_term();
+  void begin_lease();
   // What the records say now; to be called before the two below.
   void measure(double now);
   // The changes of records that are due: first records, what came, what is given. Empty: none.
@@ -41,7 +41,7 @@
   // known. `most`: puts in one transaction.
   Txn next_changes(int most) const;
   // What to tell this region.
-  RegionMessage message_to(size_t region, uint64_t term);
+  RegionMessage message_to(size_t region, uint64_t fencing_token);
   // Some team's work waits for budget.
   bool any_unmet() const;
 
@@ -52,7 +52,7 @@
 
  private:
   struct Heard {
-    uint64_t term = 0, number = 0;
+    uint64_t fencing_token = 0, number = 0;
     double at = never;
     std::map<std::string, TeamExchange> teams;
   };
--- a/src/coordination/catalog.cpp
+++ b/src/coordination/catalog.cpp
@@ -10,8 +10,8 @@
 constexpr double refresh_s = 120;  // only prices change
 }
 
-Task<void> Catalog::follow(std::stop_token token) {
-  while (!token.stop_requested()) {
+Task<void> Catalog::follow(std::stop_token stop_token) {
+  while (!stop_token.stop_requested()) {
     auto reply = co_await http_.request(settings_.cloud, Method::get, "/catalog", {}, 3.0);
     auto types =
         reply.status == 200
@@ -26,7 +26,7 @@
         spdlog::warn("the catalogue can't be read yet: {} ({} times)", words, *times);
     }
     double pause = known() ? refresh_s : 1.0 / settings_.cloud_rps + 0.2;
-    if (!co_await Sleep(loop_, pause * loop_.uniform(0.8, 1.2), token)) co_return;
+    if (!co_await Sleep(loop_, pause * loop_.uniform(0.8, 1.2), stop_token)) co_return;
   }
 }
 
--- a/src/coordination/catalog.hpp
+++ b/src/coordination/catalog.hpp
@@ -10,7 +10,7 @@
  public:
   Catalog(Loop& loop, HttpClient& http, const Settings& settings)
       : loop_(loop), http_(http), settings_(settings) {}
-  Task<void> follow(std::stop_token token);
+  Task<void> follow(std::stop_token stop_token);
   bool known() const { return !types_.empty(); }
   const std::vector<MachineType>& types() const { return types_; }
   const MachineType* type(const std::string& name) const;
--- a/src/coordination/election.cpp
+++ b/src/coordination/election.cpp
@@ -7,7 +7,7 @@
 namespace damsonport {
 
 Election::Election(Loop& loop, const Settings& settings, StateClient& state, Cache& cache,
-                   uint64_t incarnation, Signal& changed)
+                   uint64_t incarnation, Notification& changed)
     : loop_(loop),
       settings_(settings),
       state_(state),
@@ -19,10 +19,10 @@
       ttl_s_(std::max(std::min(settings.report_s * 1.5, settings.lease_s / 6),
                       settings.lease_s / 8)) {}
 
-Task<void> Election::run(std::stop_token token) {
-  while (!token.stop_requested()) {
+Task<void> Election::run(std::stop_token stop_token) {
+  while (!stop_token.stop_requested()) {
     if (!cache_.loaded()) {
-      if (!co_await Sleep(loop_, 0.1, token)) co_return;
+      if (!co_await Sleep(loop_, 0.1, stop_token)) co_return;
       continue;
     }
     bool mine = cache_.has_leader() && cache_.leader().node == settings_.node_name;
@@ -36,7 +36,7 @@
       if (leading_ && lease_) co_await state_.end(lease_);
       leading_ = false;
       lease_ = 0;
-      if (!co_await Sleep(loop_, ttl_s_ / 3.5, token)) co_return;
+      if (!co_await Sleep(loop_, ttl_s_ / 3.5, stop_token)) co_return;
       continue;
     }
     if (leading_) {
@@ -47,23 +47,23 @@
         lease_ = 0;
         changed_.notify();
       }
-      if (!co_await Sleep(loop_, ttl_s_ / 3.5, token)) co_return;
+      if (!co_await Sleep(loop_, ttl_s_ / 3.5, stop_token)) co_return;
       continue;
     }
     // A restarted node need not wait for the key of its earlier life to run out.
-    if (!cache_.has_leader() || mine) co_await campaign(token);
-    if (!leading_ && !co_await Sleep(loop_, ttl_s_ / 10 * loop_.uniform(0.5, 1.5), token))
+    if (!cache_.has_leader() || mine) co_await campaign(stop_token);
+    if (!leading_ && !co_await Sleep(loop_, ttl_s_ / 10 * loop_.uniform(0.5, 1.5), stop_token))
       co_return;
   }
 }
 
-Task<void> Election::campaign(std::stop_token token) {
+Task<void> Election::campaign(std::stop_token stop_token) {
   // Decided on what stands now: if a key appears while the lease is asked for, ours must lose.
   const uint64_t replaced = cache_.has_leader() ? cache_.leader_version() : 0;
   // A new lease for each try: one left from an earlier try would be about to end, and the key with
   // it, while this node still believed to lead.
   lease_ = co_await state_.new_lease(ttl_s_);
-  if (!lease_ || token.stop_requested()) co_return;
+  if (!lease_ || stop_token.stop_requested()) co_return;
   Txn txn;
   txn.conditions[keys::leader] = replaced;
   txn.writes.push_back({keys::leader, encode_leader({settings_.node_name, incarnation_}), lease_});
--- a/src/coordination/election.hpp
+++ b/src/coordination/election.hpp
@@ -8,8 +8,8 @@
 class Election {
  public:
   Election(Loop& loop, const Settings& settings, StateClient& state, Cache& cache,
-           uint64_t incarnation, Signal& changed);
-  Task<void> run(std::stop_token token);
+           uint64_t incarnation, Notification& changed);
+  Task<void> run(std::stop_token stop_token);
   // Our key stands, as far as is known. Also asked of the cache: after a conflict the key of a
   // successor is known there first, and writing on its version would be leading in its name.
   bool leading() const {
@@ -22,14 +22,14 @@
   void resign() { resigned_at_ = loop_.now(); }
 
  private:
-  Task<void> campaign(std::stop_token token);
+  Task<void> campaign(std::stop_token stop_token);
   bool resting() const { return loop_.now() - resigned_at_ < settings_.lease_s; }
   Loop& loop_;
   const Settings& settings_;
   StateClient& state_;
   Cache& cache_;
   uint64_t incarnation_;
-  Signal& changed_;
+  Notification& changed_;
   double ttl_s_;
   uint64_t lease_ = 0;
   bool leading_ = false;
--- a/src/coordination/exit_relay.cpp
+++ b/src/coordination/exit_relay.cpp
@@ -13,10 +13,10 @@
   return cache_.places(exit.task, exit.attempt, exit.machine);
 }
 
-void ExitRelay::saw(uint64_t term, const RelayedExit& exit) {
-  if (term < term_ || !wanted(exit)) return;
-  if (term > term_) seen_.clear();
-  term_ = term;
+void ExitRelay::saw(uint64_t fencing_token, const RelayedExit& exit) {
+  if (fencing_token < fencing_token_ || !wanted(exit)) return;
+  if (fencing_token > fencing_token_) seen_.clear();
+  fencing_token_ = fencing_token;
   if (seen_.insert(exit).second) changed_.notify();
 }
 
@@ -28,7 +28,7 @@
 RelayedExits ExitRelay::next_record() const {
   const double most = settings_.state_limits.always().value_bytes();
   constexpr size_t comma = 1;
-  RelayedExits record{term_, {}};
+  RelayedExits record{fencing_token_, {}};
   size_t bytes = stored_size(encode_relayed_exits(record));
   for (auto& exit : seen_) {
     bytes += stored_size(encode_relayed_exit(exit)) + comma;
@@ -48,13 +48,14 @@
   auto reply = co_await state_.commit(std::move(txn), Importance::placing);
   if (reply.outcome != Outcome::committed) co_return false;
   cache_.apply_writes(writes, reply.revision);
-  spdlog::debug("{} exits relayed for the holder with term {}", record.exits.size(), record.term);
+  spdlog::debug("{} exits relayed for the holder with term {}", record.exits.size(),
+                record.fencing_token);
   co_return true;
 }
 
-Task<void> ExitRelay::run(std::stop_token token) {
-  while (!token.stop_requested()) {
-    co_await changed_.wait(settings_.report_s * look_share, token);
+Task<void> ExitRelay::run(std::stop_token stop_token) {
+  while (!stop_token.stop_requested()) {
+    co_await changed_.wait(settings_.report_s * look_share, stop_token);
     if (!cache_.loaded()) continue;
     forget_what_is_committed();
     auto record = next_record();
@@ -63,7 +64,7 @@
                             ? record.exits.empty()
                             : written->second.exits == record.exits;
     if (!stands) co_await write(std::move(record));
-    if (!co_await Sleep(loop_, settings_.report_s * write_pause_share, token)) co_return;
+    if (!co_await Sleep(loop_, settings_.report_s * write_pause_share, stop_token)) co_return;
   }
 }
 
--- a/src/coordination/exit_relay.hpp
+++ b/src/coordination/exit_relay.hpp
@@ -20,9 +20,9 @@
       : loop_(loop), settings_(settings), state_(state), cache_(cache), changed_(loop) {}
 
   // A machine that has learned this term reported the exit.
-  void saw(uint64_t term, const RelayedExit& exit);
+  void saw(uint64_t fencing_token, const RelayedExit& exit);
   // Keeps this controller's record as it should be: what the job's records are past goes out.
-  Task<void> run(std::stop_token token);
+  Task<void> run(std::stop_token stop_token);
 
  private:
   bool wanted(const RelayedExit& exit) const;
@@ -34,8 +34,8 @@
   const Settings& settings_;
   StateClient& state_;
   Cache& cache_;
-  Signal changed_;
-  uint64_t term_ = 0;
+  Notification changed_;
+  uint64_t fencing_token_ = 0;
   std::set<RelayedExit> seen_;
 };
 
--- a/src/coordination/fleet.cpp
+++ b/src/coordination/fleet.cpp
@@ -30,7 +30,7 @@
   }
   m.session = r.session;
   m.seq = r.seq;
-  m.token = std::max(m.token, r.token);
+  m.fencing_token = std::max(m.fencing_token, r.fencing_token);
   m.address = r.address;
   m.type = r.type;
   m.zone = r.zone;
--- a/src/coordination/fleet.hpp
+++ b/src/coordination/fleet.hpp
@@ -36,7 +36,7 @@
   bool spot = false;
   std::optional<size_t> slot;  // its place in what placement sees
   // Newest message taken from the worker.
-  uint64_t session = 0, seq = 0, token = 0;
+  uint64_t session = 0, seq = 0, fencing_token = 0;
   double first_heard = 0;
   double last_heard = 0;            // the last report
   double last_direct = 0;           // the last answer to a direct message, which renews no lease
--- a/src/coordination/holder.cpp
+++ b/src/coordination/holder.cpp
@@ -4,24 +4,24 @@
 
 namespace damsonport {
 
-Holder::Holder(Parts parts)
-    : p_(parts),
-      loop_(parts.loop),
-      settings_(parts.settings),
-      tuning_(parts.settings.tuning),
-      cache_(parts.cache),
-      contact_(loop_, settings_, parts.state),
-      lease_renewal_(loop_, settings_, cache_, parts.peer_network, parts.cancellations,
-                     parts.exit_relay, contact_),
-      machine_list_(loop_, settings_, parts.http),
-      orphan_cleanup_(loop_, settings_, cache_, parts.http, parts.peer_network, parts.cancellations,
+Holder::Holder(Dependencies deps)
+    : deps_(deps),
+      loop_(deps.loop),
+      settings_(deps.settings),
+      tuning_(deps.settings.tuning),
+      cache_(deps.cache),
+      contact_(loop_, settings_, deps.state),
+      lease_renewal_(loop_, settings_, cache_, deps.peer_network, deps.cancellations,
+                     deps.exit_relay, contact_),
+      machine_list_(loop_, settings_, deps.http),
+      orphan_cleanup_(loop_, settings_, cache_, deps.http, deps.peer_network, deps.cancellations,
                       contact_, machine_list_, direct_sockets(settings_)),
       gangs_(loop_, settings_, *this),
       replicas_(loop_, settings_, cache_, *this, gangs_),
-      rentals_(loop_, settings_, parts.state, cache_, parts.http, parts.incarnation),
-      division_(loop_, settings_, cache_, parts.state, parts.versions,
-                [this](Txn txn, std::stop_token token) {
-                  return commit_and_apply(std::move(txn), std::move(token));
+      rentals_(loop_, settings_, deps.state, cache_, deps.http, deps.incarnation),
+      division_(loop_, settings_, cache_, deps.state, deps.versions,
+                [this](Txn txn, std::stop_token stop_token) {
+                  return commit_and_apply(std::move(txn), std::move(stop_token));
                 }) {
   rentals_.on_rented = [this](auto& machines, const MachineKind& kind) {
     for (auto& id : machines)
@@ -32,11 +32,11 @@
 
 const Grant* Holder::own_grant() const {
   for (auto& g : cache_.blocks().grants)
-    if (g.node == settings_.node_name && g.incarnation == p_.incarnation) return &g;
+    if (g.node == settings_.node_name && g.incarnation == deps_.incarnation) return &g;
   return nullptr;
 }
 
-bool Holder::holding() const { return term_ != 0 && own_grant() != nullptr; }
+bool Holder::holding() const { return fencing_token_ != 0 && own_grant() != nullptr; }
 
 bool Holder::records_current() const {
   return cache_.loaded() && cache_.revision() >= grant_version_;
@@ -45,7 +45,7 @@
 void Holder::take_relayed_exits() {
   if (!records_current()) return;
   for (auto& [node, relayed] : cache_.relayed_exits()) {
-    if (relayed.term != term_) continue;
+    if (relayed.fencing_token != fencing_token_) continue;
     for (auto& exit : relayed.exits) {
       if (exits_.contains(exit.task) || !cache_.places(exit.task, exit.attempt, exit.machine))
         continue;
@@ -58,7 +58,7 @@
 
 void Holder::begin_grant() {
   auto* g = own_grant();
-  term_ = g->term;
+  fencing_token_ = g->fencing_token;
   grant_version_ = cache_.blocks_version();
   took_over_at_ = quiet_base_ = last_tick_ = loop_.now();
   lease_renewal_.clear();
@@ -81,8 +81,8 @@
   send_queue_.clear();
   returning_.clear();
   booting_.clear();
-  rentals_.begin_term(term_);
-  spending_.begin_term(took_over_at_);
+  rentals_.begin_lease(fencing_token_);
+  spending_.begin_lease(took_over_at_);
   hints_.clear();
   gangs_.clear();
   replicas_.clear();
@@ -92,7 +92,7 @@
   // Machines that an earlier holder rented are heard first. The first one of all has none.
   const bool first_of_all = cache_.blocks().renewals <= 1;
   next_sizing_ = took_over_at_ + (first_of_all ? 0 : 2 * settings_.report_s);
-  p_.budgets.begin_term();
+  deps_.budgets.begin_lease();
   budget_news_ = true;
   reset_view();
   for (auto& [id, assigned] : cache_.assignments()) machine(id);
@@ -107,9 +107,9 @@
     replicas_.add_job(*job);
     dirty_jobs_.insert(job.get());
   }
-  spdlog::info("holding the grant with term {}: {} machines named in records, {} jobs", term_,
-               machines_.size(), cache_.jobs().size());
-  if (p_.budgets.divided() && !p_.budgets.exchanging())
+  spdlog::info("holding the grant with term {}: {} machines named in records, {} jobs",
+               fencing_token_, machines_.size(), cache_.jobs().size());
+  if (deps_.budgets.divided() && !deps_.budgets.exchanging())
     spdlog::warn(
         "the teams' limits are divided by the records, but no regions file is given: "
         "nothing is moved between regions from here");
@@ -118,16 +118,16 @@
 // One value says who holds what. While it names another the leader replaces it; while it names us
 // we renew it. The term is the revision of the value that was replaced when the holder changed:
 // unique and growing, because no revision occurs twice.
-Task<bool> Holder::keep_grant(std::stop_token token) {
+Task<bool> Holder::keep_grant(std::stop_token stop_token) {
   const double now = loop_.now();
   const Grant* own = own_grant();
-  if (own && term_ != own->term) begin_grant();
-  if (!own && term_ != 0) {
-    spdlog::info("the grant with term {} has gone to another holder", term_);
-    term_ = 0;
-    rentals_.begin_term(0);
+  if (own && fencing_token_ != own->fencing_token) begin_grant();
+  if (!own && fencing_token_ != 0) {
+    spdlog::info("the grant with term {} has gone to another holder", fencing_token_);
+    fencing_token_ = 0;
+    rentals_.begin_lease(0);
   }
-  if (!p_.election.leading()) co_return term_ != 0;
+  if (!deps_.election.leading()) co_return fencing_token_ != 0;
   if (own && now < next_renewal_) co_return true;
 
   Txn txn;
@@ -136,9 +136,9 @@
   if (!own) {
     Grant g;
     g.node = settings_.node_name;
-    g.incarnation = p_.incarnation;
+    g.incarnation = deps_.incarnation;
     // The very first value replaces nothing; the leader's key is older than any later revision.
-    g.term = replaced ? replaced : cache_.leader_version();
+    g.fencing_token = replaced ? replaced : cache_.leader_version();
     g.rest = true;
     next.grants = {g};
   }
@@ -148,7 +148,7 @@
   txn.writes.push_back({keys::blocks, encode_blocks(next), 0});
   auto writes = txn.writes;
   const double asked = loop_.now();
-  auto reply = co_await p_.state.commit(std::move(txn), Importance::lease);
+  auto reply = co_await deps_.state.commit(std::move(txn), Importance::lease);
   if (reply.outcome == Outcome::committed) {
     cache_.apply_writes(writes, reply.revision);
     // Early and often: an outage must fit into what is left of the grant.
@@ -158,24 +158,24 @@
   }
   if (reply.outcome == Outcome::conflict || reply.outcome == Outcome::unknown) {
     for (auto& key : {keys::blocks, keys::leader}) {
-      auto read = co_await p_.state.read(key, Importance::lease);
+      auto read = co_await deps_.state.read(key, Importance::lease);
       if (read.ok && read.found) cache_.apply(read.item);
     }
   }
   next_renewal_ = loop_.now() + 0.2;
-  if (token.stop_requested()) co_return false;
+  if (stop_token.stop_requested()) co_return false;
   co_return holding();
 }
 
 void Holder::job_changed(Job* job) {
-  if (term_ != 0 && job) {
+  if (fencing_token_ != 0 && job) {
     place_again_ = true;
     dirty_jobs_.insert(job);
     replicas_.add_job(*job);
     if (is_over(*job)) over_.insert(job->spec.id);
     if (is_cancelled(*job)) stop_cancelled(*job);
   }
-  p_.changed.notify();
+  deps_.changed.notify();
 }
 
 void Holder::job_gone(Job* job) {
@@ -194,37 +194,37 @@
     it = attempts_.erase(it);
 }
 
-Task<void> Holder::run(std::stop_token token) {
-  while (!token.stop_requested()) {
+Task<void> Holder::run(std::stop_token stop_token) {
+  while (!stop_token.stop_requested()) {
     if (!cache_.loaded()) {
-      if (!co_await Sleep(loop_, 0.1, token)) co_return;
+      if (!co_await Sleep(loop_, 0.1, stop_token)) co_return;
       continue;
     }
     bool busy = false;
-    if (co_await keep_grant(token)) {
+    if (co_await keep_grant(stop_token)) {
       if (holding()) take_relayed_exits();
-      busy = co_await commit_exits(token);
-      if (holding()) busy = co_await commit_finals(token) || busy;
-      if (holding() && records_current()) busy = co_await division_.commit_next(token) || busy;
-      if (holding()) busy = co_await commit_budgets(token) || busy;
-      if (holding()) busy = co_await commit_starts(token) || busy;
+      busy = co_await commit_exits(stop_token);
+      if (holding()) busy = co_await commit_finals(stop_token) || busy;
+      if (holding() && records_current()) busy = co_await division_.commit_next(stop_token) || busy;
+      if (holding()) busy = co_await commit_budgets(stop_token) || busy;
+      if (holding()) busy = co_await commit_starts(stop_token) || busy;
     }
     if (busy) continue;
     double pause = std::min(0.25, settings_.report_s / 6);
-    co_await p_.changed.wait(pause, token);
+    co_await deps_.changed.wait(pause, stop_token);
     // Events that come close together are decided together.
-    if (!co_await Sleep(loop_, 0.01, token)) co_return;
+    if (!co_await Sleep(loop_, 0.01, stop_token)) co_return;
   }
 }
 
-Task<void> Holder::run_maintenance(std::stop_token token) {
+Task<void> Holder::run_maintenance(std::stop_token stop_token) {
   const double tick = settings_.report_s / 4;
-  while (!token.stop_requested()) {
-    if (!co_await Sleep(loop_, tick, token)) co_return;
+  while (!stop_token.stop_requested()) {
+    if (!co_await Sleep(loop_, tick, stop_token)) co_return;
     lease_renewal_.forget_old_visits();
     std::erase_if(images_seen_, [&](auto& entry) { return cache_.leaving(entry.first); });
     if (!holding() || superseded()) {
-      co_await orphan_cleanup_.run_once(token);
+      co_await orphan_cleanup_.run_once(stop_token);
       continue;
     }
     double now = loop_.now();
@@ -232,7 +232,7 @@
     // machine's fault.
     if (now - last_tick_ > 3 * tick) quiet_base_ = now;
     last_tick_ = now;
-    if (!records_current() || !p_.catalog.known()) continue;
+    if (!records_current() || !deps_.catalog.known()) continue;
     resign_if_deaf();
     watch_silence();
     watch_cancelled();
@@ -242,18 +242,18 @@
     review_gangs();
     // What changes with time alone: pauses that are over, machines in doubt.
     if (waiting_tasks_ > 0 || !held_back_.empty()) place_again_ = true;
-    if (p_.election.leading()) {
-      co_await return_machines(false, token);
+    if (deps_.election.leading()) {
+      co_await return_machines(false, stop_token);
       if (holding() && loop_.now() >= next_sizing_) {
         next_sizing_ = loop_.now() + settings_.report_s / 2;
-        rent(token);
+        rent(stop_token);
       }
     } else if (!overdue_.empty()) {
       // A holder whose leadership ended and whose successor is gone too, in an outage: what others
       // can't return, since they see it hold.
-      co_await return_machines(true, token);
+      co_await return_machines(true, stop_token);
     }
-    p_.changed.notify();
+    deps_.changed.notify();
   }
 }
 
@@ -269,23 +269,23 @@
   for (auto& [id, m] : machines_) heard += now - m.last_heard < heard_within && m.session != 0;
   // After a takeover they come here by way of the others.
   const bool settled = now - took_over_at_ > 3 * settings_.report_s;
-  const bool deaf = settled && p_.peer_network.misrouted_machines() > heard;
-  if (!deaf || !p_.election.leading()) {
+  const bool deaf = settled && deps_.peer_network.misrouted_machines() > heard;
+  if (!deaf || !deps_.election.leading()) {
     deaf_since_ = 0;
     return;
   }
   if (deaf_since_ == 0) deaf_since_ = now;
   if (now - deaf_since_ < settings_.lease_s * deaf_lease_share) return;
   spdlog::warn("{} machines heard here and {} by other controllers: giving the leadership up",
-               heard, p_.peer_network.misrouted_machines());
-  p_.election.resign();
+               heard, deps_.peer_network.misrouted_machines());
+  deps_.election.resign();
   deaf_since_ = 0;
 }
 
-std::optional<HttpResponse> Holder::refusal(const std::string& machine, uint64_t token) {
+std::optional<HttpResponse> Holder::refusal(const std::string& machine, uint64_t fencing_token) {
   // A newer holder exists: a 200 would only hold the worker here while its lease runs out.
-  if (token > term_) return HttpResponse{421, encode_report_to({}), 0};
-  const bool lost = p_.peer_network.alone() && !contact_.in_contact();
+  if (fencing_token > fencing_token_) return HttpResponse{421, encode_report_to({}), 0};
+  const bool lost = deps_.peer_network.alone() && !contact_.in_contact();
   if (!lease_renewal_.may_renew(lost && lease_renewal_.note_visit(machine)))
     return HttpResponse{503, {}, 0};
   return std::nullopt;
@@ -310,21 +310,21 @@
   auto it = machines_.find(repeat->machine);
   if (it == machines_.end() || repeat->sequence <= it->second.seq) return std::nullopt;
   Machine& m = it->second;
-  if (auto no = refusal(m.id, m.token)) return no;
+  if (auto no = refusal(m.id, m.fencing_token)) return no;
   const double now = loop_.now();
   m.seq = repeat->sequence;
   m.last_heard = m.repeated_at = now;
   m.state_as_of = std::max(m.state_as_of, request.previous_answer_at);
   if (!m.tasks.empty()) m.idle_since = now;
   m.in_answer.clear();
-  return HttpResponse{200, encode_report_answer(term_, {}), 0};
+  return HttpResponse{200, encode_report_answer(fencing_token_, {}), 0};
 }
 
 HttpResponse Holder::on_decoded_report(const Report& r, const HttpRequest& request) {
   // Gone, as the cloud said: this is a late copy.
   if (returned_.contains(r.machine)) return {421, encode_report_to({}), 0};
   if (!holding() || superseded()) return lease_renewal_.answer(r);
-  if (auto no = refusal(r.machine, r.token)) return *no;
+  if (auto no = refusal(r.machine, r.fencing_token)) return *no;
   std::vector<Command> commands;
   Machine& m = machine(r.machine);
   if (r.newer_than(m.session, m.seq)) {
@@ -336,7 +336,7 @@
     for (auto& c : commands)
       if (c.op == Command::Op::start) m.in_answer.insert({c.task, c.attempt});
   }
-  return {200, encode_report_answer(term_, commands), 0};
+  return {200, encode_report_answer(fencing_token_, commands), 0};
 }
 
 }  // namespace damsonport
--- a/src/coordination/holder.hpp
+++ b/src/coordination/holder.hpp
@@ -36,7 +36,7 @@
 
 class Holder : private TaskFacts {
  public:
-  struct Parts {
+  struct Dependencies {
     Loop& loop;
     const Settings& settings;
     StateClient& state;
@@ -50,23 +50,23 @@
     ExitRelay& exit_relay;
     budgets::TeamBudgets& budgets;
     budgets::RegionNetwork& regions;
-    Signal& changed;
+    Notification& changed;
     uint64_t incarnation;
   };
-  explicit Holder(Parts parts);
+  explicit Holder(Dependencies deps);
 
   // Grants, commits, placement.
-  Task<void> run(std::stop_token token);
+  Task<void> run(std::stop_token stop_token);
   // Silence, drains, returns and rentals.
-  Task<void> run_maintenance(std::stop_token token);
+  Task<void> run_maintenance(std::stop_token stop_token);
   // What the cloud says is there.
-  Task<void> follow_machine_list(std::stop_token token);
+  Task<void> follow_machine_list(std::stop_token stop_token);
 
   // The answer to a report in the form in which it came.
   HttpResponse on_report(const HttpRequest& request);
   bool holding() const;
   // Of the grant held; 0: none.
-  uint64_t term() const { return holding() ? term_ : 0; }
+  uint64_t fencing_token() const { return holding() ? fencing_token_ : 0; }
   // Messages to workers that may be under way at once.
   static int direct_sockets(const Settings& s) { return std::max(8, s.max_sockets / 16); }
   uint64_t waiting_tasks() const { return waiting_tasks_; }
@@ -115,10 +115,12 @@
 
   // --- grants (holder.cpp)
   const Grant* own_grant() const;
-  Task<bool> keep_grant(std::stop_token token);
+  Task<bool> keep_grant(std::stop_token stop_token);
   void begin_grant();
   // A peer says that it holds a newer grant: ours is over, though we may not have read it.
-  bool superseded() const { return term_ != 0 && p_.peer_network.newest_holder().second > term_; }
+  bool superseded() const {
+    return fencing_token_ != 0 && deps_.peer_network.newest_holder().second > fencing_token_;
+  }
   void resign_if_deaf();
 
   // --- cancelled jobs
@@ -131,21 +133,21 @@
   void take_relayed_exits();
 
   // --- committing (holder_commit.cpp)
-  Task<bool> commit_exits(std::stop_token token);
-  Task<bool> commit_finals(std::stop_token token);
-  Task<bool> commit_starts(std::stop_token token);
+  Task<bool> commit_exits(std::stop_token stop_token);
+  Task<bool> commit_finals(std::stop_token stop_token);
+  Task<bool> commit_starts(std::stop_token stop_token);
   void order_stops(const placing::Decisions& decided);
   void note_unplaced(const placing::Decisions& decided);
   DecidedStart by_name(size_t job, size_t machine) const;
   DecidedGang gang_by_name(const placing::GangStart& decided) const;
-  Task<bool> commit_gang_starts(std::vector<DecidedGang> gangs, std::stop_token token);
-  Task<bool> commit_gang_start(const DecidedGang& gang, std::stop_token token);
-  Task<bool> commit_single_starts(std::vector<DecidedStart> decided, std::stop_token token);
+  Task<bool> commit_gang_starts(std::vector<DecidedGang> gangs, std::stop_token stop_token);
+  Task<bool> commit_gang_start(const DecidedGang& gang, std::stop_token stop_token);
+  Task<bool> commit_single_starts(std::vector<DecidedStart> decided, std::stop_token stop_token);
   // How long the starts of one pass may be committed before the next pass.
   double starts_may_take_s() const;
   void order_starts(const std::vector<CommittedStart>& starts);
   // `committed` is called between the commit and its taking effect here.
-  Task<bool> commit_and_apply(Txn txn, std::stop_token token, bool starts = false,
+  Task<bool> commit_and_apply(Txn txn, std::stop_token stop_token, bool starts = false,
                               std::function<void()> committed = {});
   // An exit that is the last of its job, in a transaction that may end the job with it.
   bool ends_with(const Job& job, const ChunkRecord& record, const PendingExit& exit) const;
@@ -158,7 +160,7 @@
   static bool is_over(const Job& job) { return job.cancelled ? job.live == 0 : job.finished(); }
 
   // --- the teams' limits among regions (holder_budgets.cpp)
-  Task<bool> commit_budgets(std::stop_token token);
+  Task<bool> commit_budgets(std::stop_token stop_token);
   void tell_of_unmet_need();
 
   // --- gangs (holder_gangs.cpp)
@@ -189,7 +191,7 @@
   Machine& machine(const std::string& id);
   HttpResponse on_decoded_report(const Report& r, const HttpRequest& request);
   // Why a machine that has seen this token isn't answered now; nothing: it is.
-  std::optional<HttpResponse> refusal(const std::string& machine, uint64_t token);
+  std::optional<HttpResponse> refusal(const std::string& machine, uint64_t fencing_token);
   // Answers a report that repeats the last one, without looking into it; nothing: it doesn't.
   std::optional<HttpResponse> answer_repeated(const HttpRequest& request);
   // True: a report that says the same again need not be looked into.
@@ -248,27 +250,27 @@
   void watch_drains();
   void watch_stragglers();
   const MachineType* coming_type(const std::string& id, const Booting& b) const;
-  Task<void> return_machines(bool overdue_only, std::stop_token token);
+  Task<void> return_machines(bool overdue_only, std::stop_token stop_token);
   void sort_most_urgent_first(std::vector<std::string>& machines) const;
   Task<bool> mark_leaving(std::vector<std::string> machines);
   // Keeps those that must go without a mark, in an outage; false: none.
   bool return_unmarked(std::vector<std::string>& machines);
   Task<bool> ask_return(std::vector<std::string> ask);
-  void rent(const std::stop_token& token);
+  void rent(const std::stop_token& stop_token);
   sizing::Input sizing_input() const;
   void expect_arrivals(sizing::Input& in) const;
   uint64_t team_limit(const JobSpec& spec) const;
   void drain(Machine& m, const std::string& why);
   void want_return(const std::string& id, const std::string& why);
 
-  Parts p_;
+  Dependencies deps_;
   Loop& loop_;
   const Settings& settings_;
   const Tuning& tuning_;
   Cache& cache_;
 
   // Of the present grant; cleared when it is taken over.
-  uint64_t term_ = 0;
+  uint64_t fencing_token_ = 0;
   uint64_t grant_version_ = 0;  // records must be complete up to here before anything is placed
   double next_renewal_ = 0;
   double took_over_at_ = 0;
--- a/src/coordination/holder_budgets.cpp
+++ b/src/coordination/holder_budgets.cpp
@@ -13,39 +13,39 @@
 
 // A gift counts on the records alone: none of this holder's starts is under way or in doubt here,
 // since it writes one transaction at a time, and an older holder's fail on `blocks`.
-Task<bool> Holder::commit_budgets(std::stop_token token) {
-  if (!p_.budgets.exchanging() || !records_current()) co_return false;
+Task<bool> Holder::commit_budgets(std::stop_token stop_token) {
+  if (!deps_.budgets.exchanging() || !records_current()) co_return false;
   // An older version that takes over would count the whole limit as its own.
-  if (!p_.versions.all_have(VersionRegistry::budgets)) co_return false;
+  if (!deps_.versions.all_have(VersionRegistry::budgets)) co_return false;
   const double now = loop_.now();
   if (!budget_news_ && now < next_budgets_) co_return false;
   budget_news_ = false;
   next_budgets_ = now + settings_.report_s * measure_reports;
-  p_.budgets.measure(now);
+  deps_.budgets.measure(now);
   // One put fewer than the service takes at once.
-  Txn txn = p_.budgets.next_changes(limits().txn_writes - 1);
+  Txn txn = deps_.budgets.next_changes(limits().txn_writes - 1);
   if (txn.writes.empty()) {
     tell_of_unmet_need();
     co_return false;
   }
   txn.conditions[keys::blocks] = cache_.blocks_version();
   spdlog::debug("budgets of {} teams change", txn.writes.size());
-  if (co_await commit_and_apply(std::move(txn), token)) place_again_ = true;
+  if (co_await commit_and_apply(std::move(txn), stop_token)) place_again_ = true;
   budget_news_ = true;  // more may be due
-  p_.regions.wake();
+  deps_.regions.wake();
   co_return true;
 }
 
 // Other regions hear at once that a team wants more than it has here.
 void Holder::tell_of_unmet_need() {
-  const bool unmet = p_.budgets.any_unmet();
-  if (unmet && !unmet_told_) p_.regions.wake();
+  const bool unmet = deps_.budgets.any_unmet();
+  if (unmet && !unmet_told_) deps_.regions.wake();
   unmet_told_ = unmet;
 }
 
 void Holder::budget_news() {
   budget_news_ = true;
-  p_.changed.notify();
+  deps_.changed.notify();
 }
 
 }  // namespace damsonport
--- a/src/coordination/holder_cancelled.cpp
+++ b/src/coordination/holder_cancelled.cpp
@@ -8,21 +8,21 @@
 
 // Also by another controller's word: nobody has a use for these tasks, and stopping needs no proof.
 bool Holder::is_cancelled(const Job& job) const {
-  return job.cancelled || p_.cancellations.cancelled(job.spec.id);
+  return job.cancelled || deps_.cancellations.cancelled(job.spec.id);
 }
 
 double Holder::cancelled_since(const Job& job) const {
-  const auto heard = p_.cancellations.heard(job.spec.id);
+  const auto heard = deps_.cancellations.heard(job.spec.id);
   if (!job.cancelled) return heard.value_or(loop_.now());
   return heard ? std::max(*heard, job.cancelled_since) : job.cancelled_since;
 }
 
 void Holder::cancelled_elsewhere(const std::string& id) {
   Job* job = cache_.job(id);
-  if (term_ == 0 || !job) return;
+  if (fencing_token_ == 0 || !job) return;
   dirty_jobs_.insert(job);
   stop_cancelled(*job);
-  p_.changed.notify();
+  deps_.changed.notify();
 }
 
 void Holder::stop_cancelled(const Job& job) {
--- a/src/coordination/holder_cloud.cpp
+++ b/src/coordination/holder_cloud.cpp
@@ -21,22 +21,24 @@
 }  // namespace
 
 // A duty of its own: a long list takes seconds, in which silence must be watched all the same.
-Task<void> Holder::follow_machine_list(std::stop_token token) {
+Task<void> Holder::follow_machine_list(std::stop_token stop_token) {
   const double tick_s = settings_.report_s / 4;
-  while (!token.stop_requested()) {
-    if (!co_await Sleep(loop_, tick_s, token)) co_return;
+  while (!stop_token.stop_requested()) {
+    if (!co_await Sleep(loop_, tick_s, stop_token)) co_return;
     const bool due = loop_.now() >= next_list_;
-    if (!due || !leads_as_holder() || !records_current() || !p_.catalog.known()) continue;
+    if (!due || !leads_as_holder() || !records_current() || !deps_.catalog.known()) continue;
     next_list_ = loop_.now() + settings_.list_lag_s / 2;
     MachineListReader::Take take = [this](auto& listed) { note_listed(listed); };
-    MachineListReader::KeepGoing keep_going = [this, term = term_] {
-      return term == term_ && leads_as_holder();
+    MachineListReader::KeepGoing keep_going = [this, fencing_token = fencing_token_] {
+      return fencing_token == fencing_token_ && leads_as_holder();
     };
-    co_await machine_list_.read(std::move(take), std::move(keep_going), token);
+    co_await machine_list_.read(std::move(take), std::move(keep_going), stop_token);
   }
 }
 
-bool Holder::leads_as_holder() const { return holding() && !superseded() && p_.election.leading(); }
+bool Holder::leads_as_holder() const {
+  return holding() && !superseded() && deps_.election.leading();
+}
 
 void Holder::note_listed(const ListedMachine& listed) {
   if (returned_.contains(listed.id)) return;  // the list lags
@@ -63,7 +65,7 @@
 void Holder::note_starting(const ListedMachine& listed) {
   constexpr double unknown_boot_s = 60;
   const double now = loop_.now();
-  auto* type = p_.catalog.type(listed.type);
+  auto* type = deps_.catalog.type(listed.type);
   const double boot_s = type ? type->boot_s : unknown_boot_s;
   auto [b, fresh] = booting_.try_emplace(
       listed.id, Booting{listed.type, listed.zone, listed.spot, now - listed.age_s});
@@ -114,8 +116,9 @@
     // Never heard at all: it may be booting, or still be looking for the new holder, past
     // controllers that don't answer.
     if (m.session == 0)
-      limit += cache_.assigned(id).empty() ? report * 2
-                                           : worker_retry_s * (1 + p_.peer_network.silent_peers());
+      limit += cache_.assigned(id).empty()
+                   ? report * 2
+                   : worker_retry_s * (1 + deps_.peer_network.silent_peers());
     if (quiet > limit && direct > give_up) {
       want_return(id, "silent for " + std::to_string(static_cast<int>(quiet)) + " s");
       given_up_.insert(id);
@@ -175,7 +178,7 @@
     if (!m.replaces && m.first_heard > first_flagged) newcomers.push_back(&m);
   for (Machine* straggler : waiting) {
     Machine& m = *straggler;
-    auto* type = p_.catalog.type(m.type);
+    auto* type = deps_.catalog.type(m.type);
     for (Machine* other : newcomers) {
       if (other->replaces || other->type != m.type || other->first_heard <= m.replacing_since)
         continue;
@@ -191,7 +194,7 @@
 
 // Many machines fail together, and each waits with all that ran on it: so they are marked in bulk,
 // a hundred in one record, and those of the most urgent tasks go first.
-Task<void> Holder::return_machines(bool overdue_only, std::stop_token token) {
+Task<void> Holder::return_machines(bool overdue_only, std::stop_token stop_token) {
   const size_t max_marked_at_once = machines_in_a_mark(settings_.state_limits.always().value_kb);
   if (!unmarked_.empty() && contact_.in_contact()) {
     std::vector<std::string> late(unmarked_.begin(), unmarked_.end());
@@ -214,7 +217,7 @@
       ask = std::move(mark);
     }
     if (ask.size() > max_returned_at_once) ask.resize(max_returned_at_once);
-    if (token.stop_requested() || !co_await ask_return(std::move(ask))) co_return;
+    if (stop_token.stop_requested() || !co_await ask_return(std::move(ask))) co_return;
   }
 }
 
@@ -241,13 +244,13 @@
 Task<bool> Holder::mark_leaving(std::vector<std::string> machines) {
   // A record of its own for each batch: one that is written again would lose the marks it had.
   const auto key =
-      keys::leaving(std::to_string(p_.incarnation) + "-" + std::to_string(loop_.random64()));
+      keys::leaving(std::to_string(deps_.incarnation) + "-" + std::to_string(loop_.random64()));
   Txn txn;
   txn.conditions[keys::blocks] = cache_.blocks_version();
   txn.conditions[key] = 0;
   txn.writes.push_back({key, {{"machines", std::move(machines)}}, 0});
   auto writes = txn.writes;
-  auto reply = co_await p_.state.commit(std::move(txn), Importance::placing);
+  auto reply = co_await deps_.state.commit(std::move(txn), Importance::placing);
   if (reply.outcome != Outcome::committed) co_return false;
   cache_.apply_writes(writes, reply.revision);
   co_return true;
@@ -255,10 +258,10 @@
 
 Task<bool> Holder::ask_return(std::vector<std::string> ask) {
   returning_.insert(ask.begin(), ask.end());
-  auto term = term_;
-  auto reply = co_await p_.http.request(settings_.cloud, Method::post, "/hosts/return",
-                                        encode_return(ask), 3.0);
-  if (term != term_) co_return false;
+  auto fencing_token = fencing_token_;
+  auto reply = co_await deps_.http.request(settings_.cloud, Method::post, "/hosts/return",
+                                           encode_return(ask), 3.0);
+  if (fencing_token != fencing_token_) co_return false;
   for (auto& id : ask) returning_.erase(id);
   if (reply.status != 200) co_return false;
   // Gone, with everything on them: the proof that lets their tasks start elsewhere.
@@ -282,7 +285,7 @@
     }
   }
   spdlog::info("returned {} machine{}", ask.size(), ask.size() == 1 ? "" : "s");
-  p_.changed.notify();
+  deps_.changed.notify();
   co_return true;
 }
 
@@ -290,7 +293,7 @@
 uint64_t Holder::team_limit(const JobSpec& spec) const {
   auto* team = settings_.team(spec.team);
   double n = 1e6;
-  const auto limit = team ? p_.budgets.limit(*team) : placing::Amounts{};
+  const auto limit = team ? deps_.budgets.limit(*team) : placing::Amounts{};
   if (limit.cpus > 0 && spec.cpus > 0) n = std::min(n, limit.cpus / spec.cpus);
   if (limit.gpus > 0 && spec.gpus > 0) n = std::min(n, limit.gpus / spec.gpus);
   return static_cast<uint64_t>(n + 1e-6);
@@ -299,7 +302,7 @@
 // The type of a machine that is on its way and not overdue, or null.
 const MachineType* Holder::coming_type(const std::string& id, const Booting& b) const {
   if (machines_.contains(id) || to_return_.contains(id) || cache_.leaving(id)) return nullptr;
-  auto* t = p_.catalog.type(b.type);
+  auto* t = deps_.catalog.type(b.type);
   return t && loop_.now() - b.since <= t->boot_s * slow_boot ? t : nullptr;
 }
 
@@ -328,7 +331,7 @@
 sizing::Input Holder::sizing_input() const {
   sizing::Input in;
   const double now = loop_.now();
-  in.types = p_.catalog.types();
+  in.types = deps_.catalog.types();
   in.spare_share = tuning_.spare_share;
   in.cheap_share = tuning_.cheap_spare_share;
   in.idle_replacements = tuning_.idle_replacements;
@@ -396,8 +399,8 @@
   return in;
 }
 
-void Holder::rent(const std::stop_token& token) {
-  rentals_.resume(token);
+void Holder::rent(const std::stop_token& stop_token) {
+  rentals_.resume(stop_token);
   auto input = sizing_input();
   spending_.charge(input.machines, input.types, loop_.now());
   if (auto line = spending_.report(loop_.now(), settings_.lease_s)) spdlog::info("{}", *line);
@@ -416,7 +419,7 @@
   for (auto& id : plan.give_back) want_return(id, "idle");
   for (auto& r : plan.rent) {
     const MachineKind kind{r.type, r.zone, r.spot};
-    if (!rentals_.under_way(kind)) rentals_.rent(kind, r.count, token);
+    if (!rentals_.under_way(kind)) rentals_.rent(kind, r.count, stop_token);
   }
 }
 
--- a/src/coordination/holder_commit.cpp
+++ b/src/coordination/holder_commit.cpp
@@ -18,7 +18,7 @@
 
 Task<void> Holder::reread(std::vector<std::string> failed) {
   for (auto& key : failed) {
-    auto read = co_await p_.state.read(key, Importance::placing);
+    auto read = co_await deps_.state.read(key, Importance::placing);
     // Also that it is absent: a copy that came back from the dead must not be built on again.
     if (read.ok && read.item.version) cache_.apply(read.item);
   }
@@ -26,10 +26,10 @@
 
 // Commits surely. Nothing else of this holder is written meanwhile, so whatever is in doubt keeps
 // its room and its team's quota until the outcome is known.
-Task<bool> Holder::commit_and_apply(Txn txn, std::stop_token token, bool starts,
+Task<bool> Holder::commit_and_apply(Txn txn, std::stop_token stop_token, bool starts,
                                     std::function<void()> committed) {
   auto writes = txn.writes;
-  auto reply = co_await p_.state.commit_surely(std::move(txn), Importance::placing, token);
+  auto reply = co_await deps_.state.commit_surely(std::move(txn), Importance::placing, stop_token);
   if (reply.outcome == Outcome::committed) {
     if (committed) committed();
     const bool again = place_again_;
@@ -48,7 +48,7 @@
     spdlog::error("the state service takes no transaction with {}",
                   writes.empty() ? "no writes" : writes.front().key);
     division_.note_refused(writes);
-    co_await Sleep(loop_, pause_after_refusal_s, token);
+    co_await Sleep(loop_, pause_after_refusal_s, stop_token);
   }
   co_return false;
 }
@@ -92,7 +92,7 @@
   if (any_failed) review_failures();
 }
 
-Task<bool> Holder::commit_exits(std::stop_token token) {
+Task<bool> Holder::commit_exits(std::stop_token stop_token) {
   if (exits_.empty() || !records_current()) co_return false;
   ChunkEdits edits(cache_, limits());
   std::vector<TaskName> taken, last;  // `last`: those that end their jobs
@@ -129,7 +129,7 @@
       if (ended.contains(name.job)) of_ended.push_back(name);
     finish_exits(of_ended);
   };
-  if (co_await commit_and_apply(edits.finish(), token, false, std::move(committed))) {
+  if (co_await commit_and_apply(edits.finish(), stop_token, false, std::move(committed))) {
     for (auto& name : last) {
       cache_.remember_final(name.job, FinalState::done);
       spdlog::info("job {} is done", name.job);
@@ -141,7 +141,7 @@
 }
 
 // A job's record goes when all its tasks are done, or when it was cancelled and none is left.
-Task<bool> Holder::commit_finals(std::stop_token token) {
+Task<bool> Holder::commit_finals(std::stop_token stop_token) {
   if (!records_current()) co_return false;
   Txn txn;
   std::vector<std::string> ended;
@@ -183,15 +183,15 @@
   std::vector<std::pair<std::string, bool>> outcome;
   outcome.reserve(ended.size());
   for (auto& id : ended) outcome.emplace_back(id, cache_.job(id)->cancelled);
-  if (co_await commit_and_apply(std::move(txn), token))
+  if (co_await commit_and_apply(std::move(txn), stop_token))
     for (auto& [id, cancelled] : outcome)
       cache_.remember_final(id, cancelled ? FinalState::cancelled : FinalState::done);
   co_return true;
 }
 
-Task<bool> Holder::commit_starts(std::stop_token token) {
+Task<bool> Holder::commit_starts(std::stop_token stop_token) {
   const double now = loop_.now();
-  if (!records_current() || !p_.catalog.known() || !place_again_ || now < next_place_)
+  if (!records_current() || !deps_.catalog.known() || !place_again_ || now < next_place_)
     co_return false;
   uncommitted_starts_ = 0;
   // One pass serves all that came meanwhile; passes are spaced so that bursts share them.
@@ -212,8 +212,8 @@
   for (auto& start : decided.starts) singles.push_back(by_name(start.job, start.machine));
   std::vector<DecidedGang> gangs;
   for (auto& gang : decided.gangs) gangs.push_back(gang_by_name(gang));
-  bool any = co_await commit_gang_starts(std::move(gangs), token);
-  any = co_await commit_single_starts(std::move(singles), token) || any;
+  bool any = co_await commit_gang_starts(std::move(gangs), stop_token);
+  any = co_await commit_single_starts(std::move(singles), stop_token) || any;
   co_return any;
 }
 
@@ -265,7 +265,7 @@
 // A gang is started by one transaction where its records fit into one. Otherwise one after the
 // other under the same attempt: a holder that ends halfway leaves a gang with missing tasks, which
 // the next one completes or gives up like any other.
-Task<bool> Holder::commit_gang_start(const DecidedGang& gang, std::stop_token token) {
+Task<bool> Holder::commit_gang_start(const DecidedGang& gang, std::stop_token stop_token) {
   const std::string id = gang.starts.front().job;
   uint64_t attempt = 0;
   std::vector<CommittedStart> committed;
@@ -287,7 +287,7 @@
     std::function<void()> begun = [&] {
       if (const Job* now = cache_.job(id)) gangs_.note_begun(*now, gang.tasks, attempt);
     };
-    if (!co_await commit_and_apply(edits.finish(), token, true, std::move(begun))) break;
+    if (!co_await commit_and_apply(edits.finish(), stop_token, true, std::move(begun))) break;
     committed.insert(committed.end(), started.begin(), started.end());
   }
   order_starts(committed);
@@ -299,7 +299,7 @@
   return std::max(settings_.report_s * starts_share, last_pass_s_);
 }
 
-Task<bool> Holder::commit_gang_starts(std::vector<DecidedGang> gangs, std::stop_token token) {
+Task<bool> Holder::commit_gang_starts(std::vector<DecidedGang> gangs, std::stop_token stop_token) {
   const double begun = loop_.now();
   for (auto& gang : gangs) {
     if (!holding()) break;
@@ -307,12 +307,13 @@
       place_again_ = true;
       break;
     }
-    if (!co_await commit_gang_start(gang, token)) place_again_ = true;
+    if (!co_await commit_gang_start(gang, stop_token)) place_again_ = true;
   }
   co_return !gangs.empty();
 }
 
-Task<bool> Holder::commit_single_starts(std::vector<DecidedStart> planned, std::stop_token token) {
+Task<bool> Holder::commit_single_starts(std::vector<DecidedStart> planned,
+                                        std::stop_token stop_token) {
   const double begun = loop_.now();
   size_t next = 0;
   bool any = false;
@@ -344,7 +345,7 @@
     }
     if (started.empty()) break;
     any = true;
-    if (!co_await commit_and_apply(edits.finish(), token, true)) {
+    if (!co_await commit_and_apply(edits.finish(), stop_token, true)) {
       place_again_ = true;
       break;
     }
--- a/src/coordination/holder_gangs.cpp
+++ b/src/coordination/holder_gangs.cpp
@@ -24,7 +24,7 @@
   // An older controller that takes over would go on with it task by task.
   const bool replicated = job.spec.replicated();
   const uint64_t version = replicated ? VersionRegistry::replicas : VersionRegistry::gangs;
-  if (!p_.versions.all_have(version)) return 0;
+  if (!deps_.versions.all_have(version)) return 0;
   if (replicated && !replicas_.may_start(job, gang)) return 0;
   return gangs_.startable(job, gang);
 }
--- a/src/coordination/holder_machines.cpp
+++ b/src/coordination/holder_machines.cpp
@@ -23,7 +23,7 @@
 }
 
 placing::Amounts Holder::total_of(const Machine& m) const {
-  auto* t = p_.catalog.type(m.type);
+  auto* t = deps_.catalog.type(m.type);
   return t ? placing::Amounts{t->cpus, t->gpus, t->memory_gb} : placing::Amounts{};
 }
 
@@ -122,7 +122,7 @@
     return !job || job->spec.kind == Kind::gang;
   });
   return outcome.agrees && r.tasks.size() == m.tasks.size() && !r.notice_s && !any_gang &&
-         p_.catalog.type(m.type);
+         deps_.catalog.type(m.type);
 }
 
 bool Holder::process_report(Machine& m, const Report& r, bool direct, double as_of,
@@ -145,13 +145,13 @@
   }
   note_states(m);
   note_absent_parts(m);
-  auto todo = reconcile(m, expected_on(m), term_, records_current());
+  auto todo = reconcile(m, expected_on(m), fencing_token_, records_current());
   for (auto& e : todo.exits) {
     if (exits_.contains(e.task)) continue;
     spdlog::debug("{} attempt {} ended on {}: cause {}", e.task.text(), e.attempt, m.id,
                   static_cast<int>(e.cause));
     note_exit(e.task, {e.attempt, e.cause, m.id});
-    p_.changed.notify();
+    deps_.changed.notify();
   }
   // An exit that waits for its commit is not forgotten yet, and its start not repeated.
   std::erase_if(todo.commands, [&](const Command& c) {
@@ -164,18 +164,18 @@
 }
 
 void Holder::assignment_changed(const std::string& machine, const Job& job, bool added) {
-  if (term_ != 0) mark_changed(machine);
+  if (fencing_token_ != 0) mark_changed(machine);
   if (!added) return;
   // How much a machine holds depends on its type, which is not known here: as much as any.
   double most = 0;
-  for (auto& type : p_.catalog.types()) most = std::max(most, type.cache_gb);
+  for (auto& type : deps_.catalog.types()) most = std::max(most, type.cache_gb);
   images_seen_[machine].used(job.spec.image, job.spec.image_gb, loop_.now(), most);
 }
 
 // At a machine's first report to a new holder. Without it every start after a takeover seemed to
 // need a fetch, except of the images running just then.
 void Holder::recall_images(Machine& m) {
-  auto* type = p_.catalog.type(m.type);
+  auto* type = deps_.catalog.type(m.type);
   auto seen = images_seen_.find(m.id);
   if (!type || seen == images_seen_.end()) return;
   // From the oldest to the newest, as the machine used them: so the newest stay.
@@ -187,7 +187,7 @@
 }
 
 void Holder::note_images(Machine& m, double at) {
-  auto* type = p_.catalog.type(m.type);
+  auto* type = deps_.catalog.type(m.type);
   if (!type) return;
   for (auto& [name, t] : m.tasks) {
     const bool had_it = t.state != TaskState::fetching &&
@@ -222,7 +222,7 @@
 // A replica that may have been ready is never ready again under an attempt that lost a part, so the
 // part isn't started anew as any other task would be: the attempt is over.
 void Holder::note_absent_parts(const Machine& m) {
-  if (!replicas_.any() || m.token < term_ || !records_current()) return;
+  if (!replicas_.any() || m.fencing_token < fencing_token_ || !records_current()) return;
   std::vector<std::pair<const Job*, TaskRange>> concerned;
   for (auto& [assignment, attempt] : cache_.assigned(m.id)) {
     const Job& job = *assignment.job;
--- a/src/coordination/holder_orders.cpp
+++ b/src/coordination/holder_orders.cpp
@@ -66,16 +66,16 @@
     for (auto& c : commands)
       if (c.op == Command::Op::start) starts.insert({c.task, c.attempt});
     m.in_flight.insert(starts.begin(), starts.end());
-    const auto session = m.session, term = term_;
+    const auto session = m.session, fencing_token = fencing_token_;
     Endpoint to;
     HttpReply reply;
     const double asked_at = loop_.now();
     if (parse_endpoint(m.address, to))
-      reply = co_await p_.http.request(to, Method::post, "/commands",
-                                       encode_direct(term, session, commands),
-                                       std::max(1.0, settings_.report_s));
+      reply = co_await deps_.http.request(to, Method::post, "/commands",
+                                          encode_direct(fencing_token, session, commands),
+                                          std::max(1.0, settings_.report_s));
     auto again = machines_.find(id);
-    if (again == machines_.end() || term != term_) co_return;
+    if (again == machines_.end() || fencing_token != fencing_token_) co_return;
     Machine& now = again->second;
     if (now.session == session) {
       for (auto& s : starts) {
@@ -112,13 +112,13 @@
   auto it = machines_.find(id);
   Endpoint to;
   if (it == machines_.end() || !parse_endpoint(it->second.address, to)) co_return;
-  auto term = term_;
+  auto fencing_token = fencing_token_;
   const double asked_at = loop_.now();
   probing_.insert(id);
-  auto reply = co_await p_.http.request(to, Method::get, "/show", {}, settings_.report_s);
+  auto reply = co_await deps_.http.request(to, Method::get, "/show", {}, settings_.report_s);
   probing_.erase(id);
   it = machines_.find(id);
-  if (reply.status != 200 || it == machines_.end() || term != term_) co_return;
+  if (reply.status != 200 || it == machines_.end() || fencing_token != fencing_token_) co_return;
   if (auto report = decode_report(decode_map(reply.body)); report && report->machine == id) {
     std::vector<Command> more;
     process_report(it->second, *report, true, asked_at, more);
--- a/src/coordination/holder_view.cpp
+++ b/src/coordination/holder_view.cpp
@@ -12,7 +12,7 @@
   view_.gang_hold_after_s = settings_.gang_wait_s * tuning_.gang_hold_after_share;
   view_.gang_hold_for_s = settings_.gang_wait_s * tuning_.gang_hold_for_share;
   for (auto& t : settings_.teams)
-    view_.teams.push_back({t.name, p_.budgets.guarantee(t), p_.budgets.limit(t)});
+    view_.teams.push_back({t.name, deps_.budgets.guarantee(t), deps_.budgets.limit(t)});
   job_slots_.clear();
   free_machine_slots_.clear();
   dirty_jobs_.clear();
@@ -104,9 +104,9 @@
   v.free = free_of(m);
   v.straggler = m.straggler.flagged;
   v.speed = m.straggler.updates >= tuning_.straggler_test_every ? m.straggler.average : 1.0;
-  if (auto* type = p_.catalog.type(m.type)) {
+  if (auto* type = deps_.catalog.type(m.type)) {
     v.fetch_gb_per_s = type->fetch_gb_per_s;
-    v.price_share = (m.spot ? type->spot_price : type->price) / p_.catalog.dearest_price();
+    v.price_share = (m.spot ? type->spot_price : type->price) / deps_.catalog.dearest_price();
   }
   v.images.clear();
   for (auto& [image, use] : m.images.images()) v.images.push_back(view_.images.id(image));
@@ -172,9 +172,9 @@
                                view_.zones.id(b.zone),
                                b.spot,
                                {type->cpus, type->gpus, type->memory_gb}});
-  if (p_.budgets.divided())
+  if (deps_.budgets.divided())
     for (size_t t = 0; t < view_.teams.size(); ++t)
-      view_.teams[t].limit = p_.budgets.limit(settings_.teams[t]);
+      view_.teams[t].limit = deps_.budgets.limit(settings_.teams[t]);
   view_.now = loop_.wall();
   view_.steady_now = now;
 }
--- a/src/coordination/lease_renewal.cpp
+++ b/src/coordination/lease_renewal.cpp
@@ -89,11 +89,11 @@
   if (!held) return {421, encode_report_to({}), 0};
   // A peer may hold a newer grant than the records that we have read say, ours among them.
   const auto newest = peer_network_.newest_holder();
-  const std::string& holder = newest.second > held->term ? newest.first : held->node;
+  const std::string& holder = newest.second > held->fencing_token ? newest.first : held->node;
   if (holder == settings_.node_name) return {421, encode_report_to({}), 0};
   note_visit(report.machine);
   MisroutedMachine& machine = misrouted_.at(report.machine);
-  const bool answers = cache_.loaded() && report.token <= held->term &&
+  const bool answers = cache_.loaded() && report.fencing_token <= held->fencing_token &&
                        should_answer(machine, holder) && may_renew(false);
   if (!answers) {
     // The node named by the records, unless it seems dead. After an answer it is named in any case:
@@ -104,17 +104,17 @@
   }
   machine.answered = true;
   const auto commands = stops_of_cancelled(report);
-  relay_exits(report, held->term);
+  relay_exits(report, held->fencing_token);
   spdlog::debug("answered {} for {}", report.machine, holder);
-  return {200, encode_report_answer(held->term, commands), 0};
+  return {200, encode_report_answer(held->fencing_token, commands), 0};
 }
 
-void LeaseRenewal::relay_exits(const Report& report, uint64_t term) {
+void LeaseRenewal::relay_exits(const Report& report, uint64_t fencing_token) {
   // Before the machine has learned the term an older holder's orders may still reach it.
-  if (report.token != term) return;
+  if (report.fencing_token != fencing_token) return;
   for (auto& task : report.tasks)
     if (task.state == TaskState::exited)
-      exit_relay_.saw(term, {report.machine, task.task, task.attempt, task.cause});
+      exit_relay_.saw(fencing_token, {report.machine, task.task, task.attempt, task.cause});
 }
 
 uint64_t LeaseRenewal::misrouted_machines() const {
--- a/src/coordination/lease_renewal.hpp
+++ b/src/coordination/lease_renewal.hpp
@@ -39,7 +39,7 @@
   const Grant* recorded_holder() const;
   bool should_answer(const MisroutedMachine& machine, const std::string& holder) const;
   std::vector<Command> stops_of_cancelled(const Report& report);
-  void relay_exits(const Report& report, uint64_t term);
+  void relay_exits(const Report& report, uint64_t fencing_token);
 
   Loop& loop_;
   const Settings& settings_;
--- a/src/coordination/machine_list.cpp
+++ b/src/coordination/machine_list.cpp
@@ -26,13 +26,13 @@
   co_return decode_machine_list(decode_map(reply.body));
 }
 
-Task<bool> MachineListReader::read(Take take, KeepGoing keep_going, std::stop_token token) {
+Task<bool> MachineListReader::read(Take take, KeepGoing keep_going, std::stop_token stop_token) {
   const double gap_s = page_gap_s(settings_);
   std::string after;
   int refusals = 0;
   for (;;) {
     const auto page = co_await read_page(after);
-    if (token.stop_requested() || !keep_going()) co_return false;
+    if (stop_token.stop_requested() || !keep_going()) co_return false;
     if (page) {
       refusals = 0;
       for (auto& machine : page->machines) take(machine);
@@ -42,7 +42,7 @@
       refusals = std::min(refusals + 1, longest_pause_gaps);
     }
     const double pause_s = gap_s * std::max(refusals, 1) * loop_.uniform(0.9, 1.1);
-    if (!co_await Sleep(loop_, pause_s, token) || !keep_going()) co_return false;
+    if (!co_await Sleep(loop_, pause_s, stop_token) || !keep_going()) co_return false;
   }
 }
 
--- a/src/coordination/machine_list.hpp
+++ b/src/coordination/machine_list.hpp
@@ -21,7 +21,7 @@
   // Reads the whole list once and hands over every machine in it. A page that is refused or not
   // answered is asked for again, so a list of any length is read to its end. `keep_going` is asked
   // after each wait. Yields false when the reading was given up.
-  Task<bool> read(Take take, KeepGoing keep_going, std::stop_token token);
+  Task<bool> read(Take take, KeepGoing keep_going, std::stop_token stop_token);
 
   // Seconds between two pages, for which other calls to the cloud have the rest of its rate.
   static double page_gap_s(const Settings& settings);
--- a/src/coordination/node.cpp
+++ b/src/coordination/node.cpp
@@ -110,20 +110,21 @@
   }
   spdlog::info("{} in {} serves on {}", settings_.node_name, settings_.zone,
                settings_.listen.text());
-  auto token = loop_.stop_token();
-  loop_.spawn("cache", cache_.follow(token));
-  loop_.spawn("catalogue", catalog_.follow(token));
-  loop_.spawn("peers", peer_network_.send_heartbeats([this] { return next_heartbeat(); }, token));
-  loop_.spawn("regions", regions_.run([this] { return holder_.term(); }, token));
-  loop_.spawn("version", versions_.announce(token));
-  loop_.spawn("exit relay", exit_relay_.run(token));
-  loop_.spawn("election", election_.run(token));
-  loop_.spawn("holder", holder_.run(token));
-  loop_.spawn("machines", holder_.run_maintenance(token));
-  loop_.spawn("machine list", holder_.follow_machine_list(token));
-  loop_.spawn("accepting", api_.accept_duty(token));
-  loop_.spawn("confirming", api_.confirm_duty(token));
-  loop_.spawn("housekeeping", housekeeping(token));
+  auto stop_token = loop_.stop_token();
+  loop_.spawn("cache", cache_.follow(stop_token));
+  loop_.spawn("catalogue", catalog_.follow(stop_token));
+  loop_.spawn("peers",
+              peer_network_.send_heartbeats([this] { return next_heartbeat(); }, stop_token));
+  loop_.spawn("regions", regions_.run([this] { return holder_.fencing_token(); }, stop_token));
+  loop_.spawn("version", versions_.announce(stop_token));
+  loop_.spawn("exit relay", exit_relay_.run(stop_token));
+  loop_.spawn("election", election_.run(stop_token));
+  loop_.spawn("holder", holder_.run(stop_token));
+  loop_.spawn("machines", holder_.run_maintenance(stop_token));
+  loop_.spawn("machine list", holder_.follow_machine_list(stop_token));
+  loop_.spawn("accepting", api_.run_accept_loop(stop_token));
+  loop_.spawn("confirming", api_.run_confirm_loop(stop_token));
+  loop_.spawn("housekeeping", housekeeping(stop_token));
   return true;
 }
 
@@ -136,7 +137,7 @@
   b.loaded = cache_.loaded();
   b.misrouted_machines = holder_.misrouted_machines();
   b.writes = static_cast<uint64_t>(std::ceil(wanted_writes()));
-  b.term = holder_.term();
+  b.fencing_token = holder_.fencing_token();
   return b;
 }
 
@@ -158,9 +159,9 @@
                             write_share(settings_.nodes, wanted_writes(), others));
 }
 
-Task<void> Node::housekeeping(std::stop_token token) {
+Task<void> Node::housekeeping(std::stop_token stop_token) {
   const double period = settings_.report_s / 3;
-  while (!token.stop_requested()) {
+  while (!stop_token.stop_requested()) {
     share_limits();
     cancellations_.forget_heard_before(cache_.as_of());
     api_.forget_refused();
@@ -168,7 +169,7 @@
     server_->tidy();
     spdlog::debug("connections: {} of users and workers, {} calls, {} idle", server_->open(),
                   http_->in_use(), http_->idle());
-    if (!co_await Sleep(loop_, period, token)) co_return;
+    if (!co_await Sleep(loop_, period, stop_token)) co_return;
   }
 }
 
--- a/src/coordination/node.hpp
+++ b/src/coordination/node.hpp
@@ -23,14 +23,14 @@
   double wanted_writes() const;
   Heartbeat next_heartbeat() const;
   void share_limits();
-  Task<void> housekeeping(std::stop_token token);
+  Task<void> housekeeping(std::stop_token stop_token);
 
   Loop& loop_;
   const Settings& settings_;
   uint64_t incarnation_;
   std::unique_ptr<HttpClient> http_;
   StateClient state_;
-  Signal changed_;
+  Notification changed_;
   Cache cache_;
   Catalog catalog_;
   Cancellations cancellations_;
--- a/src/coordination/orphan_cleanup.cpp
+++ b/src/coordination/orphan_cleanup.cpp
@@ -56,7 +56,7 @@
   return list;
 }
 
-Task<void> OrphanCleanup::run_once(std::stop_token token) {
+Task<void> OrphanCleanup::run_once(std::stop_token stop_token) {
   if (loop_.now() < next_check_ || !no_holder_reachable()) co_return;
   next_check_ = loop_.now() + settings_.report_s;
   auto hosts = orphan_hosts();
@@ -64,20 +64,21 @@
   std::map<std::string, std::string> addresses;
   MachineListReader::Take take = [&](auto& machine) { addresses[machine.id] = machine.address; };
   MachineListReader::KeepGoing keep_going = [this] { return no_holder_reachable(); };
-  if (!co_await machine_list_.read(std::move(take), std::move(keep_going), token)) co_return;
+  if (!co_await machine_list_.read(std::move(take), std::move(keep_going), stop_token)) co_return;
   for (auto& host : hosts) host.address = addresses[host.id];
-  co_await stop_orphans(hosts, token);
+  co_await stop_orphans(hosts, stop_token);
   co_await return_out_of_reach(hosts);
 }
 
-Task<void> OrphanCleanup::stop_orphans(std::vector<OrphanHost>& hosts, std::stop_token token) {
-  uint64_t term = 0;
-  for (auto& grant : cache_.blocks().grants) term = std::max(term, grant.term);
-  for (size_t done = 0; done < hosts.size() && !token.stop_requested();) {
+Task<void> OrphanCleanup::stop_orphans(std::vector<OrphanHost>& hosts, std::stop_token stop_token) {
+  uint64_t fencing_token = 0;
+  for (auto& grant : cache_.blocks().grants)
+    fencing_token = std::max(fencing_token, grant.fencing_token);
+  for (size_t done = 0; done < hosts.size() && !stop_token.stop_requested();) {
     const size_t count = std::min(hosts.size() - done, most_sockets_);
     size_t left = count;
     for (size_t i = done; i < done + count; ++i)
-      loop_.spawn("orphan cleanup", stop_orphans_on(hosts[i], term, left));
+      loop_.spawn("orphan cleanup", stop_orphans_on(hosts[i], fencing_token, left));
     // Each ends by its own time-outs; their results stand in what this routine holds.
     // NOLINTNEXTLINE(bugprone-infinite-loop): those routines count `left` down
     while (left > 0) co_await Sleep(loop_, settings_.report_s / 10, {});
@@ -99,7 +100,7 @@
   }
 }
 
-Task<void> OrphanCleanup::stop_orphans_on(OrphanHost& host, uint64_t term, size_t& left) {
+Task<void> OrphanCleanup::stop_orphans_on(OrphanHost& host, uint64_t fencing_token, size_t& left) {
   Endpoint to;
   host.out_of_reach = true;
   if (parse_endpoint(host.address, to)) {
@@ -113,7 +114,8 @@
             stops.push_back({Command::Op::stop, task.task, task.attempt, 0});
       if (!stops.empty())
         co_await http_.request(to, Method::post, "/commands",
-                               encode_direct(term, report->session, stops), settings_.report_s);
+                               encode_direct(fencing_token, report->session, stops),
+                               settings_.report_s);
     }
   }
   --left;
--- a/src/coordination/orphan_cleanup.hpp
+++ b/src/coordination/orphan_cleanup.hpp
@@ -22,7 +22,7 @@
   // Asks each machine that may run a cancelled task, stops what is there under the holder's term,
   // and returns the machine if it doesn't answer. Nothing is committed and nothing proven by it.
   // Does nothing as long as a holder can be reached.
-  Task<void> run_once(std::stop_token token);
+  Task<void> run_once(std::stop_token stop_token);
 
  private:
   struct OrphanHost {
@@ -32,8 +32,8 @@
   };
   bool no_holder_reachable() const;
   std::vector<OrphanHost> orphan_hosts() const;
-  Task<void> stop_orphans_on(OrphanHost& host, uint64_t term, size_t& left);
-  Task<void> stop_orphans(std::vector<OrphanHost>& hosts, std::stop_token token);
+  Task<void> stop_orphans_on(OrphanHost& host, uint64_t fencing_token, size_t& left);
+  Task<void> stop_orphans(std::vector<OrphanHost>& hosts, std::stop_token stop_token);
   Task<void> return_out_of_reach(const std::vector<OrphanHost>& hosts);
 
   Loop& loop_;
--- a/src/coordination/peer_network.cpp
+++ b/src/coordination/peer_network.cpp
@@ -39,8 +39,9 @@
   }
 }
 
-Task<void> PeerNetwork::send_heartbeats(std::function<Heartbeat()> fill, std::stop_token token) {
-  while (!token.stop_requested()) {
+Task<void> PeerNetwork::send_heartbeats(std::function<Heartbeat()> fill,
+                                        std::stop_token stop_token) {
+  while (!stop_token.stop_requested()) {
     const auto common = fill();
     for (auto& [peer, link] : links_) {
       auto heartbeat = common;
@@ -48,8 +49,8 @@
       link->send(encode_heartbeat(heartbeat));
     }
     // What must be said at once waits only for what comes just behind it.
-    if (!co_await Sleep(loop_, period_ / 20, token)) co_return;
-    co_await wake_.wait(period_ * loop_.uniform(0.85, 1.05), token);
+    if (!co_await Sleep(loop_, period_ / 20, stop_token)) co_return;
+    co_await wake_.wait(period_ * loop_.uniform(0.85, 1.05), stop_token);
   }
 }
 
@@ -82,7 +83,8 @@
 std::pair<std::string, uint64_t> PeerNetwork::newest_holder() const {
   std::pair<std::string, uint64_t> newest{{}, 0};
   for (auto& [node, s] : seen_)
-    if (alive(node) && s.heartbeat.term > newest.second) newest = {node, s.heartbeat.term};
+    if (alive(node) && s.heartbeat.fencing_token > newest.second)
+      newest = {node, s.heartbeat.fencing_token};
   return newest;
 }
 
--- a/src/coordination/peer_network.hpp
+++ b/src/coordination/peer_network.hpp
@@ -16,7 +16,7 @@
   PeerNetwork(Loop& loop, Network& network, const Settings& settings, Cancellations& cancellations);
   bool listening() const { return listener_ && listener_->listening(); }
   // Sends heartbeats until stopped; `fill` makes what is said to all alike.
-  Task<void> send_heartbeats(std::function<Heartbeat()> fill, std::stop_token token);
+  Task<void> send_heartbeats(std::function<Heartbeat()> fill, std::stop_token stop_token);
   // Something must be said at once.
   void wake() { wake_.notify(); }
   // Called for each job that a peer says is cancelled, the first time.
@@ -47,7 +47,7 @@
   Loop& loop_;
   Cancellations& cancellations_;
   double period_;
-  Signal wake_;
+  Notification wake_;
   std::map<std::string, Seen> seen_;
   std::map<std::string, std::unique_ptr<StreamLink>> links_;
   std::unique_ptr<StreamListener> listener_;
--- a/src/coordination/reconcile.cpp
+++ b/src/coordination/reconcile.cpp
@@ -2,12 +2,12 @@
 
 namespace damsonport {
 
-Reconciled reconcile(const Machine& m, const std::vector<Expected>& expected, uint64_t our_term,
-                     bool records_current) {
+Reconciled reconcile(const Machine& m, const std::vector<Expected>& expected,
+                     uint64_t own_fencing_token, bool records_current) {
   Reconciled out;
   // Before the machine has learned our term an older holder's orders may still reach it, and before
   // our records are current a start of theirs may be unknown to us.
-  const bool proof = m.token >= our_term && records_current;
+  const bool proof = m.fencing_token >= own_fencing_token && records_current;
   if (!proof) return out;
   std::map<TaskName, const Expected*> by_task;
   for (auto& e : expected) by_task[e.task] = &e;
--- a/src/coordination/reconcile.hpp
+++ b/src/coordination/reconcile.hpp
@@ -30,9 +30,9 @@
 };
 
 // `expected`: what the records place on this machine. `settled`: whether the records are known to
-// be past an exited attempt, so that it may be forgotten. `our_term`: only messages made after the
-// machine learned it prove anything.
-Reconciled reconcile(const Machine& m, const std::vector<Expected>& expected, uint64_t our_term,
-                     bool records_current);
+// be past an exited attempt, so that it may be forgotten. `own_fencing_token`: only messages made
+// after the machine learned it prove anything.
+Reconciled reconcile(const Machine& m, const std::vector<Expected>& expected,
+                     uint64_t own_fencing_token, bool records_current);
 
 }  // namespace damsonport
--- a/src/coordination/record_division.cpp
+++ b/src/coordination/record_division.cpp
@@ -43,7 +43,7 @@
   }
 }
 
-Task<bool> RecordDivision::commit_next(std::stop_token token) {
+Task<bool> RecordDivision::commit_next(std::stop_token stop_token) {
   if (to_divide_.empty()) co_return false;
   const std::string id = *to_divide_.begin();
   Job* job = cache_.job(id);
@@ -53,16 +53,16 @@
   }
   if (dividing_.job != id || dividing_.job_version != job->version)
     dividing_ = {id, job->version, divide_anew(*job, chunk_size(limits().value_kb))};
-  const bool done = dividing_.to_write.empty() ? co_await commit_new_layout(id, token)
-                                               : co_await commit_divided_chunks(id, token);
+  const bool done = dividing_.to_write.empty() ? co_await commit_new_layout(id, stop_token)
+                                               : co_await commit_divided_chunks(id, stop_token);
   if (!done) {
     dividing_ = {};
-    co_await Sleep(loop_, pause_after_refusal_s, token);
+    co_await Sleep(loop_, pause_after_refusal_s, stop_token);
   }
   co_return true;
 }
 
-Task<bool> RecordDivision::commit_divided_chunks(std::string id, std::stop_token token) {
+Task<bool> RecordDivision::commit_divided_chunks(std::string id, std::stop_token stop_token) {
   const Job& job = *cache_.job(id);
   Txn txn;
   txn.conditions[keys::blocks] = cache_.blocks_version();
@@ -75,12 +75,12 @@
     txn.writes.push_back({key, encode_chunk(record), 0});
     written.push_back(n);
   }
-  if (!co_await commit_(std::move(txn), token)) co_return false;
+  if (!co_await commit_(std::move(txn), stop_token)) co_return false;
   for (uint32_t n : written) dividing_.to_write.erase(n);
   co_return true;
 }
 
-Task<bool> RecordDivision::commit_new_layout(std::string id, std::stop_token token) {
+Task<bool> RecordDivision::commit_new_layout(std::string id, std::stop_token stop_token) {
   auto read = co_await state_.read(keys::job(id), Importance::placing);
   Job* job = cache_.job(id);
   if (!read.ok || !read.found || !job || read.item.version != dividing_.job_version)
@@ -91,7 +91,7 @@
   read.item.value[fields::chunk_size] = chunk_size(limits().value_kb);
   read.item.value[fields::layout] = job->layout + 1;
   txn.writes.push_back({keys::job(id), std::move(read.item.value), 0});
-  if (!co_await commit_(std::move(txn), token)) co_return false;
+  if (!co_await commit_(std::move(txn), stop_token)) co_return false;
   spdlog::info("the tasks of {} are divided into records of {}", id, chunk_size(limits().value_kb));
   to_divide_.erase(id);
   dividing_ = {};
--- a/src/coordination/record_division.hpp
+++ b/src/coordination/record_division.hpp
@@ -38,7 +38,7 @@
   // The state service takes no such values.
   void note_refused(const std::vector<Write>& writes);
   // The next transaction of a division; false: there is none.
-  Task<bool> commit_next(std::stop_token token);
+  Task<bool> commit_next(std::stop_token stop_token);
 
  private:
   struct Dividing {
@@ -47,8 +47,8 @@
     std::map<uint32_t, ChunkRecord> to_write;
   };
   const StateLimits& limits() const { return settings_.state_limits.always(); }
-  Task<bool> commit_divided_chunks(std::string id, std::stop_token token);
-  Task<bool> commit_new_layout(std::string id, std::stop_token token);
+  Task<bool> commit_divided_chunks(std::string id, std::stop_token stop_token);
+  Task<bool> commit_new_layout(std::string id, std::stop_token stop_token);
 
   Loop& loop_;
   const Settings& settings_;
--- a/src/coordination/rentals.cpp
+++ b/src/coordination/rentals.cpp
@@ -35,9 +35,9 @@
       http_(http),
       incarnation_(incarnation) {}
 
-void Rentals::begin_term(uint64_t term) {
-  term_ = term;
-  if (term == 0) return;
+void Rentals::begin_lease(uint64_t fencing_token) {
+  fencing_token_ = fencing_token;
+  if (fencing_token == 0) return;
   // The kinds of requests of an older term must not stay closed.
   under_way_.clear();
   answered_.clear();
@@ -53,49 +53,49 @@
   return it != last_refused_.end() && loop_.now() - it->second < within_s;
 }
 
-void Rentals::resume(const std::stop_token& token) {
+void Rentals::resume(const std::stop_token& stop_token) {
   std::vector<RentalRequest> left;
   for (auto& [id, rental] : cache_.rentals())
     if (!under_way(kind_of(rental.request))) left.push_back(rental.request);
-  for (auto& request : left) start(std::move(request), token);
+  for (auto& request : left) start(std::move(request), stop_token);
 }
 
-void Rentals::rent(const MachineKind& kind, int count, const std::stop_token& token) {
+void Rentals::rent(const MachineKind& kind, int count, const std::stop_token& stop_token) {
   for (int calls = 0; count > 0 && calls < max_requests_a_kind; ++calls) {
     const int now = std::min(count, max_machines_a_request);
     count -= now;
     // Unique over nodes and incarnations.
     start({"r-" + std::to_string(incarnation_) + "-" + std::to_string(loop_.random64()), kind.type,
            kind.zone, kind.spot, now},
-          token);
+          stop_token);
   }
 }
 
-void Rentals::start(RentalRequest request, std::stop_token token) {
+void Rentals::start(RentalRequest request, std::stop_token stop_token) {
   ++under_way_[kind_of(request)];
-  loop_.spawn("rental", run(std::move(request), std::move(token)));
+  loop_.spawn("rental", run(std::move(request), std::move(stop_token)));
 }
 
-Task<void> Rentals::run(RentalRequest request, std::stop_token token) {
-  const auto term = term_;
+Task<void> Rentals::run(RentalRequest request, std::stop_token stop_token) {
+  const auto fencing_token = fencing_token_;
   const auto kind = kind_of(request);
-  co_await carry_out(std::move(request), std::move(token));
+  co_await carry_out(std::move(request), std::move(stop_token));
   // One of an older term is not among those counted.
-  if (term != term_) co_return;
+  if (fencing_token != fencing_token_) co_return;
   if (auto it = under_way_.find(kind); it != under_way_.end() && --it->second <= 0)
     under_way_.erase(it);
 }
 
-Task<void> Rentals::carry_out(RentalRequest request, std::stop_token token) {
-  const auto term = term_;
+Task<void> Rentals::carry_out(RentalRequest request, std::stop_token stop_token) {
+  const auto fencing_token = fencing_token_;
   // Answered, but the state service could not remove its record: not asked for again and again.
   if (answered_.contains(request.id)) {
     co_await forget_request(request.id);
     co_return;
   }
   if (!cache_.rentals().contains(request.id) && !co_await commit_request(request)) co_return;
-  const auto reply = co_await ask_cloud(request, token);
-  if (term != term_ || token.stop_requested()) co_return;
+  const auto reply = co_await ask_cloud(request, stop_token);
+  if (fencing_token != fencing_token_ || stop_token.stop_requested()) co_return;
   note_answer(request, reply);
   answered_.insert(request.id);
   co_await forget_request(request.id);
@@ -118,14 +118,14 @@
   co_return true;
 }
 
-Task<HttpReply> Rentals::ask_cloud(const RentalRequest& request, std::stop_token token) {
-  const auto term = term_;
+Task<HttpReply> Rentals::ask_cloud(const RentalRequest& request, std::stop_token stop_token) {
+  const auto fencing_token = fencing_token_;
   HttpReply reply;
-  for (int tries = 0; term == term_ && !token.stop_requested(); ++tries) {
+  for (int tries = 0; fencing_token == fencing_token_ && !stop_token.stop_requested(); ++tries) {
     reply = co_await http_.request(settings_.cloud, Method::post, "/hosts", encode_rental(request),
                                    cloud_timeout_s);
     if (is_answer(reply) || tries >= max_repeats) break;
-    if (!co_await Sleep(loop_, loop_.uniform(0.3, 1.0) * (tries + 1), token)) break;
+    if (!co_await Sleep(loop_, loop_.uniform(0.3, 1.0) * (tries + 1), stop_token)) break;
   }
   co_return reply;
 }
--- a/src/coordination/rentals.hpp
+++ b/src/coordination/rentals.hpp
@@ -29,10 +29,10 @@
 
   // A grant with this term begins, or ends (0). Requests under way under an older term end without
   // a word.
-  void begin_term(uint64_t term);
+  void begin_lease(uint64_t fencing_token);
   // Requests that an earlier holder, or this one, sent without getting an answer.
-  void resume(const std::stop_token& token);
-  void rent(const MachineKind& kind, int count, const std::stop_token& token);
+  void resume(const std::stop_token& stop_token);
+  void rent(const MachineKind& kind, int count, const std::stop_token& stop_token);
   bool under_way(const MachineKind& kind) const { return under_way_.contains(kind); }
   // The cloud has refused this kind lately.
   bool refused(const MachineKind& kind) const;
@@ -45,11 +45,11 @@
   struct Refusal {
     double until = 0, pause_s = 0;
   };
-  void start(RentalRequest request, std::stop_token token);
-  Task<void> run(RentalRequest request, std::stop_token token);
-  Task<void> carry_out(RentalRequest request, std::stop_token token);
+  void start(RentalRequest request, std::stop_token stop_token);
+  Task<void> run(RentalRequest request, std::stop_token stop_token);
+  Task<void> carry_out(RentalRequest request, std::stop_token stop_token);
   Task<bool> commit_request(const RentalRequest& request);
-  Task<HttpReply> ask_cloud(const RentalRequest& request, std::stop_token token);
+  Task<HttpReply> ask_cloud(const RentalRequest& request, std::stop_token stop_token);
   void note_answer(const RentalRequest& request, const HttpReply& reply);
   Task<void> forget_request(std::string id);
 
@@ -59,7 +59,7 @@
   Cache& cache_;
   HttpClient& http_;
   const uint64_t incarnation_;
-  uint64_t term_ = 0;
+  uint64_t fencing_token_ = 0;
   std::map<MachineKind, Refusal> refusals_;
   std::map<MachineKind, double> last_refused_;
   std::map<MachineKind, int> under_way_;  // requests
--- a/src/coordination/spending.cpp
+++ b/src/coordination/spending.cpp
@@ -43,7 +43,7 @@
   return std::clamp(most, 0.0, 1.0);
 }
 
-void SpendingAccount::begin_term(double now) {
+void SpendingAccount::begin_lease(double now) {
   *this = {};
   began_at_ = charged_until_ = next_report_ = now;
 }
--- a/src/coordination/spending.hpp
+++ b/src/coordination/spending.hpp
@@ -24,7 +24,7 @@
 class SpendingAccount {
  public:
   // Forgets what was charged before.
-  void begin_term(double now);
+  void begin_lease(double now);
   // Charges the time since the last call for the machines that are there now, at these prices.
   void charge(const std::vector<sizing::MachineState>& machines,
               const std::vector<MachineType>& types, double now);
--- a/src/coordination/user_api.cpp
+++ b/src/coordination/user_api.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 constexpr size_t max_queued = 256;  // beyond that users are told to come back
-constexpr double come_back_s = 1;
-constexpr double longest_wait_s = 1.5;  // users give up after 5 s
-constexpr double latest_return_s = 8;   // they come back for a minute in all
+constexpr double retry_after_s = 1;
+constexpr double longest_wait_s = 1.5;      // users give up after 5 s
+constexpr double latest_retry_after_s = 8;  // they come back for a minute in all
 // Writes wanted for each one that arrives: users come in bunches.
 constexpr double arrival_headroom = 2;
 }  // namespace
@@ -23,12 +23,12 @@
 struct UserApi::Queued {
   std::deque<T*>& queue;
   T& item;
-  Signal& signal;
+  Notification& notification;
   bool await_ready() const { return false; }
   void await_suspend(std::coroutine_handle<> h) {
     item.waiter = h;
     queue.push_back(&item);
-    signal.notify();
+    notification.notify();
   }
   void await_resume() const {}
 };
@@ -51,7 +51,7 @@
          arrival_headroom * write_arrivals_.at(loop_.now());
 }
 
-HttpResponse UserApi::busy() const { return {503, {}, come_back_s}; }
+HttpResponse UserApi::busy() const { return {503, {}, retry_after_s}; }
 
 namespace {
 // Of replicas of several parts only those count that have all of them.
@@ -136,14 +136,14 @@
 }
 
 // Many polls share one transaction that only compares.
-Task<void> UserApi::confirm_duty(std::stop_token token) {
+Task<void> UserApi::run_confirm_loop(std::stop_token stop_token) {
   const size_t max_conditions =
       static_cast<size_t>(settings_.state_limits.always().txn_conditions());
-  while (!token.stop_requested()) {
+  while (!stop_token.stop_requested()) {
     if (questions_.empty()) {
-      co_await asked_.wait(60, token);
+      co_await asked_.wait(60, stop_token);
       // Questions that come close together share a request.
-      if (!co_await Sleep(loop_, 0.02, token)) break;
+      if (!co_await Sleep(loop_, 0.02, stop_token)) break;
       if (questions_.empty()) continue;
     }
     Txn txn;
@@ -216,7 +216,7 @@
   if (static_cast<double>(submissions_.size()) >= std::max(rate * longest_wait_s, 1.0)) {
     ++refused_lately_;
     const double ahead = static_cast<double>(submissions_.size() + refused_ + refused_lately_);
-    co_return HttpResponse{429, {}, std::clamp(ahead / rate, come_back_s, latest_return_s)};
+    co_return HttpResponse{429, {}, std::clamp(ahead / rate, retry_after_s, latest_retry_after_s)};
   }
   spec->accepted_at = loop_.wall();
   keep_known_types(*spec, catalog_.types());
@@ -231,10 +231,10 @@
 }
 
 // Submissions that come close together share a transaction.
-Task<void> UserApi::accept_duty(std::stop_token token) {
-  while (!token.stop_requested()) {
+Task<void> UserApi::run_accept_loop(std::stop_token stop_token) {
+  while (!stop_token.stop_requested()) {
     if (submissions_.empty()) {
-      co_await submitted_.wait(60, token);
+      co_await submitted_.wait(60, stop_token);
       if (submissions_.empty()) continue;
     }
     co_await accept(next_submissions());
--- a/src/coordination/user_api.hpp
+++ b/src/coordination/user_api.hpp
@@ -18,8 +18,8 @@
  public:
   UserApi(Loop& loop, const Settings& settings, StateClient& state, Cache& cache, Catalog& catalog,
           const VersionRegistry& versions);
-  Task<void> accept_duty(std::stop_token token);
-  Task<void> confirm_duty(std::stop_token token);
+  Task<void> run_accept_loop(std::stop_token stop_token);
+  Task<void> run_confirm_loop(std::stop_token stop_token);
   // Writes that users ask for: those that wait, those told to come back a moment ago, and what is
   // likely to arrive in the next second.
   double wanted_writes() const;
@@ -59,7 +59,7 @@
   Cache& cache_;
   Catalog& catalog_;
   const VersionRegistry& versions_;
-  Signal submitted_, asked_;
+  Notification submitted_, asked_;
   std::deque<Submission*> submissions_;
   ArrivalRate write_arrivals_;  // submissions and cancellations that need a write
   size_t refused_ = 0, refused_lately_ = 0;
--- a/src/coordination/version_registry.cpp
+++ b/src/coordination/version_registry.cpp
@@ -21,8 +21,8 @@
                      [&](const Peer& peer) { return has(peer.name, version); });
 }
 
-Task<void> VersionRegistry::announce(std::stop_token token) {
-  while (!token.stop_requested()) {
+Task<void> VersionRegistry::announce(std::stop_token stop_token) {
+  while (!stop_token.stop_requested()) {
     if (cache_.loaded()) {
       if (has(settings_.node_name, current)) co_return;
       Txn txn;
@@ -36,7 +36,7 @@
         co_return;
       }
     }
-    if (!co_await Sleep(loop_, retry_s * loop_.uniform(0.5, 1.5), token)) co_return;
+    if (!co_await Sleep(loop_, retry_s * loop_.uniform(0.5, 1.5), stop_token)) co_return;
   }
 }
 
--- a/src/coordination/version_registry.hpp
+++ b/src/coordination/version_registry.hpp
@@ -24,7 +24,7 @@
       : loop_(loop), settings_(settings), state_(state), cache_(cache) {}
 
   // Records this controller's version; ends when that is done.
-  Task<void> announce(std::stop_token token);
+  Task<void> announce(std::stop_token stop_token);
   // Every controller of the deployment has recorded this version or a later one.
   bool all_have(uint64_t version) const;
 
--- a/src/protocol/heartbeat.cpp
+++ b/src/protocol/heartbeat.cpp
@@ -20,7 +20,7 @@
   body.number(b.loaded ? 1 : 0);
   body.number(b.misrouted_machines);
   body.number(b.writes);
-  body.number(b.term);
+  body.number(b.fencing_token);
   body.number(b.sent_ms);
   body.number(b.echo_incarnation);
   body.number(b.echo_ms);
@@ -46,7 +46,7 @@
   if (!body.number(version) || version < heartbeat_version || !body.text(out.node) ||
       !body.number(out.incarnation) || !body.number(out.state_age_ms) ||
       !body.number(out.waiting) || !body.number(loaded) || !body.number(out.misrouted_machines) ||
-      !body.number(out.writes) || !body.number(out.term) || !body.number(out.sent_ms) ||
+      !body.number(out.writes) || !body.number(out.fencing_token) || !body.number(out.sent_ms) ||
       !body.number(out.echo_incarnation) || !body.number(out.echo_ms) || !body.number(out.have) ||
       !body.number(out.from) || !body.number(out.upto) || !body.number(out.last) ||
       !body.number(cancelled) || cancelled > max_cancelled)
--- a/src/protocol/heartbeat.hpp
+++ b/src/protocol/heartbeat.hpp
@@ -17,7 +17,7 @@
   bool loaded = false;
   uint64_t misrouted_machines = 0;  // machines of another holder that come here
   uint64_t writes = 0;              // wanted of the state service, for the sharing of its limit
-  uint64_t term = 0;                // of the grant it holds; 0: none
+  uint64_t fencing_token = 0;       // of the grant it holds; 0: none
 
   // For one receiver: so that it knows, on its own clock, as of when it was told all.
   uint64_t sent_ms = 0;           // the sender's steady clock
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -213,7 +213,7 @@
   if (!get(m, "address", r.address) || !get(m, "hull", r.type) || !get(m, "dock", r.zone) ||
       !optional(m, "tender", r.spot) || !get(m, "watch", r.session) || !get(m, sequence_key, r.seq))
     return Error{"report of " + r.machine + " lacks a field"};
-  if (!optional(m, "helm", r.token)) return Error{"helm"};
+  if (!optional(m, "helm", r.fencing_token)) return Error{"helm"};
   double notice = 0;
   if (field(m, "recall_s") && get(m, "recall_s", notice)) r.notice_s = notice;
   auto* tasks = field(m, "hands");
@@ -263,12 +263,14 @@
   return list;
 }
 
-std::string encode_report_answer(uint64_t token, const std::vector<Command>& commands) {
-  return encode({{"helm", token}, {"orders", encode_commands(commands)}});
+std::string encode_report_answer(uint64_t fencing_token, const std::vector<Command>& commands) {
+  return encode({{"helm", fencing_token}, {"orders", encode_commands(commands)}});
 }
 
-std::string encode_direct(uint64_t token, uint64_t session, const std::vector<Command>& commands) {
-  return encode({{"helm", token}, {"watch", session}, {"orders", encode_commands(commands)}});
+std::string encode_direct(uint64_t fencing_token, uint64_t session,
+                          const std::vector<Command>& commands) {
+  return encode(
+      {{"helm", fencing_token}, {"watch", session}, {"orders", encode_commands(commands)}});
 }
 
 std::string encode_report_to(const std::string& node) {
--- a/src/protocol/messages.hpp
+++ b/src/protocol/messages.hpp
@@ -81,7 +81,7 @@
 struct Report {
   std::string machine, address, type, zone;
   bool spot = false;
-  uint64_t session = 0, seq = 0, token = 0;
+  uint64_t session = 0, seq = 0, fencing_token = 0;
   std::optional<double> notice_s;
   std::vector<TaskReport> tasks;
   bool newer_than(uint64_t other_session, uint64_t other_seq) const {
@@ -99,8 +99,9 @@
   double grace_s = 0;
 };
 Json encode_commands(const std::vector<Command>& commands);
-std::string encode_report_answer(uint64_t token, const std::vector<Command>& commands);
-std::string encode_direct(uint64_t token, uint64_t session, const std::vector<Command>& commands);
+std::string encode_report_answer(uint64_t fencing_token, const std::vector<Command>& commands);
+std::string encode_direct(uint64_t fencing_token, uint64_t session,
+                          const std::vector<Command>& commands);
 std::string encode_report_to(const std::string& node);  // empty: no node named
 
 struct MachineType {
--- a/src/protocol/region_message.cpp
+++ b/src/protocol/region_message.cpp
@@ -41,7 +41,7 @@
   if (!body.number(version)) return false;
   if (version != message_version) return true;
   if (!body.text(out.region) || !body.text(out.receiver) || !body.text(out.node) ||
-      !body.number(out.term) || !body.number(out.number) || !body.number(teams) ||
+      !body.number(out.fencing_token) || !body.number(out.number) || !body.number(teams) ||
       teams > max_teams)
     return false;
   std::string entry;
@@ -59,7 +59,7 @@
   body.text(message.region);
   body.text(message.receiver);
   body.text(message.node);
-  body.number(message.term);
+  body.number(message.fencing_token);
   body.number(message.number);
   body.number(message.teams.size());
   for (auto& exchange : message.teams) body.text(encode_exchange(exchange));
--- a/src/storage/cache.cpp
+++ b/src/storage/cache.cpp
@@ -329,7 +329,7 @@
   if (on_change) on_change(nullptr);
 }
 
-Task<bool> Cache::load(std::stop_token token) {
+Task<bool> Cache::load(std::stop_token stop_token) {
   std::string after;
   uint64_t first = 0;
   double begun = 0;
@@ -340,7 +340,7 @@
     if (!page.ok) {
       if (auto times = warning_.note("unreadable", loop_.now()))
         spdlog::warn("the state service can't be read yet ({} times)", *times);
-      if (!co_await Sleep(loop_, loop_.uniform(0.1, 0.4), token)) co_return false;
+      if (!co_await Sleep(loop_, loop_.uniform(0.1, 0.4), stop_token)) co_return false;
       continue;
     }
     // The watch starts from the first page: what changes while the others are read comes again.
@@ -371,17 +371,17 @@
   co_return true;
 }
 
-Task<void> Cache::follow(std::stop_token token) {
-  while (!token.stop_requested()) {
+Task<void> Cache::follow(std::stop_token stop_token) {
+  while (!stop_token.stop_requested()) {
     if (!loaded_) {
-      if (!co_await load(token)) co_return;
+      if (!co_await load(stop_token)) co_return;
       loaded_ = true;
       spdlog::info("state loaded up to revision {}: {} jobs", revision_, jobs_.size());
       if (on_change) on_change(nullptr);
     }
     double opened = loop_.now();
     auto news = co_await state_.watch(keys::cached, revision_, 10.0);
-    if (token.stop_requested()) co_return;
+    if (stop_token.stop_requested()) co_return;
     if (news.ok) {
       for (auto& item : news.items) {
         // All the changes of one transaction share a revision; none may be skipped half-way.
@@ -397,7 +397,7 @@
     // Changes that come close together arrive in one answer.
     double gap = news.ok ? min_watch_gap_s_ : loop_.uniform(0.1, 0.3);
     double rest = opened + gap - loop_.now();
-    if (rest > 0 && !co_await Sleep(loop_, rest, token)) co_return;
+    if (rest > 0 && !co_await Sleep(loop_, rest, stop_token)) co_return;
   }
 }
 
--- a/src/storage/cache.hpp
+++ b/src/storage/cache.hpp
@@ -80,7 +80,7 @@
         double writes_per_s);
 
   // The long-lived duty: loads everything, then follows the watch.
-  Task<void> follow(std::stop_token token);
+  Task<void> follow(std::stop_token stop_token);
   bool loaded() const { return loaded_; }
   // The cache holds every change up to this revision.
   uint64_t revision() const { return revision_; }
@@ -146,7 +146,7 @@
   std::function<void(Job*)> on_job_gone;
 
  private:
-  Task<bool> load(std::stop_token token);
+  Task<bool> load(std::stop_token stop_token);
   bool outlived(const Item& item);
   void apply_job(const std::string& id, const Item& item);
   void apply_budget(const std::string& team, const Item& item);
--- a/src/storage/records.cpp
+++ b/src/storage/records.cpp
@@ -151,7 +151,7 @@
 Json encode_blocks(const Blocks& b) {
   Json grants = Json::array();
   for (auto& g : b.grants) {
-    Json m = {{"node", g.node}, {"inc", g.incarnation}, {"term", g.term}};
+    Json m = {{"node", g.node}, {"inc", g.incarnation}, {"term", g.fencing_token}};
     if (g.rest) m["rest"] = true;
     if (!g.machines.empty()) m["machines"] = g.machines;
     grants.push_back(std::move(m));
@@ -167,7 +167,7 @@
       Grant out;
       out.node = g.value("node", std::string());
       out.incarnation = g.value("inc", uint64_t{0});
-      out.term = g.value("term", uint64_t{0});
+      out.fencing_token = g.value("term", uint64_t{0});
       out.rest = g.value("rest", false);
       if (g.contains("machines")) out.machines = g["machines"].get<std::vector<std::string>>();
       b.grants.push_back(std::move(out));
@@ -182,12 +182,12 @@
 Json encode_relayed_exits(const RelayedExits& r) {
   Json list = Json::array();
   for (auto& e : r.exits) list.push_back(encode_relayed_exit(e));
-  return {{"term", r.term}, {"exits", std::move(list)}};
+  return {{"term", r.fencing_token}, {"exits", std::move(list)}};
 }
 
 RelayedExits decode_relayed_exits(const Json& m) {
   RelayedExits r;
-  r.term = m.value("term", uint64_t{0});
+  r.fencing_token = m.value("term", uint64_t{0});
   if (!m.contains("exits")) return r;
   for (auto& e : m["exits"]) {
     const int cause = e.at(4).get<int>();
--- a/src/storage/records.hpp
+++ b/src/storage/records.hpp
@@ -108,7 +108,7 @@
 struct Grant {
   std::string node;
   uint64_t incarnation = 0;
-  uint64_t term = 0;  // the token of this grant's workers
+  uint64_t fencing_token = 0;  // the token of this grant's workers
   std::vector<std::string> machines;
   bool rest = false;
 };
@@ -131,7 +131,7 @@
   auto operator<=>(const RelayedExit&) const = default;
 };
 struct RelayedExits {
-  uint64_t term = 0;  // that the machines had learned
+  uint64_t fencing_token = 0;  // that the machines had learned
   std::vector<RelayedExit> exits;
 };
 Json encode_relayed_exit(const RelayedExit& e);
--- a/src/storage/state_client.cpp
+++ b/src/storage/state_client.cpp
@@ -90,7 +90,8 @@
 // repeat conflicts, either the first copy was applied or somebody else changed a key, and either
 // way no copy can be applied any more. The caller reads the keys again after a conflict. This
 // holds only for transactions that write at least one of the keys they are conditional on.
-Task<TxnReply> StateClient::commit_surely(Txn txn, Importance importance, std::stop_token token) {
+Task<TxnReply> StateClient::commit_surely(Txn txn, Importance importance,
+                                          std::stop_token stop_token) {
   bool in_doubt = false;
   double pause = 0.02;
   for (;;) {
@@ -99,7 +100,7 @@
     bool definite = reply.outcome == Outcome::committed || reply.outcome == Outcome::conflict ||
                     (reply.outcome == Outcome::invalid && !in_doubt);
     if (definite) co_return reply;
-    if (!co_await Sleep(loop_, pause * loop_.uniform(0.5, 1.5), token)) co_return reply;
+    if (!co_await Sleep(loop_, pause * loop_.uniform(0.5, 1.5), stop_token)) co_return reply;
     pause = std::min(pause * 2, 1.0);
   }
 }
--- a/src/storage/state_client.hpp
+++ b/src/storage/state_client.hpp
@@ -61,7 +61,7 @@
   StateClient(Loop& loop, HttpClient& http, Endpoint endpoint, const StateLimitSettings& limits);
   Task<TxnReply> commit(Txn txn, Importance importance);
   // Repeats until the outcome is definite: see the reasoning at its definition.
-  Task<TxnReply> commit_surely(Txn txn, Importance importance, std::stop_token token);
+  Task<TxnReply> commit_surely(Txn txn, Importance importance, std::stop_token stop_token);
   Task<ReadReply> read(std::string key, Importance importance);
   Task<ListReply> list(std::string prefix, std::string after, Importance importance);
   Task<ListReply> watch(std::string prefix, uint64_t after, double wait_s);
--- a/src/transport/loop.cpp
+++ b/src/transport/loop.cpp
@@ -47,37 +47,39 @@
       token_, [this] { timer_->arm(0); });
 }
 
-void Signal::arm(double seconds) {
+void Notification::arm(double seconds) {
   if (!timer_)
     timer_ = loop_.timer(
         [](void* self) {
-          auto* s = static_cast<Signal*>(self);
+          auto* s = static_cast<Notification*>(self);
           if (s->waiter_) std::exchange(s->waiter_, {}).resume();
         },
         this);
   timer_->arm(seconds);
 }
 
-void Signal::notify() {
+void Notification::notify() {
   if (set_) return;
   set_ = true;
   if (waiter_) arm(0);
 }
 
-bool Signal::Waiter::await_ready() const { return signal.set_ || token.stop_requested(); }
+bool Notification::Waiter::await_ready() const {
+  return notification.set_ || stop_token.stop_requested();
+}
 
-void Signal::Waiter::await_suspend(std::coroutine_handle<> h) {
-  signal.waiter_ = h;
-  signal.arm(seconds);
-  signal.on_stop_ = std::make_unique<std::stop_callback<std::function<void()>>>(
-      token, [s = &signal] { s->arm(0); });
+void Notification::Waiter::await_suspend(std::coroutine_handle<> h) {
+  notification.waiter_ = h;
+  notification.arm(seconds);
+  notification.on_stop_ = std::make_unique<std::stop_callback<std::function<void()>>>(
+      stop_token, [s = &notification] { s->arm(0); });
 }
 
-bool Signal::Waiter::await_resume() {
-  signal.on_stop_.reset();
-  if (signal.timer_) signal.timer_->disarm();
-  signal.set_ = false;
-  return !token.stop_requested();
+bool Notification::Waiter::await_resume() {
+  notification.on_stop_.reset();
+  if (notification.timer_) notification.timer_->disarm();
+  notification.set_ = false;
+  return !stop_token.stop_requested();
 }
 
 }  // namespace damsonport
--- a/src/transport/loop.hpp
+++ b/src/transport/loop.hpp
@@ -60,8 +60,8 @@
 // Resumes after `seconds`, or at once when the token is stopped. Yields false when stopped.
 class Sleep {
  public:
-  Sleep(Loop& loop, double seconds, std::stop_token token)
-      : loop_(loop), seconds_(seconds), token_(std::move(token)) {}
+  Sleep(Loop& loop, double seconds, std::stop_token stop_token)
+      : loop_(loop), seconds_(seconds), token_(std::move(stop_token)) {}
   bool await_ready() const { return token_.stop_requested(); }
   void await_suspend(std::coroutine_handle<> h);
   bool await_resume() const { return !token_.stop_requested(); }
@@ -76,20 +76,22 @@
 };
 
 // A wake-up that is remembered until the (single) waiter takes it.
-class Signal {
+class Notification {
  public:
-  explicit Signal(Loop& loop) : loop_(loop) {}
+  explicit Notification(Loop& loop) : loop_(loop) {}
   void notify();
   // Waits for notify(), for `seconds`, or for the token.
   struct Waiter {
-    Signal& signal;
+    Notification& notification;
     double seconds;
-    std::stop_token token;
+    std::stop_token stop_token;
     bool await_ready() const;
     void await_suspend(std::coroutine_handle<> h);
     bool await_resume();
   };
-  Waiter wait(double seconds, std::stop_token token) { return {*this, seconds, std::move(token)}; }
+  Waiter wait(double seconds, std::stop_token stop_token) {
+    return {*this, seconds, std::move(stop_token)};
+  }
 
  private:
   void arm(double seconds);
--- a/tests/mixed_versions_test.cpp
+++ b/tests/mixed_versions_test.cpp
@@ -44,7 +44,7 @@
   size_t used = 0;
   ASSERT_EQ(decode_heartbeat(bytes, heartbeat, used), Framed::whole);
   EXPECT_EQ(heartbeat.node, "n0");
-  EXPECT_EQ(heartbeat.term, 77u);
+  EXPECT_EQ(heartbeat.fencing_token, 77u);
   ASSERT_EQ(heartbeat.cancelled.size(), 1u);
   EXPECT_EQ(encode_heartbeat(heartbeat), bytes);
 }
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -103,7 +103,7 @@
 
 TEST(Heartbeat, ComesBackAndBadFramesAreTold) {
   Heartbeat b;
-  b.node = "n-1", b.incarnation = 1ull << 51, b.waiting = 77, b.loaded = true, b.term = 41;
+  b.node = "n-1", b.incarnation = 1ull << 51, b.waiting = 77, b.loaded = true, b.fencing_token = 41;
   b.echo_ms = 300, b.last = 9, b.cancelled = {{"run-7", 1500}, {"run-8", 0}};
   auto bytes = encode_heartbeat(b);
   Heartbeat back;
@@ -113,7 +113,7 @@
   EXPECT_EQ(back.incarnation, b.incarnation);
   EXPECT_EQ(back.waiting, 77u);
   EXPECT_TRUE(back.loaded);
-  EXPECT_EQ(back.term, 41u);
+  EXPECT_EQ(back.fencing_token, 41u);
   EXPECT_EQ(back.echo_ms, 300u);
   EXPECT_EQ(back.last, 9u);
   ASSERT_EQ(back.cancelled.size(), 2u);
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -155,7 +155,7 @@
   RelayedExits r{
       7, {{"i-1", {"run-1", 3}, 2, ExitCause::done}, {"i-2", {"run-2", 0}, 1, ExitCause::peers}}};
   const auto back = decode_relayed_exits(encode_relayed_exits(r));
-  EXPECT_EQ(back.term, 7u);
+  EXPECT_EQ(back.fencing_token, 7u);
   EXPECT_EQ(back.exits, r.exits);
   // A cause that a later version knows is an end all the same, but never a success.
   auto later = encode_relayed_exits(r);
@@ -249,7 +249,7 @@
   b.grants.push_back({"n", 7, 41, {"i-1"}, true});
   auto back = decode_blocks(encode_blocks(b));
   ASSERT_EQ(back.grants.size(), 1u);
-  EXPECT_EQ(back.grants[0].term, 41u);
+  EXPECT_EQ(back.grants[0].fencing_token, 41u);
   EXPECT_TRUE(back.grants[0].rest);
   EXPECT_EQ(back.grants[0].machines, std::vector<std::string>{"i-1"});
 }
--- a/tests/regions/budgets_test.cpp
+++ b/tests/regions/budgets_test.cpp
@@ -86,7 +86,7 @@
   EXPECT_EQ(used, bytes.size());
   EXPECT_EQ(read.region, "north");
   EXPECT_EQ(read.receiver, "south");
-  EXPECT_EQ(read.term, 41u);
+  EXPECT_EQ(read.fencing_token, 41u);
   ASSERT_EQ(read.teams.size(), 1u);
   EXPECT_EQ(read.teams[0].ask, (BudgetParts{11, all_parts}));
   EXPECT_EQ(read.teams[0].received, (BudgetParts{3, 4}));
--- a/tests/spending_and_headroom_test.cpp
+++ b/tests/spending_and_headroom_test.cpp
@@ -25,7 +25,7 @@
 
 TEST(Spending, IsDividedByWhatMachinesDoAndAddsUp) {
   SpendingAccount account;
-  account.begin_term(100);
+  account.begin_lease(100);
   auto booting = machine("g", false, 8);
   booting.booting = true;
   const std::vector<MachineType> types{type("g", 20, 8)};
@@ -44,16 +44,16 @@
 
 TEST(Spending, ANewTermBeginsAtNothing) {
   SpendingAccount account;
-  account.begin_term(0);
+  account.begin_lease(0);
   account.charge({machine("g", false, 8)}, {type("g", 20, 8)}, 3600);
-  account.begin_term(7200);
+  account.begin_lease(7200);
   account.charge({machine("g", false, 8)}, {type("g", 20, 8)}, 7200 + 360);
   EXPECT_DOUBLE_EQ(account.spent().total(), 2);
 }
 
 TEST(Spending, IsReportedAtIntervals) {
   SpendingAccount account;
-  account.begin_term(0);
+  account.begin_lease(0);
   account.charge({machine("g", false, 2)}, {type("g", 20, 8)}, 3600);
   const auto line = account.report(3600, 22);
   ASSERT_TRUE(line);
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -132,7 +132,7 @@
       r.machine = name;
       r.session = static_cast<uint64_t>(num(w, "session", 1));
       r.seq = static_cast<uint64_t>(num(w, "seq", 1));
-      r.token = static_cast<uint64_t>(num(w, "token"));
+      r.fencing_token = static_cast<uint64_t>(num(w, "token"));
       for (auto& item : list(w, "tasks")) {  // JOB/INDEX:ATTEMPT:STATE
         TaskReport t;
         auto a = item.find(':'), b = item.rfind(':');
--- a/tools/fleet/state_process.cpp
+++ b/tools/fleet/state_process.cpp
@@ -30,7 +30,7 @@
   EmulatorLoop* emulator = nullptr;
   simulation::StateService* state = nullptr;
   RealTimeWorld* world_of = nullptr;
-  uint64_t term = 0;
+  uint64_t fencing_token = 0;
   uint64_t writes = 0;
   auto on_command = [&](const Json& command) {
     const std::string what = command.at("do");
@@ -60,8 +60,8 @@
     ++writes;
     if (key != keys::blocks || !value.is_object()) return;
     const auto blocks = decode_blocks(value);
-    if (blocks.grants.empty() || blocks.grants[0].term == term) return;
-    term = blocks.grants[0].term;
+    if (blocks.grants.empty() || blocks.grants[0].fencing_token == fencing_token) return;
+    fencing_token = blocks.grants[0].fencing_token;
     parent.tell({{"kind", "holder"}, {"node", blocks.grants[0].node}, {"at", loop.loop().now()}});
   };
   loop.run([&] {
