--- a/src/coordination/budgets/team_budgets.cpp
+++ b/src/coordination/budgets/team_budgets.cpp
@@ -103,15 +103,15 @@
 }
 
 const TeamExchange* TeamBudgets::heard_of(size_t region, const std::string& team) const {
-  auto it = heard_.find(regions_->regions[region].name);
-  if (it == heard_.end()) return nullptr;
+  auto it = received_.find(regions_->regions[region].name);
+  if (it == received_.end()) return nullptr;
   auto exchange = it->second.teams.find(team);
   return exchange == it->second.teams.end() ? nullptr : &exchange->second;
 }
 
 bool TeamBudgets::fresh(size_t region, double now) const {
-  auto it = heard_.find(regions_->regions[region].name);
-  return it != heard_.end() && now - it->second.at < settings_.report_s * fresh_reports;
+  auto it = received_.find(regions_->regions[region].name);
+  return it != received_.end() && now - it->second.at < settings_.report_s * fresh_reports;
 }
 
 // --- changes of records
@@ -232,13 +232,13 @@
   if (!regions_ || message.receiver != regions_->own().name) return false;
   const auto region = regions_->index_of(message.region);
   if (!region || *region == regions_->own_index) return false;
-  auto& heard = heard_[message.region];
+  auto& received = received_[message.region];
   const bool newer = std::pair(message.fencing_token, message.number) >
-                     std::pair(heard.fencing_token, heard.number);
+                     std::pair(received.fencing_token, received.number);
   if (newer) {
-    heard.fencing_token = message.fencing_token;
-    heard.number = message.number;
-    heard.at = now;
+    received.fencing_token = message.fencing_token;
+    received.number = message.number;
+    received.at = now;
   }
   bool calls_for_change = false;
   for (auto& exchange : message.teams) {
@@ -249,7 +249,7 @@
                     team->name);
       continue;
     }
-    auto& known = heard.teams[exchange.team];
+    auto& known = received.teams[exchange.team];
     // Totals only grow: the largest that was ever heard is true, whenever it comes.
     const auto sent = larger(known.sent, exchange.sent);
     calls_for_change |= !(sent == known.sent);
--- a/src/coordination/budgets/team_budgets.hpp
+++ b/src/coordination/budgets/team_budgets.hpp
@@ -51,7 +51,7 @@
   bool hear(const RegionMessage& message, double now);
 
  private:
-  struct Heard {
+  struct Received {
     uint64_t fencing_token = 0, number = 0;
     double at = never;
     std::map<std::string, TeamExchange> teams;
@@ -89,7 +89,7 @@
   const Cache& cache_;
   BudgetParts initial_;                                 // this region's, of every limit
   std::map<std::string, placing::Amounts> guarantees_;  // its shares, by team
-  std::map<std::string, Heard> heard_;                  // by region
+  std::map<std::string, Received> received_;            // by region
   Demands demands_;
   std::map<std::string, std::vector<RecentPeak>> peaks_;  // by team, one a resource
   double measured_at_ = never;
--- a/src/coordination/cancellations.cpp
+++ b/src/coordination/cancellations.cpp
@@ -14,32 +14,32 @@
 uint64_t to_ms(double seconds) { return static_cast<uint64_t>(std::max(seconds, 0.0) * 1000); }
 }  // namespace
 
-Cancellations::Cancellations(uint64_t incarnation, const std::vector<std::string>& peers)
+CancellationGossip::CancellationGossip(uint64_t incarnation, const std::vector<std::string>& peers)
     : incarnation_(incarnation) {
   for (auto& p : peers) peers_[p];
 }
 
-bool Cancellations::record(const std::string& job, double since) {
+bool CancellationGossip::record(const std::string& job, double since) {
   if (!serial_.try_emplace(job, last_ + 1).second) return false;
   known_[++last_] = {job, since};
   return true;
 }
 
-void Cancellations::forget(const std::string& job) {
-  heard_.erase(job);
+void CancellationGossip::forget(const std::string& job) {
+  received_.erase(job);
   auto it = serial_.find(job);
   if (it == serial_.end()) return;
   known_.erase(it->second);
   serial_.erase(it);
 }
 
-std::vector<std::pair<std::string, double>> Cancellations::known() const {
+std::vector<std::pair<std::string, double>> CancellationGossip::known() const {
   std::vector<std::pair<std::string, double>> out;
   for (auto& [serial, entry] : known_) out.push_back(entry);
   return out;
 }
 
-void Cancellations::add_to(Heartbeat& heartbeat, const std::string& peer, double now) const {
+void CancellationGossip::add_to(Heartbeat& heartbeat, const std::string& peer, double now) const {
   heartbeat.sent_ms = to_ms(now);
   heartbeat.last = heartbeat.upto = last_;
   auto it = peers_.find(peer);
@@ -62,7 +62,7 @@
   }
 }
 
-Cancellations::Merged Cancellations::merge(const Heartbeat& heartbeat, double now) {
+CancellationGossip::Merged CancellationGossip::merge(const Heartbeat& heartbeat, double now) {
   Merged merged;
   auto it = peers_.find(heartbeat.node);
   if (it == peers_.end()) return merged;
@@ -74,7 +74,7 @@
   const double sent_after = echoed ? static_cast<double>(heartbeat.echo_ms) / 1000 : 0;
   if (heartbeat.incarnation != p.incarnation) {
     // A copy of an earlier life's heartbeat is passed over: its numbers mean nothing in this one's.
-    if (p.ever && echoed && sent_after < p.covered) return merged;
+    if (p.ever && echoed && sent_after < p.watermark) return merged;
     p.incarnation = heartbeat.incarnation;
     p.have = 0;
     p.has = 0;
@@ -89,7 +89,7 @@
   const double base = echoed ? std::min(sent_after, now) : now;
   for (auto& c : heartbeat.cancelled) {
     const double since = base - static_cast<double>(c.age_ms) / 1000;
-    auto [h, first] = heard_.try_emplace(c.job, Heard{since, now});
+    auto [h, first] = received_.try_emplace(c.job, Received{since, now});
     h->second.since = std::min(h->second.since, since);
     h->second.at = now;
     if (first) merged.fresh.push_back(c.job);
@@ -98,27 +98,27 @@
   // Not loaded, it knows nothing of what its earlier lives told; loaded, it has read all of that,
   // since they told only what stood in the records.
   if (echoed && heartbeat.loaded && p.have >= heartbeat.last)
-    p.covered = std::max(p.covered, sent_after);
+    p.watermark = std::max(p.watermark, sent_after);
   const bool peer_waits_for_more = p.has > had && p.has < last_;
   const bool more_is_to_come = p.have > have_before && p.have < heartbeat.last;
   merged.answer_at_once = peer_waits_for_more || more_is_to_come;
   return merged;
 }
 
-std::optional<double> Cancellations::heard(const std::string& job) const {
-  auto it = heard_.find(job);
-  if (it == heard_.end()) return std::nullopt;
+std::optional<double> CancellationGossip::received(const std::string& job) const {
+  auto it = received_.find(job);
+  if (it == received_.end()) return std::nullopt;
   return it->second.since;
 }
 
-double Cancellations::covered(double now) const {
+double CancellationGossip::watermark(double now) const {
   double least = now;
-  for (auto& [name, p] : peers_) least = std::min(least, p.covered);
+  for (auto& [name, p] : peers_) least = std::min(least, p.watermark);
   return least;
 }
 
-void Cancellations::forget_heard_before(double records_as_of) {
-  std::erase_if(heard_, [&](auto& entry) { return entry.second.at < records_as_of; });
+void CancellationGossip::forget_received_before(double records_as_of) {
+  std::erase_if(received_, [&](auto& entry) { return entry.second.at < records_as_of; });
 }
 
 }  // namespace damsonport
--- a/src/coordination/cancellations.hpp
+++ b/src/coordination/cancellations.hpp
@@ -13,9 +13,9 @@
 
 namespace damsonport {
 
-class Cancellations {
+class CancellationGossip {
  public:
-  Cancellations(uint64_t incarnation, const std::vector<std::string>& peers);
+  CancellationGossip(uint64_t incarnation, const std::vector<std::string>& peers);
 
   // Known here, from before anybody is told of it until the records say that its tasks are gone.
   // `since`: when it was cancelled, or earlier. True the first time.
@@ -36,13 +36,13 @@
   Merged merge(const Heartbeat& heartbeat, double now);
 
   // When the job was cancelled, as others say, or earlier.
-  std::optional<double> heard(const std::string& job) const;
-  bool cancelled(const std::string& job) const { return heard_.contains(job); }
+  std::optional<double> received(const std::string& job) const;
+  bool cancelled(const std::string& job) const { return received_.contains(job); }
   // Every cancellation that another controller told anyone before this time is known here. Without
   // peers, `now`.
-  double covered(double now) const;
+  double watermark(double now) const;
   // The records are known as of then, and speak for all that was heard before.
-  void forget_heard_before(double records_as_of);
+  void forget_received_before(double records_as_of);
 
  private:
   static constexpr double never = -1e9;
@@ -50,17 +50,17 @@
     uint64_t incarnation = 0, have = 0;         // its cancellations that have come
     uint64_t stamp_incarnation = 0, stamp = 0;  // for the echo
     uint64_t has = 0;                           // ours that it has
-    double covered = never;
+    double watermark = never;
     bool ever = false;
   };
-  struct Heard {
+  struct Received {
     double since, at;
   };
   uint64_t incarnation_, last_ = 0;
   std::map<uint64_t, std::pair<std::string, double>> known_;  // by serial
   std::unordered_map<std::string, uint64_t> serial_;
   std::map<std::string, Peer> peers_;
-  std::unordered_map<std::string, Heard> heard_;
+  std::unordered_map<std::string, Received> received_;
 };
 
 }  // namespace damsonport
--- a/src/coordination/chunk_edits.cpp
+++ b/src/coordination/chunk_edits.cpp
@@ -47,7 +47,7 @@
 }
 
 Txn ChunkEdits::finish() {
-  txn_.conditions[keys::blocks] = cache_.blocks_version();
+  txn_.conditions[keys::shard_table] = cache_.shard_table_version();
   for (auto& [key, record] : edits_)
     txn_.writes.push_back({key, ended_.contains(key) ? Json() : encode_chunk(record), 0});
   return std::move(txn_);
--- a/src/coordination/election.cpp
+++ b/src/coordination/election.cpp
@@ -26,24 +26,24 @@
       continue;
     }
     bool mine = cache_.has_leader() && cache_.leader().node == settings_.node_name;
-    if (leading_ && (!mine || cache_.leader().incarnation != incarnation_)) {
+    if (is_leading_ && (!mine || cache_.leader().incarnation != incarnation_)) {
       spdlog::info("leadership lost to {}", cache_.has_leader() ? cache_.leader().node : "nobody");
-      leading_ = false;
+      is_leading_ = false;
       lease_ = 0;
       changed_.notify();
     }
-    if (resting()) {
-      if (leading_ && lease_) co_await state_.end(lease_);
-      leading_ = false;
+    if (is_backing_off()) {
+      if (is_leading_ && lease_) co_await state_.end(lease_);
+      is_leading_ = false;
       lease_ = 0;
       if (!co_await Sleep(loop_, ttl_s_ / 3.5, stop_token)) co_return;
       continue;
     }
-    if (leading_) {
+    if (is_leading_) {
       auto renewal = co_await state_.renew(lease_);
       if (renewal == StateClient::Renewal::ended) {
         spdlog::warn("the leader's lease ended");
-        leading_ = false;
+        is_leading_ = false;
         lease_ = 0;
         changed_.notify();
       }
@@ -52,7 +52,7 @@
     }
     // A restarted node need not wait for the key of its earlier life to run out.
     if (!cache_.has_leader() || mine) co_await campaign(stop_token);
-    if (!leading_ && !co_await Sleep(loop_, ttl_s_ / 10 * loop_.uniform(0.5, 1.5), stop_token))
+    if (!is_leading_ && !co_await Sleep(loop_, ttl_s_ / 10 * loop_.uniform(0.5, 1.5), stop_token))
       co_return;
   }
 }
@@ -71,7 +71,7 @@
   auto reply = co_await state_.commit(std::move(txn), Importance::lease);
   if (reply.outcome == Outcome::committed) {
     cache_.apply_writes(writes, reply.revision);
-    leading_ = true;
+    is_leading_ = true;
     spdlog::info("elected leader at revision {}", reply.revision);
     changed_.notify();
   } else if (reply.outcome == Outcome::conflict || reply.outcome == Outcome::unknown) {
@@ -81,7 +81,7 @@
       cache_.apply(read.item);
       auto& l = cache_.leader();
       if (l.node == settings_.node_name && l.incarnation == incarnation_) {
-        leading_ = true;
+        is_leading_ = true;
         changed_.notify();
       }
     }
--- a/src/coordination/election.hpp
+++ b/src/coordination/election.hpp
@@ -12,18 +12,18 @@
   Task<void> run(std::stop_token stop_token);
   // Our key stands, as far as is known. Also asked of the cache: after a conflict the key of a
   // successor is known there first, and writing on its version would be leading in its name.
-  bool leading() const {
-    return leading_ && !resting() && cache_.has_leader() &&
+  bool is_leading() const {
+    return is_leading_ && !is_backing_off() && cache_.has_leader() &&
            cache_.leader().node == settings_.node_name &&
            cache_.leader().incarnation == incarnation_;
   }
 
   // Gives the key up, for others to take; not to be sought again for a while.
-  void resign() { resigned_at_ = loop_.now(); }
+  void step_down() { stepped_down_at_ = loop_.now(); }
 
  private:
   Task<void> campaign(std::stop_token stop_token);
-  bool resting() const { return loop_.now() - resigned_at_ < settings_.lease_s; }
+  bool is_backing_off() const { return loop_.now() - stepped_down_at_ < settings_.lease_s; }
   Loop& loop_;
   const Settings& settings_;
   StateClient& state_;
@@ -32,8 +32,8 @@
   Notification& changed_;
   double ttl_s_;
   uint64_t lease_ = 0;
-  bool leading_ = false;
-  double resigned_at_ = -1e9;
+  bool is_leading_ = false;
+  double stepped_down_at_ = -1e9;
 };
 
 }  // namespace damsonport
--- a/src/coordination/exit_relay.cpp
+++ b/src/coordination/exit_relay.cpp
@@ -9,29 +9,29 @@
 constexpr double write_pause_share = 0.1, look_share = 0.5;
 }  // namespace
 
-bool ExitRelay::wanted(const RelayedExit& exit) const {
+bool ExitForwarder::wanted(const ForwardedExit& exit) const {
   return cache_.places(exit.task, exit.attempt, exit.machine);
 }
 
-void ExitRelay::saw(uint64_t fencing_token, const RelayedExit& exit) {
+void ExitForwarder::saw(uint64_t fencing_token, const ForwardedExit& exit) {
   if (fencing_token < fencing_token_ || !wanted(exit)) return;
   if (fencing_token > fencing_token_) seen_.clear();
   fencing_token_ = fencing_token;
   if (seen_.insert(exit).second) changed_.notify();
 }
 
-void ExitRelay::forget_what_is_committed() {
-  std::erase_if(seen_, [&](const RelayedExit& exit) { return !wanted(exit); });
+void ExitForwarder::forget_what_is_committed() {
+  std::erase_if(seen_, [&](const ForwardedExit& exit) { return !wanted(exit); });
 }
 
 // As many as fit into one value; the others follow when these are committed.
-RelayedExits ExitRelay::next_record() const {
+ForwardedExits ExitForwarder::next_record() const {
   const double most = settings_.state_limits.always().value_bytes();
   constexpr size_t comma = 1;
-  RelayedExits record{fencing_token_, {}};
-  size_t bytes = stored_size(encode_relayed_exits(record));
+  ForwardedExits record{fencing_token_, {}};
+  size_t bytes = stored_size(encode_forwarded_exits(record));
   for (auto& exit : seen_) {
-    bytes += stored_size(encode_relayed_exit(exit)) + comma;
+    bytes += stored_size(encode_forwarded_exit(exit)) + comma;
     if (static_cast<double>(bytes) > most) break;
     record.exits.push_back(exit);
   }
@@ -39,11 +39,11 @@
 }
 
 // Only this controller writes the key. An older copy that comes late tells what is still true.
-Task<bool> ExitRelay::write(RelayedExits record) {
+Task<bool> ExitForwarder::write(ForwardedExits record) {
   Txn txn;
   const bool empty = record.exits.empty();
-  txn.writes.push_back(
-      {keys::relayed_exits(settings_.node_name), empty ? Json() : encode_relayed_exits(record), 0});
+  txn.writes.push_back({keys::forwarded_exits(settings_.node_name),
+                        empty ? Json() : encode_forwarded_exits(record), 0});
   const auto writes = txn.writes;
   auto reply = co_await state_.commit(std::move(txn), Importance::placing);
   if (reply.outcome != Outcome::committed) co_return false;
@@ -53,14 +53,14 @@
   co_return true;
 }
 
-Task<void> ExitRelay::run(std::stop_token stop_token) {
+Task<void> ExitForwarder::run(std::stop_token stop_token) {
   while (!stop_token.stop_requested()) {
     co_await changed_.wait(settings_.report_s * look_share, stop_token);
     if (!cache_.loaded()) continue;
     forget_what_is_committed();
     auto record = next_record();
-    auto written = cache_.relayed_exits().find(settings_.node_name);
-    const bool stands = written == cache_.relayed_exits().end()
+    auto written = cache_.forwarded_exits().find(settings_.node_name);
+    const bool stands = written == cache_.forwarded_exits().end()
                             ? record.exits.empty()
                             : written->second.exits == record.exits;
     if (!stands) co_await write(std::move(record));
--- a/src/coordination/exit_relay.hpp
+++ b/src/coordination/exit_relay.hpp
@@ -14,21 +14,21 @@
 
 namespace damsonport {
 
-class ExitRelay {
+class ExitForwarder {
  public:
-  ExitRelay(Loop& loop, const Settings& settings, StateClient& state, Cache& cache)
+  ExitForwarder(Loop& loop, const Settings& settings, StateClient& state, Cache& cache)
       : loop_(loop), settings_(settings), state_(state), cache_(cache), changed_(loop) {}
 
   // A machine that has learned this term reported the exit.
-  void saw(uint64_t fencing_token, const RelayedExit& exit);
+  void saw(uint64_t fencing_token, const ForwardedExit& exit);
   // Keeps this controller's record as it should be: what the job's records are past goes out.
   Task<void> run(std::stop_token stop_token);
 
  private:
-  bool wanted(const RelayedExit& exit) const;
+  bool wanted(const ForwardedExit& exit) const;
   void forget_what_is_committed();
-  RelayedExits next_record() const;
-  Task<bool> write(RelayedExits record);
+  ForwardedExits next_record() const;
+  Task<bool> write(ForwardedExits record);
 
   Loop& loop_;
   const Settings& settings_;
@@ -36,7 +36,7 @@
   Cache& cache_;
   Notification changed_;
   uint64_t fencing_token_ = 0;
-  std::set<RelayedExit> seen_;
+  std::set<ForwardedExit> seen_;
 };
 
 }  // namespace damsonport
--- a/src/coordination/holder.cpp
+++ b/src/coordination/holder.cpp
@@ -4,7 +4,7 @@
 
 namespace damsonport {
 
-Holder::Holder(Dependencies deps)
+ShardLeader::ShardLeader(Dependencies deps)
     : deps_(deps),
       loop_(deps.loop),
       settings_(deps.settings),
@@ -12,7 +12,7 @@
       cache_(deps.cache),
       contact_(loop_, settings_, deps.state),
       lease_renewal_(loop_, settings_, cache_, deps.peer_network, deps.cancellations,
-                     deps.exit_relay, contact_),
+                     deps.exit_forwarder, contact_),
       machine_list_(loop_, settings_, deps.http),
       orphan_cleanup_(loop_, settings_, cache_, deps.http, deps.peer_network, deps.cancellations,
                       contact_, machine_list_, direct_sockets(settings_)),
@@ -30,23 +30,23 @@
   };
 }
 
-const Grant* Holder::own_grant() const {
-  for (auto& g : cache_.blocks().grants)
+const ShardLease* ShardLeader::own_lease() const {
+  for (auto& g : cache_.shard_table().leases)
     if (g.node == settings_.node_name && g.incarnation == deps_.incarnation) return &g;
   return nullptr;
 }
 
-bool Holder::holding() const { return fencing_token_ != 0 && own_grant() != nullptr; }
+bool ShardLeader::is_leading() const { return fencing_token_ != 0 && own_lease() != nullptr; }
 
-bool Holder::records_current() const {
-  return cache_.loaded() && cache_.revision() >= grant_version_;
+bool ShardLeader::records_current() const {
+  return cache_.loaded() && cache_.revision() >= required_revision_;
 }
 
-void Holder::take_relayed_exits() {
+void ShardLeader::apply_forwarded_exits() {
   if (!records_current()) return;
-  for (auto& [node, relayed] : cache_.relayed_exits()) {
-    if (relayed.fencing_token != fencing_token_) continue;
-    for (auto& exit : relayed.exits) {
+  for (auto& [node, forwarded] : cache_.forwarded_exits()) {
+    if (forwarded.fencing_token != fencing_token_) continue;
+    for (auto& exit : forwarded.exits) {
       if (exits_.contains(exit.task) || !cache_.places(exit.task, exit.attempt, exit.machine))
         continue;
       spdlog::debug("{} attempt {} ended on {}, as {} says", exit.task.text(), exit.attempt,
@@ -56,13 +56,13 @@
   }
 }
 
-void Holder::begin_grant() {
-  auto* g = own_grant();
+void ShardLeader::on_lease_acquired() {
+  auto* g = own_lease();
   fencing_token_ = g->fencing_token;
-  grant_version_ = cache_.blocks_version();
-  took_over_at_ = quiet_base_ = last_tick_ = loop_.now();
+  required_revision_ = cache_.shard_table_version();
+  lease_acquired_at_ = quiet_base_ = last_tick_ = loop_.now();
   lease_renewal_.clear();
-  deaf_since_ = 0;
+  unreachable_since_ = 0;
   silence_timeout_ = {};
   machines_.clear();
   repeated_reports_.clear();
@@ -82,7 +82,7 @@
   returning_.clear();
   booting_.clear();
   rentals_.begin_lease(fencing_token_);
-  spending_.begin_lease(took_over_at_);
+  spending_.begin_lease(lease_acquired_at_);
   hints_.clear();
   gangs_.clear();
   replicas_.clear();
@@ -90,8 +90,8 @@
   place_again_ = true;
   next_list_ = 0;
   // Machines that an earlier holder rented are heard first. The first one of all has none.
-  const bool first_of_all = cache_.blocks().renewals <= 1;
-  next_sizing_ = took_over_at_ + (first_of_all ? 0 : 2 * settings_.report_s);
+  const bool first_of_all = cache_.shard_table().renewals <= 1;
+  next_sizing_ = lease_acquired_at_ + (first_of_all ? 0 : 2 * settings_.report_s);
   deps_.budgets.begin_lease();
   budget_news_ = true;
   reset_view();
@@ -118,56 +118,56 @@
 // One value says who holds what. While it names another the leader replaces it; while it names us
 // we renew it. The term is the revision of the value that was replaced when the holder changed:
 // unique and growing, because no revision occurs twice.
-Task<bool> Holder::keep_grant(std::stop_token stop_token) {
+Task<bool> ShardLeader::renew_lease(std::stop_token stop_token) {
   const double now = loop_.now();
-  const Grant* own = own_grant();
-  if (own && fencing_token_ != own->fencing_token) begin_grant();
+  const ShardLease* own = own_lease();
+  if (own && fencing_token_ != own->fencing_token) on_lease_acquired();
   if (!own && fencing_token_ != 0) {
     spdlog::info("the grant with term {} has gone to another holder", fencing_token_);
     fencing_token_ = 0;
     rentals_.begin_lease(0);
   }
-  if (!deps_.election.leading()) co_return fencing_token_ != 0;
+  if (!deps_.election.is_leading()) co_return fencing_token_ != 0;
   if (own && now < next_renewal_) co_return true;
 
   Txn txn;
-  uint64_t replaced = cache_.blocks_version();
-  Blocks next = cache_.blocks();
+  uint64_t replaced = cache_.shard_table_version();
+  ShardTable next = cache_.shard_table();
   if (!own) {
-    Grant g;
+    ShardLease g;
     g.node = settings_.node_name;
     g.incarnation = deps_.incarnation;
     // The very first value replaces nothing; the leader's key is older than any later revision.
     g.fencing_token = replaced ? replaced : cache_.leader_version();
-    g.rest = true;
-    next.grants = {g};
+    g.covers_unassigned = true;
+    next.leases = {g};
   }
   ++next.renewals;
-  txn.conditions[keys::blocks] = replaced;
+  txn.conditions[keys::shard_table] = replaced;
   txn.conditions[keys::leader] = cache_.leader_version();
-  txn.writes.push_back({keys::blocks, encode_blocks(next), 0});
+  txn.writes.push_back({keys::shard_table, encode_shard_table(next), 0});
   auto writes = txn.writes;
   const double asked = loop_.now();
   auto reply = co_await deps_.state.commit(std::move(txn), Importance::lease);
   if (reply.outcome == Outcome::committed) {
     cache_.apply_writes(writes, reply.revision);
     // Early and often: an outage must fit into what is left of the grant.
-    next_renewal_ = asked + tuning_.grant_s / 6;
-    if (!own) begin_grant();
+    next_renewal_ = asked + tuning_.shard_lease_s / 6;
+    if (!own) on_lease_acquired();
     co_return true;
   }
   if (reply.outcome == Outcome::conflict || reply.outcome == Outcome::unknown) {
-    for (auto& key : {keys::blocks, keys::leader}) {
+    for (auto& key : {keys::shard_table, keys::leader}) {
       auto read = co_await deps_.state.read(key, Importance::lease);
       if (read.ok && read.found) cache_.apply(read.item);
     }
   }
   next_renewal_ = loop_.now() + 0.2;
   if (stop_token.stop_requested()) co_return false;
-  co_return holding();
+  co_return is_leading();
 }
 
-void Holder::job_changed(Job* job) {
+void ShardLeader::job_changed(Job* job) {
   if (fencing_token_ != 0 && job) {
     place_again_ = true;
     dirty_jobs_.insert(job);
@@ -178,7 +178,7 @@
   deps_.changed.notify();
 }
 
-void Holder::job_gone(Job* job) {
+void ShardLeader::job_gone(Job* job) {
   dirty_jobs_.erase(job);
   job_slots_.release(job, view_.jobs);
   hints_.erase(job->spec.id);
@@ -194,20 +194,21 @@
     it = attempts_.erase(it);
 }
 
-Task<void> Holder::run(std::stop_token stop_token) {
+Task<void> ShardLeader::run(std::stop_token stop_token) {
   while (!stop_token.stop_requested()) {
     if (!cache_.loaded()) {
       if (!co_await Sleep(loop_, 0.1, stop_token)) co_return;
       continue;
     }
     bool busy = false;
-    if (co_await keep_grant(stop_token)) {
-      if (holding()) take_relayed_exits();
+    if (co_await renew_lease(stop_token)) {
+      if (is_leading()) apply_forwarded_exits();
       busy = co_await commit_exits(stop_token);
-      if (holding()) busy = co_await commit_finals(stop_token) || busy;
-      if (holding() && records_current()) busy = co_await division_.commit_next(stop_token) || busy;
-      if (holding()) busy = co_await commit_budgets(stop_token) || busy;
-      if (holding()) busy = co_await commit_starts(stop_token) || busy;
+      if (is_leading()) busy = co_await commit_finals(stop_token) || busy;
+      if (is_leading() && records_current())
+        busy = co_await division_.commit_next(stop_token) || busy;
+      if (is_leading()) busy = co_await commit_budgets(stop_token) || busy;
+      if (is_leading()) busy = co_await commit_starts(stop_token) || busy;
     }
     if (busy) continue;
     double pause = std::min(0.25, settings_.report_s / 6);
@@ -217,13 +218,13 @@
   }
 }
 
-Task<void> Holder::run_maintenance(std::stop_token stop_token) {
+Task<void> ShardLeader::run_maintenance(std::stop_token stop_token) {
   const double tick = settings_.report_s / 4;
   while (!stop_token.stop_requested()) {
     if (!co_await Sleep(loop_, tick, stop_token)) co_return;
     lease_renewal_.forget_old_visits();
     std::erase_if(images_seen_, [&](auto& entry) { return cache_.leaving(entry.first); });
-    if (!holding() || superseded()) {
+    if (!is_leading() || is_deposed()) {
       co_await orphan_cleanup_.run_once(stop_token);
       continue;
     }
@@ -233,7 +234,7 @@
     if (now - last_tick_ > 3 * tick) quiet_base_ = now;
     last_tick_ = now;
     if (!records_current() || !deps_.catalog.known()) continue;
-    resign_if_deaf();
+    step_down_if_unreachable();
     watch_silence();
     watch_cancelled();
     watch_stragglers();
@@ -242,9 +243,9 @@
     review_gangs();
     // What changes with time alone: pauses that are over, machines in doubt.
     if (waiting_tasks_ > 0 || !held_back_.empty()) place_again_ = true;
-    if (deps_.election.leading()) {
+    if (deps_.election.is_leading()) {
       co_await return_machines(false, stop_token);
-      if (holding() && loop_.now() >= next_sizing_) {
+      if (is_leading() && loop_.now() >= next_sizing_) {
         next_sizing_ = loop_.now() + settings_.report_s / 2;
         rent(stop_token);
       }
@@ -260,29 +261,30 @@
 // A holder that hears few of its machines while they come to other nodes can't do its work. It
 // gives the leadership up, and one that they reach takes over. Where nobody else hears them either,
 // the fault is theirs, and nothing is gained by going.
-void Holder::resign_if_deaf() {
+void ShardLeader::step_down_if_unreachable() {
   // A report period and a half, over which a healthy machine reports at least once.
   constexpr double heard_within_reports = 1.5, deaf_lease_share = 0.125;
   const double now = loop_.now();
   const double heard_within = heard_within_reports * settings_.report_s;
-  size_t heard = 0;
-  for (auto& [id, m] : machines_) heard += now - m.last_heard < heard_within && m.session != 0;
+  size_t received = 0;
+  for (auto& [id, m] : machines_) received += now - m.last_heard < heard_within && m.session != 0;
   // After a takeover they come here by way of the others.
-  const bool settled = now - took_over_at_ > 3 * settings_.report_s;
-  const bool deaf = settled && deps_.peer_network.misrouted_machines() > heard;
-  if (!deaf || !deps_.election.leading()) {
-    deaf_since_ = 0;
+  const bool settled = now - lease_acquired_at_ > 3 * settings_.report_s;
+  const bool deaf = settled && deps_.peer_network.misrouted_machines() > received;
+  if (!deaf || !deps_.election.is_leading()) {
+    unreachable_since_ = 0;
     return;
   }
-  if (deaf_since_ == 0) deaf_since_ = now;
-  if (now - deaf_since_ < settings_.lease_s * deaf_lease_share) return;
+  if (unreachable_since_ == 0) unreachable_since_ = now;
+  if (now - unreachable_since_ < settings_.lease_s * deaf_lease_share) return;
   spdlog::warn("{} machines heard here and {} by other controllers: giving the leadership up",
-               heard, deps_.peer_network.misrouted_machines());
-  deps_.election.resign();
-  deaf_since_ = 0;
+               received, deps_.peer_network.misrouted_machines());
+  deps_.election.step_down();
+  unreachable_since_ = 0;
 }
 
-std::optional<HttpResponse> Holder::refusal(const std::string& machine, uint64_t fencing_token) {
+std::optional<HttpResponse> ShardLeader::refusal(const std::string& machine,
+                                                 uint64_t fencing_token) {
   // A newer holder exists: a 200 would only hold the worker here while its lease runs out.
   if (fencing_token > fencing_token_) return HttpResponse{421, encode_report_to({}), 0};
   const bool lost = deps_.peer_network.alone() && !contact_.in_contact();
@@ -291,11 +293,11 @@
   return std::nullopt;
 }
 
-std::vector<replicas::ReplicaStatus> Holder::replica_statuses() {
-  return holding() ? replicas_.statuses() : std::vector<replicas::ReplicaStatus>{};
+std::vector<replicas::ReplicaStatus> ShardLeader::replica_statuses() {
+  return is_leading() ? replicas_.statuses() : std::vector<replicas::ReplicaStatus>{};
 }
 
-HttpResponse Holder::on_report(const HttpRequest& request) {
+HttpResponse ShardLeader::on_report(const HttpRequest& request) {
   if (auto answer = answer_repeated(request)) return *answer;
   const auto report = decode_report(decode_map(request.body));
   if (!report) return {400, encode({{"error", report.error()}}), 0};
@@ -303,8 +305,8 @@
 }
 
 // Only what the holder itself took last is remembered, so its token is known to be ours.
-std::optional<HttpResponse> Holder::answer_repeated(const HttpRequest& request) {
-  if (!holding() || superseded()) return std::nullopt;
+std::optional<HttpResponse> ShardLeader::answer_repeated(const HttpRequest& request) {
+  if (!is_leading() || is_deposed()) return std::nullopt;
   const auto repeat = repeated_reports_.find(request.body);
   if (!repeat || failures_.any() || given_up_.contains(repeat->machine)) return std::nullopt;
   auto it = machines_.find(repeat->machine);
@@ -320,10 +322,10 @@
   return HttpResponse{200, encode_report_answer(fencing_token_, {}), 0};
 }
 
-HttpResponse Holder::on_decoded_report(const Report& r, const HttpRequest& request) {
+HttpResponse ShardLeader::on_decoded_report(const Report& r, const HttpRequest& request) {
   // Gone, as the cloud said: this is a late copy.
   if (returned_.contains(r.machine)) return {421, encode_report_to({}), 0};
-  if (!holding() || superseded()) return lease_renewal_.answer(r);
+  if (!is_leading() || is_deposed()) return lease_renewal_.answer(r);
   if (auto no = refusal(r.machine, r.fencing_token)) return *no;
   std::vector<Command> commands;
   Machine& m = machine(r.machine);
--- a/src/coordination/holder.hpp
+++ b/src/coordination/holder.hpp
@@ -34,7 +34,7 @@
 
 namespace damsonport {
 
-class Holder : private TaskFacts {
+class ShardLeader : private TaskFacts {
  public:
   struct Dependencies {
     Loop& loop;
@@ -44,16 +44,16 @@
     HttpClient& http;
     Catalog& catalog;
     PeerNetwork& peer_network;
-    const Cancellations& cancellations;
+    const CancellationGossip& cancellations;
     Election& election;
     const VersionRegistry& versions;
-    ExitRelay& exit_relay;
+    ExitForwarder& exit_forwarder;
     budgets::TeamBudgets& budgets;
     budgets::RegionNetwork& regions;
     Notification& changed;
     uint64_t incarnation;
   };
-  explicit Holder(Dependencies deps);
+  explicit ShardLeader(Dependencies deps);
 
   // Grants, commits, placement.
   Task<void> run(std::stop_token stop_token);
@@ -64,14 +64,16 @@
 
   // The answer to a report in the form in which it came.
   HttpResponse on_report(const HttpRequest& request);
-  bool holding() const;
+  bool is_leading() const;
   // Of the grant held; 0: none.
-  uint64_t fencing_token() const { return holding() ? fencing_token_ : 0; }
+  uint64_t fencing_token() const { return is_leading() ? fencing_token_ : 0; }
   // Messages to workers that may be under way at once.
   static int direct_sockets(const Settings& s) { return std::max(8, s.max_sockets / 16); }
   uint64_t waiting_tasks() const { return waiting_tasks_; }
   // Machines that report, or are named by the records.
-  size_t fleet_size() const { return holding() ? machines_.size() : cache_.assignments().size(); }
+  size_t fleet_size() const {
+    return is_leading() ? machines_.size() : cache_.assignments().size();
+  }
   // Records that it would write at once if it could.
   uint64_t waiting_writes() const;
   // Machines that keep coming here although another node holds them.
@@ -114,14 +116,14 @@
   };
 
   // --- grants (holder.cpp)
-  const Grant* own_grant() const;
-  Task<bool> keep_grant(std::stop_token stop_token);
-  void begin_grant();
+  const ShardLease* own_lease() const;
+  Task<bool> renew_lease(std::stop_token stop_token);
+  void on_lease_acquired();
   // A peer says that it holds a newer grant: ours is over, though we may not have read it.
-  bool superseded() const {
-    return fencing_token_ != 0 && deps_.peer_network.newest_holder().second > fencing_token_;
+  bool is_deposed() const {
+    return fencing_token_ != 0 && deps_.peer_network.newest_shard_leader().second > fencing_token_;
   }
-  void resign_if_deaf();
+  void step_down_if_unreachable();
 
   // --- cancelled jobs
   bool is_cancelled(const Job& job) const;
@@ -130,7 +132,7 @@
   bool has_released(const std::string& machine, const TaskName& task, uint64_t attempt) const;
 
   // Exits that other controllers were told of by machines that can't reach us.
-  void take_relayed_exits();
+  void apply_forwarded_exits();
 
   // --- committing (holder_commit.cpp)
   Task<bool> commit_exits(std::stop_token stop_token);
@@ -242,7 +244,7 @@
 
   // --- cloud (holder_cloud.cpp)
   // Leader and holder, so that the cloud is this controller's to deal with.
-  bool leads_as_holder() const;
+  bool leads_cluster_and_shard() const;
   void note_listed(const ListedMachine& listed);
   void note_starting(const ListedMachine& listed);
   void watch_silence();
@@ -271,9 +273,9 @@
 
   // Of the present grant; cleared when it is taken over.
   uint64_t fencing_token_ = 0;
-  uint64_t grant_version_ = 0;  // records must be complete up to here before anything is placed
+  uint64_t required_revision_ = 0;  // records must be complete up to here before anything is placed
   double next_renewal_ = 0;
-  double took_over_at_ = 0;
+  double lease_acquired_at_ = 0;
   double quiet_base_ = 0;  // silence is counted from here at the earliest
   double last_tick_ = 0;
 
@@ -282,7 +284,7 @@
   MachineListReader machine_list_;
   OrphanCleanup orphan_cleanup_;
   SilenceTimeout silence_timeout_;
-  double deaf_since_ = 0;  // 0: the machines are heard
+  double unreachable_since_ = 0;  // 0: the machines are heard
   // Which images the records put on which machine and when, seen by every node from the changes it
   // follows, so that a new holder knows most of what the last one knew.
   std::unordered_map<std::string, ImageCache> images_seen_;
--- a/src/coordination/holder_budgets.cpp
+++ b/src/coordination/holder_budgets.cpp
@@ -13,7 +13,7 @@
 
 // A gift counts on the records alone: none of this holder's starts is under way or in doubt here,
 // since it writes one transaction at a time, and an older holder's fail on `blocks`.
-Task<bool> Holder::commit_budgets(std::stop_token stop_token) {
+Task<bool> ShardLeader::commit_budgets(std::stop_token stop_token) {
   if (!deps_.budgets.exchanging() || !records_current()) co_return false;
   // An older version that takes over would count the whole limit as its own.
   if (!deps_.versions.all_have(VersionRegistry::budgets)) co_return false;
@@ -28,7 +28,7 @@
     tell_of_unmet_need();
     co_return false;
   }
-  txn.conditions[keys::blocks] = cache_.blocks_version();
+  txn.conditions[keys::shard_table] = cache_.shard_table_version();
   spdlog::debug("budgets of {} teams change", txn.writes.size());
   if (co_await commit_and_apply(std::move(txn), stop_token)) place_again_ = true;
   budget_news_ = true;  // more may be due
@@ -37,13 +37,13 @@
 }
 
 // Other regions hear at once that a team wants more than it has here.
-void Holder::tell_of_unmet_need() {
+void ShardLeader::tell_of_unmet_need() {
   const bool unmet = deps_.budgets.any_unmet();
   if (unmet && !unmet_told_) deps_.regions.wake();
   unmet_told_ = unmet;
 }
 
-void Holder::budget_news() {
+void ShardLeader::budget_news() {
   budget_news_ = true;
   deps_.changed.notify();
 }
--- a/src/coordination/holder_cancelled.cpp
+++ b/src/coordination/holder_cancelled.cpp
@@ -7,17 +7,17 @@
 namespace damsonport {
 
 // Also by another controller's word: nobody has a use for these tasks, and stopping needs no proof.
-bool Holder::is_cancelled(const Job& job) const {
+bool ShardLeader::is_cancelled(const Job& job) const {
   return job.cancelled || deps_.cancellations.cancelled(job.spec.id);
 }
 
-double Holder::cancelled_since(const Job& job) const {
-  const auto heard = deps_.cancellations.heard(job.spec.id);
-  if (!job.cancelled) return heard.value_or(loop_.now());
-  return heard ? std::max(*heard, job.cancelled_since) : job.cancelled_since;
+double ShardLeader::cancelled_since(const Job& job) const {
+  const auto received = deps_.cancellations.received(job.spec.id);
+  if (!job.cancelled) return received.value_or(loop_.now());
+  return received ? std::max(*received, job.cancelled_since) : job.cancelled_since;
 }
 
-void Holder::cancelled_elsewhere(const std::string& id) {
+void ShardLeader::cancelled_elsewhere(const std::string& id) {
   Job* job = cache_.job(id);
   if (fencing_token_ == 0 || !job) return;
   dirty_jobs_.insert(job);
@@ -25,7 +25,7 @@
   deps_.changed.notify();
 }
 
-void Holder::stop_cancelled(const Job& job) {
+void ShardLeader::stop_cancelled(const Job& job) {
   if (!cancelled_.insert(job.spec.id).second) return;
   for (auto& task : job.live_tasks()) {
     mark_changed(task.machine);
@@ -37,7 +37,8 @@
 
 // A message of the machine just now doesn't show the task, or shows it ended. No proof that it may
 // run elsewhere, but no reason to return the machine either, while its messages keep saying so.
-bool Holder::has_released(const std::string& id, const TaskName& task, uint64_t attempt) const {
+bool ShardLeader::has_released(const std::string& id, const TaskName& task,
+                               uint64_t attempt) const {
   auto it = machines_.find(id);
   if (it == machines_.end() || it->second.session == 0) return false;
   auto& m = it->second;
@@ -49,12 +50,12 @@
 
 // A cancelled task that a machine does not let go in time goes with the machine. The age of the
 // cancellation is that of the record or what others say, so it outlives any number of holders.
-void Holder::watch_cancelled() {
+void ShardLeader::watch_cancelled() {
   const double now = loop_.now();
   const double limit = settings_.cancel_s * tuning_.cancel_return_share;
   // A new holder has not heard yet what its machines did meanwhile. It waits for that, but not past
   // the time at which the task must be gone; what is older was long stopped, or is too late.
-  const bool settled = now - took_over_at_ > 2 * settings_.report_s;
+  const bool settled = now - lease_acquired_at_ > 2 * settings_.report_s;
   const double latest = settings_.cancel_s * 0.9;
   const double too_late = settings_.cancel_s * 1.1;
   for (auto& id : cancelled_) {
--- a/src/coordination/holder_cloud.cpp
+++ b/src/coordination/holder_cloud.cpp
@@ -21,26 +21,27 @@
 }  // namespace
 
 // A duty of its own: a long list takes seconds, in which silence must be watched all the same.
-Task<void> Holder::follow_machine_list(std::stop_token stop_token) {
+Task<void> ShardLeader::follow_machine_list(std::stop_token stop_token) {
   const double tick_s = settings_.report_s / 4;
   while (!stop_token.stop_requested()) {
     if (!co_await Sleep(loop_, tick_s, stop_token)) co_return;
     const bool due = loop_.now() >= next_list_;
-    if (!due || !leads_as_holder() || !records_current() || !deps_.catalog.known()) continue;
+    if (!due || !leads_cluster_and_shard() || !records_current() || !deps_.catalog.known())
+      continue;
     next_list_ = loop_.now() + settings_.list_lag_s / 2;
     MachineListReader::Take take = [this](auto& listed) { note_listed(listed); };
     MachineListReader::KeepGoing keep_going = [this, fencing_token = fencing_token_] {
-      return fencing_token == fencing_token_ && leads_as_holder();
+      return fencing_token == fencing_token_ && leads_cluster_and_shard();
     };
     co_await machine_list_.read(std::move(take), std::move(keep_going), stop_token);
   }
 }
 
-bool Holder::leads_as_holder() const {
-  return holding() && !superseded() && deps_.election.leading();
+bool ShardLeader::leads_cluster_and_shard() const {
+  return is_leading() && !is_deposed() && deps_.election.is_leading();
 }
 
-void Holder::note_listed(const ListedMachine& listed) {
+void ShardLeader::note_listed(const ListedMachine& listed) {
   if (returned_.contains(listed.id)) return;  // the list lags
   if (cache_.leaving(listed.id)) {
     // The list lags, so a machine that is gone may still stand in it; asking twice is harmless.
@@ -62,7 +63,7 @@
   }
 }
 
-void Holder::note_starting(const ListedMachine& listed) {
+void ShardLeader::note_starting(const ListedMachine& listed) {
   constexpr double unknown_boot_s = 60;
   const double now = loop_.now();
   auto* type = deps_.catalog.type(listed.type);
@@ -78,7 +79,7 @@
 }
 
 // Takes no new tasks and is returned when empty; a replacement comes through the spare room.
-void Holder::drain(Machine& m, const std::string& why) {
+void ShardLeader::drain(Machine& m, const std::string& why) {
   if (m.draining) return;
   m.drain_why = why;
   m.draining = true;
@@ -88,13 +89,13 @@
 
 // Marked in the state service before the return is asked for, and never used again: a return may
 // be carried out late.
-void Holder::want_return(const std::string& id, const std::string& why) {
+void ShardLeader::want_return(const std::string& id, const std::string& why) {
   if (returned_.contains(id) || !to_return_.try_emplace(id, why).second) return;
   mark_changed(id);
   spdlog::info("returning {}: {}", id, why);
 }
 
-void Holder::watch_silence() {
+void ShardLeader::watch_silence() {
   const double report = settings_.report_s;
   const double give_up = give_up_s();
   size_t known = 0, silent = 0;
@@ -126,7 +127,7 @@
   }
 }
 
-void Holder::watch_drains() {
+void ShardLeader::watch_drains() {
   const double now = loop_.now();
   for (auto& [id, m] : machines_) {
     // Not for good: where few machines fit, a job that failed once on each would never run again.
@@ -164,7 +165,7 @@
 
 // First a replacement, then no new tasks. Where the cloud has none, giving the slow machine back is
 // what makes room for one, so it is drained at once; and one that does not come is not waited for.
-void Holder::watch_stragglers() {
+void ShardLeader::watch_stragglers() {
   const double now = loop_.now();
   std::vector<Machine*> waiting, newcomers;
   double first_flagged = std::numeric_limits<double>::infinity();
@@ -194,7 +195,7 @@
 
 // Many machines fail together, and each waits with all that ran on it: so they are marked in bulk,
 // a hundred in one record, and those of the most urgent tasks go first.
-Task<void> Holder::return_machines(bool overdue_only, std::stop_token stop_token) {
+Task<void> ShardLeader::return_machines(bool overdue_only, std::stop_token stop_token) {
   const size_t max_marked_at_once = machines_in_a_mark(settings_.state_limits.always().value_kb);
   if (!unmarked_.empty() && contact_.in_contact()) {
     std::vector<std::string> late(unmarked_.begin(), unmarked_.end());
@@ -202,7 +203,7 @@
     if (co_await mark_leaving(late))
       for (auto& id : late) unmarked_.erase(id);
   }
-  for (size_t calls = 0; calls < max_returns_a_tick && holding(); ++calls) {
+  for (size_t calls = 0; calls < max_returns_a_tick && is_leading(); ++calls) {
     std::vector<std::string> mark, ask;
     for (auto& [id, why] : to_return_)
       if (!returning_.contains(id) && (!overdue_only || overdue_.contains(id)))
@@ -212,7 +213,7 @@
       sort_most_urgent_first(mark);
       if (mark.size() > max_marked_at_once) mark.resize(max_marked_at_once);
       const bool marked = co_await mark_leaving(mark);
-      if (!holding()) co_return;
+      if (!is_leading()) co_return;
       if (!marked && !return_unmarked(mark)) co_return;
       ask = std::move(mark);
     }
@@ -221,7 +222,7 @@
   }
 }
 
-void Holder::sort_most_urgent_first(std::vector<std::string>& machines) const {
+void ShardLeader::sort_most_urgent_first(std::vector<std::string>& machines) const {
   std::map<std::string, int> urgency;
   for (auto& id : overdue_) urgency[id] = std::numeric_limits<int>::max() / 2;
   for (auto& id : machines)
@@ -234,19 +235,19 @@
 // Nothing can be marked in an outage, and a cancelled task must be gone all the same. Nobody can
 // place anything either; afterwards the mark is made up for, and a holder that doesn't know of it
 // finds the machine silent and returns it once more.
-bool Holder::return_unmarked(std::vector<std::string>& machines) {
+bool ShardLeader::return_unmarked(std::vector<std::string>& machines) {
   std::erase_if(machines, [&](auto& id) { return !overdue_.contains(id); });
   if (contact_.in_contact() || machines.empty()) return false;
   unmarked_.insert(machines.begin(), machines.end());
   return true;
 }
 
-Task<bool> Holder::mark_leaving(std::vector<std::string> machines) {
+Task<bool> ShardLeader::mark_leaving(std::vector<std::string> machines) {
   // A record of its own for each batch: one that is written again would lose the marks it had.
   const auto key =
       keys::leaving(std::to_string(deps_.incarnation) + "-" + std::to_string(loop_.random64()));
   Txn txn;
-  txn.conditions[keys::blocks] = cache_.blocks_version();
+  txn.conditions[keys::shard_table] = cache_.shard_table_version();
   txn.conditions[key] = 0;
   txn.writes.push_back({key, {{"machines", std::move(machines)}}, 0});
   auto writes = txn.writes;
@@ -256,7 +257,7 @@
   co_return true;
 }
 
-Task<bool> Holder::ask_return(std::vector<std::string> ask) {
+Task<bool> ShardLeader::ask_return(std::vector<std::string> ask) {
   returning_.insert(ask.begin(), ask.end());
   auto fencing_token = fencing_token_;
   auto reply = co_await deps_.http.request(settings_.cloud, Method::post, "/hosts/return",
@@ -290,7 +291,7 @@
 }
 
 // How many tasks of this kind its team may run at once at the most.
-uint64_t Holder::team_limit(const JobSpec& spec) const {
+uint64_t ShardLeader::team_limit(const JobSpec& spec) const {
   auto* team = settings_.team(spec.team);
   double n = 1e6;
   const auto limit = team ? deps_.budgets.limit(*team) : placing::Amounts{};
@@ -300,14 +301,14 @@
 }
 
 // The type of a machine that is on its way and not overdue, or null.
-const MachineType* Holder::coming_type(const std::string& id, const Booting& b) const {
+const MachineType* ShardLeader::coming_type(const std::string& id, const Booting& b) const {
   if (machines_.contains(id) || to_return_.contains(id) || cache_.leaving(id)) return nullptr;
   auto* t = deps_.catalog.type(b.type);
   return t && loop_.now() - b.since <= t->boot_s * slow_boot ? t : nullptr;
 }
 
 // From the jobs that are known: a new holder expects what the last one did.
-void Holder::expect_arrivals(sizing::Input& in) const {
+void ShardLeader::expect_arrivals(sizing::Input& in) const {
   double gpu_boot_s = 0, cpu_boot_s = 0;
   for (auto& t : in.types) {
     double& boot_s = t.gpus > 0 ? gpu_boot_s : cpu_boot_s;
@@ -328,7 +329,7 @@
   in.expected_cpus = headroom::expected_arrivals(cpus, cpu_boot_s, tuning_.arrival_spreads);
 }
 
-sizing::Input Holder::sizing_input() const {
+sizing::Input ShardLeader::sizing_input() const {
   sizing::Input in;
   const double now = loop_.now();
   in.types = deps_.catalog.types();
@@ -399,7 +400,7 @@
   return in;
 }
 
-void Holder::rent(const std::stop_token& stop_token) {
+void ShardLeader::rent(const std::stop_token& stop_token) {
   rentals_.resume(stop_token);
   auto input = sizing_input();
   spending_.charge(input.machines, input.types, loop_.now());
--- a/src/coordination/holder_commit.cpp
+++ b/src/coordination/holder_commit.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-Task<void> Holder::reread(std::vector<std::string> failed) {
+Task<void> ShardLeader::reread(std::vector<std::string> failed) {
   for (auto& key : failed) {
     auto read = co_await deps_.state.read(key, Importance::placing);
     // Also that it is absent: a copy that came back from the dead must not be built on again.
@@ -26,8 +26,8 @@
 
 // Commits surely. Nothing else of this holder is written meanwhile, so whatever is in doubt keeps
 // its room and its team's quota until the outcome is known.
-Task<bool> Holder::commit_and_apply(Txn txn, std::stop_token stop_token, bool starts,
-                                    std::function<void()> committed) {
+Task<bool> ShardLeader::commit_and_apply(Txn txn, std::stop_token stop_token, bool starts,
+                                         std::function<void()> committed) {
   auto writes = txn.writes;
   auto reply = co_await deps_.state.commit_surely(std::move(txn), Importance::placing, stop_token);
   if (reply.outcome == Outcome::committed) {
@@ -54,8 +54,8 @@
 }
 
 // Tasks of one record share its write, so that an array of thousands wants few.
-uint64_t Holder::waiting_writes() const {
-  if (!holding()) return 0;
+uint64_t ShardLeader::waiting_writes() const {
+  if (!is_leading()) return 0;
   uint64_t records = 0;
   std::string job;
   uint32_t chunk = 0;
@@ -71,7 +71,8 @@
 }
 
 // Jobs of several records, gangs and cancelled ones are ended by commit_finals().
-bool Holder::ends_with(const Job& job, const ChunkRecord& record, const PendingExit& exit) const {
+bool ShardLeader::ends_with(const Job& job, const ChunkRecord& record,
+                            const PendingExit& exit) const {
   if (exit.cause != ExitCause::done || job.spec.kind == Kind::gang || is_cancelled(job))
     return false;
   // Complete up to the job's last change: no start before a cancellation is unknown to us.
@@ -79,7 +80,7 @@
   return job.chunk_count() == 1 && record.finished(job.spec.tasks);
 }
 
-void Holder::finish_exits(const std::vector<TaskName>& tasks) {
+void ShardLeader::finish_exits(const std::vector<TaskName>& tasks) {
   bool any_failed = false;
   for (auto& name : tasks) {
     auto it = exits_.find(name);
@@ -92,7 +93,7 @@
   if (any_failed) review_failures();
 }
 
-Task<bool> Holder::commit_exits(std::stop_token stop_token) {
+Task<bool> ShardLeader::commit_exits(std::stop_token stop_token) {
   if (exits_.empty() || !records_current()) co_return false;
   ChunkEdits edits(cache_, limits());
   std::vector<TaskName> taken, last;  // `last`: those that end their jobs
@@ -141,7 +142,7 @@
 }
 
 // A job's record goes when all its tasks are done, or when it was cancelled and none is left.
-Task<bool> Holder::commit_finals(std::stop_token stop_token) {
+Task<bool> ShardLeader::commit_finals(std::stop_token stop_token) {
   if (!records_current()) co_return false;
   Txn txn;
   std::vector<std::string> ended;
@@ -179,7 +180,7 @@
     }
     if (txn.writes.empty()) co_return false;
   }
-  txn.conditions[keys::blocks] = cache_.blocks_version();
+  txn.conditions[keys::shard_table] = cache_.shard_table_version();
   std::vector<std::pair<std::string, bool>> outcome;
   outcome.reserve(ended.size());
   for (auto& id : ended) outcome.emplace_back(id, cache_.job(id)->cancelled);
@@ -189,7 +190,7 @@
   co_return true;
 }
 
-Task<bool> Holder::commit_starts(std::stop_token stop_token) {
+Task<bool> ShardLeader::commit_starts(std::stop_token stop_token) {
   const double now = loop_.now();
   if (!records_current() || !deps_.catalog.known() || !place_again_ || now < next_place_)
     co_return false;
@@ -217,7 +218,7 @@
   co_return any;
 }
 
-void Holder::note_unplaced(const placing::Decisions& decided) {
+void ShardLeader::note_unplaced(const placing::Decisions& decided) {
   unplaced_.clear();
   waiting_tasks_ = 0;
   for (auto& u : decided.unplaced) {
@@ -238,7 +239,7 @@
   }
 }
 
-void Holder::order_stops(const placing::Decisions& decided) {
+void ShardLeader::order_stops(const placing::Decisions& decided) {
   for (auto& s : decided.stops) {
     auto& live = view_.machines[s.machine].live[s.live];
     const std::string& machine_id = view_.machines[s.machine].id;
@@ -249,13 +250,13 @@
   }
 }
 
-DecidedStart Holder::by_name(size_t job, size_t machine) const {
+DecidedStart ShardLeader::by_name(size_t job, size_t machine) const {
   auto& m = view_.machines[machine];
   auto& j = view_.jobs[job];
   return {j.id, m.id, placing::holds(m, j.image)};
 }
 
-DecidedGang Holder::gang_by_name(const placing::GangStart& decided) const {
+DecidedGang ShardLeader::gang_by_name(const placing::GangStart& decided) const {
   const auto& owner = job_slots_.owner(decided.job);
   DecidedGang gang{gang_range(owner.job->spec, owner.gang), {}};
   for (size_t machine : decided.machines) gang.starts.push_back(by_name(decided.job, machine));
@@ -265,14 +266,14 @@
 // A gang is started by one transaction where its records fit into one. Otherwise one after the
 // other under the same attempt: a holder that ends halfway leaves a gang with missing tasks, which
 // the next one completes or gives up like any other.
-Task<bool> Holder::commit_gang_start(const DecidedGang& gang, std::stop_token stop_token) {
+Task<bool> ShardLeader::commit_gang_start(const DecidedGang& gang, std::stop_token stop_token) {
   const std::string id = gang.starts.front().job;
   uint64_t attempt = 0;
   std::vector<CommittedStart> committed;
   while (committed.size() < gang.starts.size()) {
     Job* job = cache_.job(id);
     // Changed while it was being committed: the next pass sees it as it is.
-    if (!job || is_cancelled(*job) || !holding()) break;
+    if (!job || is_cancelled(*job) || !is_leading()) break;
     if (attempt == 0) {
       // A part that was lost since may have ended the attempt.
       if (job->spec.replicated() && gangs_.startable(*job, gang.tasks) == 0) break;
@@ -295,14 +296,15 @@
 }
 
 // What a long pass has decided is committed for as long as it took, rather than decided again.
-double Holder::starts_may_take_s() const {
+double ShardLeader::starts_may_take_s() const {
   return std::max(settings_.report_s * starts_share, last_pass_s_);
 }
 
-Task<bool> Holder::commit_gang_starts(std::vector<DecidedGang> gangs, std::stop_token stop_token) {
+Task<bool> ShardLeader::commit_gang_starts(std::vector<DecidedGang> gangs,
+                                           std::stop_token stop_token) {
   const double begun = loop_.now();
   for (auto& gang : gangs) {
-    if (!holding()) break;
+    if (!is_leading()) break;
     if (loop_.now() - begun > starts_may_take_s()) {
       place_again_ = true;
       break;
@@ -312,12 +314,12 @@
   co_return !gangs.empty();
 }
 
-Task<bool> Holder::commit_single_starts(std::vector<DecidedStart> planned,
-                                        std::stop_token stop_token) {
+Task<bool> ShardLeader::commit_single_starts(std::vector<DecidedStart> planned,
+                                             std::stop_token stop_token) {
   const double begun = loop_.now();
   size_t next = 0;
   bool any = false;
-  while (next < planned.size() && holding()) {
+  while (next < planned.size() && is_leading()) {
     // A long run of starts must not hold up renewals, exits and what became more urgent meanwhile.
     if (loop_.now() - begun > starts_may_take_s()) {
       place_again_ = true;
@@ -354,7 +356,7 @@
   co_return any;
 }
 
-void Holder::order_starts(const std::vector<CommittedStart>& starts) {
+void ShardLeader::order_starts(const std::vector<CommittedStart>& starts) {
   const double at = loop_.now();
   for (auto& s : starts) {
     attempts_[s.task] = {{s.attempt, {at, 0, s.image_cached}}};
--- a/src/coordination/holder_gangs.cpp
+++ b/src/coordination/holder_gangs.cpp
@@ -5,22 +5,22 @@
 
 namespace damsonport {
 
-bool Holder::is_stopping(const PlacedTask& task) const {
+bool ShardLeader::is_stopping(const PlacedTask& task) const {
   auto stop = stopping_.find(task.name);
   return stop != stopping_.end() && stop->second.attempt == task.attempt;
 }
 
-bool Holder::has_ended(const PlacedTask& task) const {
+bool ShardLeader::has_ended(const PlacedTask& task) const {
   auto exit = exits_.find(task.name);
   return exit != exits_.end() && exit->second.attempt == task.attempt;
 }
 
-const Machine* Holder::find_machine(const std::string& id) const {
+const Machine* ShardLeader::find_machine(const std::string& id) const {
   auto it = machines_.find(id);
   return it == machines_.end() ? nullptr : &it->second;
 }
 
-uint32_t Holder::startable_gang_tasks(const Job& job, TaskRange gang) {
+uint32_t ShardLeader::startable_gang_tasks(const Job& job, TaskRange gang) {
   // An older controller that takes over would go on with it task by task.
   const bool replicated = job.spec.replicated();
   const uint64_t version = replicated ? VersionRegistry::replicas : VersionRegistry::gangs;
@@ -29,7 +29,7 @@
   return gangs_.startable(job, gang);
 }
 
-void Holder::review_gang(const Job& job, TaskRange gang) {
+void ShardLeader::review_gang(const Job& job, TaskRange gang) {
   if (is_cancelled(job) || gangs_.next_action(job, gang) != GangAction::give_up) return;
   for (auto& task : job.live_tasks(gang)) {
     // One that was told to save goes on with it.
@@ -40,7 +40,7 @@
   }
 }
 
-void Holder::review_gangs() {
+void ShardLeader::review_gangs() {
   for (auto& [id, job] : cache_.jobs()) {
     if (job->live == 0) continue;
     const uint32_t count = gang_count(job->spec);
@@ -54,7 +54,7 @@
 
 // The tasks of a gang complete together: when one is done, all of its attempt are, whether or not
 // their own reports arrive any more.
-void Holder::finish_gang(const Job& gang, uint64_t attempt) {
+void ShardLeader::finish_gang(const Job& gang, uint64_t attempt) {
   for (auto& task : gang.live_tasks())
     if (task.attempt == attempt && !exits_.contains(task.name)) {
       exits_[task.name] = {attempt, ExitCause::done, task.machine};
@@ -62,7 +62,7 @@
     }
 }
 
-void Holder::note_exit(const TaskName& task, PendingExit exit) {
+void ShardLeader::note_exit(const TaskName& task, PendingExit exit) {
   mark_changed(exit.machine);
   Job* job = cache_.job(task.job);
   if (!job || job->spec.gang_size() == 0) {
@@ -82,11 +82,11 @@
   review_gang(*job, gang);
 }
 
-void Holder::stop_gang(const Job& job, TaskRange gang, double grace_s) {
+void ShardLeader::stop_gang(const Job& job, TaskRange gang, double grace_s) {
   for (auto& task : job.live_tasks(gang)) stop_task(task, grace_s);
 }
 
-void Holder::stop_task(const PlacedTask& task, double grace_s) {
+void ShardLeader::stop_task(const PlacedTask& task, double grace_s) {
   if (returned_.contains(task.machine)) return;  // gone with its machine
   stopping_[task.name] = {task.attempt, grace_s};
   Machine& m = machine(task.machine);
--- a/src/coordination/holder_machines.cpp
+++ b/src/coordination/holder_machines.cpp
@@ -11,7 +11,7 @@
 constexpr uint64_t attempts_in_vain = 3;  // of one task, in the records: its job is suspected
 }  // namespace
 
-Machine& Holder::machine(const std::string& id) {
+Machine& ShardLeader::machine(const std::string& id) {
   auto [it, fresh] = machines_.try_emplace(id);
   if (fresh) {
     it->second.id = id;
@@ -22,17 +22,17 @@
   return it->second;
 }
 
-placing::Amounts Holder::total_of(const Machine& m) const {
+placing::Amounts ShardLeader::total_of(const Machine& m) const {
   auto* t = deps_.catalog.type(m.type);
   return t ? placing::Amounts{t->cpus, t->gpus, t->memory_gb} : placing::Amounts{};
 }
 
-double Holder::stop_grace(const JobSpec& s) const {
+double ShardLeader::stop_grace(const JobSpec& s) const {
   return s.checkpoint_s > 0 ? s.save_s * 1.2 + settings_.report_s / 10 : 0;
 }
 
 // Everything that is or may be there counts: what the records place, and whatever else is reported.
-placing::Amounts Holder::free_of(const Machine& m) const {
+placing::Amounts ShardLeader::free_of(const Machine& m) const {
   auto room = total_of(m);
   auto take = [&](const JobSpec& s) { room -= {s.cpus, s.gpus, s.memory_gb}; };
   auto& assigned = cache_.assigned(m.id);
@@ -49,55 +49,55 @@
   return room;
 }
 
-double Holder::silence(const Machine& m) const {
+double ShardLeader::silence(const Machine& m) const {
   return loop_.now() - std::max(m.last_heard, quiet_base_);
 }
 
-bool Holder::open_for_work(const Machine& m) const {
+bool ShardLeader::open_for_work(const Machine& m) const {
   return m.session != 0 && !m.draining && !m.notice_at && !cache_.leaving(m.id) &&
          !to_return_.contains(m.id) && !returned_.contains(m.id) && m.failed_sends < 2 &&
          !in_doubt(m);
 }
 
-std::set<std::string> Holder::silent_zones() const {
+std::set<std::string> ShardLeader::silent_zones() const {
   // Reports that are missing before a zone counts as silent, and the shortest time for it.
   constexpr double missing_reports = 10, least_report_share = 0.25;
   struct Zone {
-    double heard = 0;  // machines
+    double received = 0;  // machines
     double last_heard = -1e9;
   };
   std::map<std::string, Zone> zones;
   for (auto& [id, m] : machines_) {
     if (m.session == 0) continue;
     auto& zone = zones[m.zone];
-    ++zone.heard;
+    ++zone.received;
     zone.last_heard = std::max({zone.last_heard, m.last_heard, m.last_direct});
   }
   std::set<std::string> silent;
   for (auto& [name, zone] : zones) {
     const double patience =
-        settings_.report_s * std::max(missing_reports / zone.heard, least_report_share);
+        settings_.report_s * std::max(missing_reports / zone.received, least_report_share);
     const double quiet = loop_.now() - std::max(zone.last_heard, quiet_base_);
     if (quiet > std::min(patience, doubt_s())) silent.insert(name);
   }
   return silent;
 }
 
-double Holder::doubt_s() const {
+double ShardLeader::doubt_s() const {
   return std::min(tuning_.doubt_reports * settings_.report_s,
                   tuning_.doubt_lease_share * settings_.lease_s);
 }
 
-double Holder::give_up_s() const {
+double ShardLeader::give_up_s() const {
   const double lease = settings_.lease_s;
   return std::max(
       std::min(tuning_.return_reports * settings_.report_s, tuning_.return_lease_most * lease),
       tuning_.return_lease_share * lease);
 }
 
-bool Holder::in_doubt(const Machine& m) const { return silence(m) >= doubt_s(); }
+bool ShardLeader::in_doubt(const Machine& m) const { return silence(m) >= doubt_s(); }
 
-std::vector<Expected> Holder::expected_on(const Machine& m) const {
+std::vector<Expected> ShardLeader::expected_on(const Machine& m) const {
   std::vector<Expected> out;
   for (auto& [a, attempt] : cache_.assigned(m.id)) {
     TaskName name{a.job->spec.id, a.index};
@@ -110,12 +110,12 @@
   return out;
 }
 
-void Holder::mark_changed(const std::string& machine) {
+void ShardLeader::mark_changed(const std::string& machine) {
   dirty_machines_.insert(machine);
   repeated_reports_.forget(machine);
 }
 
-bool Holder::may_repeat(const Machine& m, const Report& r, const Reconciled& outcome) const {
+bool ShardLeader::may_repeat(const Machine& m, const Report& r, const Reconciled& outcome) const {
   // Notices grow shorter, and a gang's tasks are followed from report to report.
   const bool any_gang = std::any_of(m.tasks.begin(), m.tasks.end(), [&](auto& task) {
     const Job* job = cache_.job(task.first.job);
@@ -125,8 +125,8 @@
          deps_.catalog.type(m.type);
 }
 
-bool Holder::process_report(Machine& m, const Report& r, bool direct, double as_of,
-                            std::vector<Command>& commands) {
+bool ShardLeader::process_report(Machine& m, const Report& r, bool direct, double as_of,
+                                 std::vector<Command>& commands) {
   const auto session_before = m.session;
   // What ran until the last repetition of the report before this one used its images until then.
   const double repeated_at = std::exchange(m.repeated_at, 0);
@@ -163,7 +163,7 @@
   return repeatable;
 }
 
-void Holder::assignment_changed(const std::string& machine, const Job& job, bool added) {
+void ShardLeader::assignment_changed(const std::string& machine, const Job& job, bool added) {
   if (fencing_token_ != 0) mark_changed(machine);
   if (!added) return;
   // How much a machine holds depends on its type, which is not known here: as much as any.
@@ -174,7 +174,7 @@
 
 // At a machine's first report to a new holder. Without it every start after a takeover seemed to
 // need a fetch, except of the images running just then.
-void Holder::recall_images(Machine& m) {
+void ShardLeader::recall_images(Machine& m) {
   auto* type = deps_.catalog.type(m.type);
   auto seen = images_seen_.find(m.id);
   if (!type || seen == images_seen_.end()) return;
@@ -186,7 +186,7 @@
     m.images.used(*image, seen->second.images().at(*image).second, at, type->cache_gb);
 }
 
-void Holder::note_images(Machine& m, double at) {
+void ShardLeader::note_images(Machine& m, double at) {
   auto* type = deps_.catalog.type(m.type);
   if (!type) return;
   for (auto& [name, t] : m.tasks) {
@@ -198,7 +198,7 @@
 }
 
 // Which images the machine holds and fetches, and since when tasks run.
-void Holder::note_states(Machine& m) {
+void ShardLeader::note_states(Machine& m) {
   const double now = loop_.now();
   note_images(m, now);
   auto fetching = std::move(m.fetching);
@@ -221,7 +221,7 @@
 
 // A replica that may have been ready is never ready again under an attempt that lost a part, so the
 // part isn't started anew as any other task would be: the attempt is over.
-void Holder::note_absent_parts(const Machine& m) {
+void ShardLeader::note_absent_parts(const Machine& m) {
   if (!replicas_.any() || m.fencing_token < fencing_token_ || !records_current()) return;
   std::vector<std::pair<const Job*, TaskRange>> concerned;
   for (auto& [assignment, attempt] : cache_.assigned(m.id)) {
@@ -238,7 +238,7 @@
   for (auto& [job, replica] : concerned) review_gang(*job, replica);
 }
 
-void Holder::note_running(Machine& m, const TaskName& task, uint64_t attempt) {
+void ShardLeader::note_running(Machine& m, const TaskName& task, uint64_t attempt) {
   const double now = loop_.now();
   auto attempts = attempts_.find(task);
   if (attempts == attempts_.end()) return;
@@ -255,7 +255,7 @@
 }
 
 // After the exit is in the records: what it teaches about the machine and the job.
-void Holder::finish_exit(const PendingExit& exit, const TaskName& task) {
+void ShardLeader::finish_exit(const PendingExit& exit, const TaskName& task) {
   const double now = loop_.now();
   stopping_.erase(task);
   Attempt seen;
@@ -305,7 +305,7 @@
   }
 }
 
-void Holder::note_error(Machine& m, const JobSpec& spec) {
+void ShardLeader::note_error(Machine& m, const JobSpec& spec) {
   auto& hints = hints_[spec.id];
   ++hints.errors;
   failures_.failed(spec.id, m.id, loop_.now());
@@ -323,7 +323,7 @@
       loop_.now() + std::min(backoff_s, settings_.lease_s * longest_backoff_leases);
 }
 
-void Holder::review_failures() {
+void ShardLeader::review_failures() {
   constexpr double most_drained_share = 0.25, remembered_leases = 5;
   failures_.forget_failures_before(loop_.now() - settings_.lease_s * remembered_leases);
   size_t drained = 0;
@@ -348,7 +348,7 @@
   }
 }
 
-bool Holder::failed_before(const Job& job) {
+bool ShardLeader::failed_before(const Job& job) {
   if (job.live > 0 || job.done > 0) return false;
   // Their attempts grow with every machine that is lost.
   if (job.spec.replicated()) return false;
--- a/src/coordination/holder_orders.cpp
+++ b/src/coordination/holder_orders.cpp
@@ -7,12 +7,12 @@
 
 namespace damsonport {
 
-void Holder::order(Machine& m, Command command) {
+void ShardLeader::order(Machine& m, Command command) {
   m.outbox.push_back(std::move(command));
   flush(m.id);
 }
 
-void Holder::flush(const std::string& id) {
+void ShardLeader::flush(const std::string& id) {
   auto& m = machines_.at(id);
   if (m.sending || m.session == 0 || m.outbox.empty()) return;
   // One that should have reported is likely out of reach: its next report is answered with what is
@@ -24,7 +24,7 @@
 }
 
 // Bounded, so that orders to many machines that don't answer leave sockets to everybody else.
-void Holder::start_sends() {
+void ShardLeader::start_sends() {
   while (sends_ < direct_sockets(settings_) && !send_queue_.empty()) {
     ++sends_;
     loop_.spawn("orders", send(std::move(send_queue_.front())));
@@ -32,7 +32,7 @@
   }
 }
 
-Task<void> Holder::send(std::string id) {
+Task<void> ShardLeader::send(std::string id) {
   // Lets the other orders of this turn join the message.
   co_await Sleep(loop_, 0, {});
   co_await send_orders(std::move(id));
@@ -41,12 +41,12 @@
 }
 
 // Asked again right before an order goes out: the records may have moved on since it was made.
-bool Holder::still_wanted(const Machine& m, const Command& c) const {
+bool ShardLeader::still_wanted(const Machine& m, const Command& c) const {
   if (c.op != Command::Op::start) return true;
   return !exits_.contains(c.task) && cache_.places(c.task, c.attempt, m.id);
 }
 
-Task<void> Holder::send_orders(std::string id) {
+Task<void> ShardLeader::send_orders(std::string id) {
   for (;;) {
     auto it = machines_.find(id);
     if (it == machines_.end()) co_return;
@@ -58,7 +58,7 @@
     std::erase_if(commands, [&](const Command& c) {
       return c.op == Command::Op::start && is_cancelled(*cache_.job(c.task.job));
     });
-    if (commands.empty() || !holding()) {
+    if (commands.empty() || !is_leading()) {
       m.sending = false;
       co_return;
     }
@@ -103,12 +103,12 @@
   }
 }
 
-void Holder::start_probe(const std::string& id) {
+void ShardLeader::start_probe(const std::string& id) {
   const auto most = static_cast<size_t>(direct_sockets(settings_)) / 2;
   if (!probing_.contains(id) && probing_.size() < most) loop_.spawn("probe", probe(id));
 }
 
-Task<void> Holder::probe(std::string id) {
+Task<void> ShardLeader::probe(std::string id) {
   auto it = machines_.find(id);
   Endpoint to;
   if (it == machines_.end() || !parse_endpoint(it->second.address, to)) co_return;
--- a/src/coordination/holder_view.cpp
+++ b/src/coordination/holder_view.cpp
@@ -6,7 +6,7 @@
 
 namespace damsonport {
 
-void Holder::reset_view() {
+void ShardLeader::reset_view() {
   view_ = {};
   view_.guarantee_within_s = settings_.guarantee_within();
   view_.gang_hold_after_s = settings_.gang_wait_s * tuning_.gang_hold_after_share;
@@ -22,7 +22,7 @@
 }
 
 // What doesn't change as long as the job is there.
-void Holder::describe_job(const JobSpec& s, placing::JobView& v) {
+void ShardLeader::describe_job(const JobSpec& s, placing::JobView& v) {
   v.id = s.id;
   for (size_t t = 0; t < view_.teams.size(); ++t)
     if (view_.teams[t].name == s.team) v.team = t;
@@ -51,7 +51,7 @@
   v.grace_s = stop_grace(s);
 }
 
-uint32_t Holder::startable_tasks(const Job& job, uint32_t gang) {
+uint32_t ShardLeader::startable_tasks(const Job& job, uint32_t gang) {
   if (job.spec.gang_size() > 0) return startable_gang_tasks(job, gang_range(job.spec, gang));
   const auto unstarted = static_cast<uint32_t>(job.unstarted());
   if (!failures_.job_at_fault(job.spec.id)) return unstarted;
@@ -59,7 +59,7 @@
   return job.live == 0 ? std::min(unstarted, 1U) : 0;
 }
 
-void Holder::refresh_job(Job& job) {
+void ShardLeader::refresh_job(Job& job) {
   bool fresh = false;
   const auto& slots = job_slots_.take(job, view_.jobs, fresh);
   auto& s = job.spec;
@@ -91,7 +91,7 @@
   }
 }
 
-void Holder::refresh_machine(Machine& m) {
+void ShardLeader::refresh_machine(Machine& m) {
   if (!m.slot) {
     m.slot = take_slot(free_machine_slots_, view_.machines);
     view_.machines[*m.slot].id = m.id;
@@ -132,7 +132,7 @@
   }
 }
 
-void Holder::forget_machine(const std::string& id) {
+void ShardLeader::forget_machine(const std::string& id) {
   given_up_.erase(id);
   failures_.forget_machine(id);
   repeated_reports_.forget(id);
@@ -146,7 +146,7 @@
   machines_.erase(it);
 }
 
-void Holder::refresh_view() {
+void ShardLeader::refresh_view() {
   const double now = loop_.now();
   for (auto it = held_back_.begin(); it != held_back_.end();) {
     if (Job* job = cache_.job(*it)) dirty_jobs_.insert(job);
--- a/src/coordination/lease_renewal.cpp
+++ b/src/coordination/lease_renewal.cpp
@@ -16,14 +16,14 @@
 }  // namespace
 
 LeaseRenewal::LeaseRenewal(Loop& loop, const Settings& settings, Cache& cache,
-                           PeerNetwork& peer_network, const Cancellations& cancellations,
-                           ExitRelay& exit_relay, const StateContact& contact)
+                           PeerNetwork& peer_network, const CancellationGossip& cancellations,
+                           ExitForwarder& exit_forwarder, const StateContact& contact)
     : loop_(loop),
       settings_(settings),
       cache_(cache),
       peer_network_(peer_network),
       cancellations_(cancellations),
-      exit_relay_(exit_relay),
+      exit_forwarder_(exit_forwarder),
       contact_(contact) {}
 
 // Silence never counts as proof that a task is gone and a machine is returned first, so running
@@ -35,7 +35,7 @@
   s.alone = peer_network_.alone();
   s.first_visit = first;
   const double now = loop_.now();
-  s.staleness_s = now - std::max(cache_.as_of(), cancellations_.covered(now));
+  s.staleness_s = now - std::max(cache_.as_of(), cancellations_.watermark(now));
   return decide_renewal(s, staleness_bound_s(settings_.cancel_s, settings_.lease_s)) ==
          RenewalDecision::renew;
 }
@@ -47,20 +47,21 @@
   return fresh;
 }
 
-const Grant* LeaseRenewal::recorded_holder() const {
-  const Grant* held = nullptr;
-  for (auto& grant : cache_.blocks().grants)
-    if (grant.rest) held = &grant;
+const ShardLease* LeaseRenewal::recorded_holder() const {
+  const ShardLease* held = nullptr;
+  for (auto& grant : cache_.shard_table().leases)
+    if (grant.covers_unassigned) held = &grant;
   return held;
 }
 
-bool LeaseRenewal::should_answer(const MisroutedMachine& machine, const std::string& holder) const {
+bool LeaseRenewal::should_answer(const MisroutedMachine& machine,
+                                 const std::string& shard_leader) const {
   const double patience = missing_share * settings_.lease_s;
   // A machine that can reach one controller in five makes the round of all in most of a lease, so
   // the second visit would be too late: where we can't reach the holder either, and its key stands
   // longer than a dead node's would, the first visit is answered.
-  const bool apart = peer_network_.silence(holder) > patience && cache_.has_leader() &&
-                     cache_.leader().node == holder;
+  const bool apart = peer_network_.silence(shard_leader) > patience && cache_.has_leader() &&
+                     cache_.leader().node == shard_leader;
   // Where only the way between controllers is closed the machine must be sent back to its holder
   // each other time, or it would seem lost to it. In a cut there is nowhere to send it.
   const bool cut_off = apart && !contact_.in_contact();
@@ -85,27 +86,27 @@
 // and nothing forgotten here, and silence never proves to the holder that a task is gone. Tasks of
 // cancelled jobs are stopped, since the holder can't do it.
 HttpResponse LeaseRenewal::answer(const Report& report) {
-  const Grant* held = recorded_holder();
+  const ShardLease* held = recorded_holder();
   if (!held) return {421, encode_report_to({}), 0};
   // A peer may hold a newer grant than the records that we have read say, ours among them.
-  const auto newest = peer_network_.newest_holder();
-  const std::string& holder = newest.second > held->fencing_token ? newest.first : held->node;
-  if (holder == settings_.node_name) return {421, encode_report_to({}), 0};
+  const auto newest = peer_network_.newest_shard_leader();
+  const std::string& shard_leader = newest.second > held->fencing_token ? newest.first : held->node;
+  if (shard_leader == settings_.node_name) return {421, encode_report_to({}), 0};
   note_visit(report.machine);
   MisroutedMachine& machine = misrouted_.at(report.machine);
   const bool answers = cache_.loaded() && report.fencing_token <= held->fencing_token &&
-                       should_answer(machine, holder) && may_renew(false);
+                       should_answer(machine, shard_leader) && may_renew(false);
   if (!answers) {
     // The node named by the records, unless it seems dead. After an answer it is named in any case:
     // it may be back in reach, or only our own way to it be closed.
-    const bool named = peer_network_.alive(holder) || machine.answered;
+    const bool named = peer_network_.alive(shard_leader) || machine.answered;
     machine.answered = false;
-    return {421, encode_report_to(named ? holder : std::string()), 0};
+    return {421, encode_report_to(named ? shard_leader : std::string()), 0};
   }
   machine.answered = true;
   const auto commands = stops_of_cancelled(report);
   relay_exits(report, held->fencing_token);
-  spdlog::debug("answered {} for {}", report.machine, holder);
+  spdlog::debug("answered {} for {}", report.machine, shard_leader);
   return {200, encode_report_answer(held->fencing_token, commands), 0};
 }
 
@@ -114,7 +115,7 @@
   if (report.fencing_token != fencing_token) return;
   for (auto& task : report.tasks)
     if (task.state == TaskState::exited)
-      exit_relay_.saw(fencing_token, {report.machine, task.task, task.attempt, task.cause});
+      exit_forwarder_.saw(fencing_token, {report.machine, task.task, task.attempt, task.cause});
 }
 
 uint64_t LeaseRenewal::misrouted_machines() const {
--- a/src/coordination/lease_renewal.hpp
+++ b/src/coordination/lease_renewal.hpp
@@ -14,7 +14,7 @@
 class LeaseRenewal {
  public:
   LeaseRenewal(Loop& loop, const Settings& settings, Cache& cache, PeerNetwork& peer_network,
-               const Cancellations& cancellations, ExitRelay& exit_relay,
+               const CancellationGossip& cancellations, ExitForwarder& exit_forwarder,
                const StateContact& contact);
 
   // A report may be answered with a lease: what this node doesn't know of cancellations is not too
@@ -36,8 +36,8 @@
     bool answered = false;  // the last time, so that the next report tries the holder again
   };
   // The newest holder and its term, by the records and the peers; null: nobody holds.
-  const Grant* recorded_holder() const;
-  bool should_answer(const MisroutedMachine& machine, const std::string& holder) const;
+  const ShardLease* recorded_holder() const;
+  bool should_answer(const MisroutedMachine& machine, const std::string& shard_leader) const;
   std::vector<Command> stops_of_cancelled(const Report& report);
   void relay_exits(const Report& report, uint64_t fencing_token);
 
@@ -45,8 +45,8 @@
   const Settings& settings_;
   Cache& cache_;
   PeerNetwork& peer_network_;
-  const Cancellations& cancellations_;
-  ExitRelay& exit_relay_;
+  const CancellationGossip& cancellations_;
+  ExitForwarder& exit_forwarder_;
   const StateContact& contact_;
   std::unordered_map<std::string, MisroutedMachine> misrouted_;
 };
--- a/src/coordination/node.cpp
+++ b/src/coordination/node.cpp
@@ -21,7 +21,7 @@
 
 // Of users and workers.
 size_t max_connections(const Settings& s) {
-  const int left = s.max_sockets - kept_sockets - Holder::direct_sockets(s);
+  const int left = s.max_sockets - kept_sockets - ShardLeader::direct_sockets(s);
   return static_cast<size_t>(std::max(left, s.max_sockets / 2));
 }
 
@@ -42,10 +42,10 @@
 }
 
 // Of the requests: the others confirm what users are told.
-double share_of(bool leading, int nodes) {
+double share_of(bool is_leading, int nodes) {
   if (nodes <= 1) return 1;
   constexpr double leader_share = 0.5;
-  return leading ? leader_share : (1 - leader_share) / (nodes - 1);
+  return is_leading ? leader_share : (1 - leader_share) / (nodes - 1);
 }
 }  // namespace
 
@@ -62,12 +62,13 @@
       cancellations_(incarnation_, peer_names(settings)),
       peer_network_(loop, network, settings, cancellations_),
       versions_(loop, settings, state_, cache_),
-      exit_relay_(loop, settings, state_, cache_),
+      exit_forwarder_(loop, settings, state_, cache_),
       budgets_(settings, regions, cache_),
       regions_(loop, network, settings, regions, budgets_),
       election_(loop, settings, state_, cache_, incarnation_, changed_),
-      holder_({loop, settings, state_, cache_, *http_, catalog_, peer_network_, cancellations_,
-               election_, versions_, exit_relay_, budgets_, regions_, changed_, incarnation_}),
+      shard_leader_({loop, settings, state_, cache_, *http_, catalog_, peer_network_,
+                     cancellations_, election_, versions_, exit_forwarder_, budgets_, regions_,
+                     changed_, incarnation_}),
       api_(loop, settings, state_, cache_, catalog_, versions_),
       server_(network.server(max_read, max_connections(settings), idle_connection_s,
                              [this](HttpRequest r) { return route(std::move(r)); })) {
@@ -82,16 +83,18 @@
     if (job && job->cancelled && cancellations_.record(job->spec.id, job->cancelled_since) &&
         job->version > cache_.revision())
       peer_network_.wake();
-    holder_.job_changed(job);
+    shard_leader_.job_changed(job);
   };
-  peer_network_.on_cancelled = [this](const std::string& job) { holder_.cancelled_elsewhere(job); };
-  regions_.on_news = [this] { holder_.budget_news(); };
+  peer_network_.on_cancelled = [this](const std::string& job) {
+    shard_leader_.cancelled_elsewhere(job);
+  };
+  regions_.on_news = [this] { shard_leader_.budget_news(); };
   cache_.on_assignment = [this](const std::string& machine, const Job& job, bool added) {
-    holder_.assignment_changed(machine, job, added);
+    shard_leader_.assignment_changed(machine, job, added);
   };
   cache_.on_job_gone = [this](Job* job) {
     cancellations_.forget(job->spec.id);
-    holder_.job_gone(job);
+    shard_leader_.job_gone(job);
   };
 }
 
@@ -115,13 +118,14 @@
   loop_.spawn("catalogue", catalog_.follow(stop_token));
   loop_.spawn("peers",
               peer_network_.send_heartbeats([this] { return next_heartbeat(); }, stop_token));
-  loop_.spawn("regions", regions_.run([this] { return holder_.fencing_token(); }, stop_token));
+  loop_.spawn("regions",
+              regions_.run([this] { return shard_leader_.fencing_token(); }, stop_token));
   loop_.spawn("version", versions_.announce(stop_token));
-  loop_.spawn("exit relay", exit_relay_.run(stop_token));
+  loop_.spawn("exit relay", exit_forwarder_.run(stop_token));
   loop_.spawn("election", election_.run(stop_token));
-  loop_.spawn("holder", holder_.run(stop_token));
-  loop_.spawn("machines", holder_.run_maintenance(stop_token));
-  loop_.spawn("machine list", holder_.follow_machine_list(stop_token));
+  loop_.spawn("holder", shard_leader_.run(stop_token));
+  loop_.spawn("machines", shard_leader_.run_maintenance(stop_token));
+  loop_.spawn("machine list", shard_leader_.follow_machine_list(stop_token));
   loop_.spawn("accepting", api_.run_accept_loop(stop_token));
   loop_.spawn("confirming", api_.run_confirm_loop(stop_token));
   loop_.spawn("housekeeping", housekeeping(stop_token));
@@ -133,11 +137,11 @@
   b.node = settings_.node_name;
   b.incarnation = incarnation_;
   b.state_age_ms = static_cast<uint64_t>(std::min(loop_.now() - state_.last_contact(), 1e6) * 1000);
-  b.waiting = holder_.waiting_tasks();
+  b.waiting = shard_leader_.waiting_tasks();
   b.loaded = cache_.loaded();
-  b.misrouted_machines = holder_.misrouted_machines();
+  b.misrouted_machines = shard_leader_.misrouted_machines();
   b.writes = static_cast<uint64_t>(std::ceil(wanted_writes()));
-  b.fencing_token = holder_.fencing_token();
+  b.fencing_token = shard_leader_.fencing_token();
   return b;
 }
 
@@ -145,17 +149,17 @@
 // of the limit always, and all of it where it isn't heard.
 double Node::wanted_writes() const {
   const double wanted = api_.wanted_writes();
-  if (!election_.leading()) return wanted;
+  if (!election_.is_leading()) return wanted;
   return wanted + settings_.state_limits.present().writes_per_s / 2 +
-         static_cast<double>(holder_.waiting_writes());
+         static_cast<double>(shard_leader_.waiting_writes());
 }
 
 void Node::share_limits() {
-  const bool leading = election_.leading();
+  const bool is_leading = election_.is_leading();
   double others = static_cast<double>(peer_network_.wanted_writes());
-  if (!leading && !(cache_.has_leader() && peer_network_.alive(cache_.leader().node)))
+  if (!is_leading && !(cache_.has_leader() && peer_network_.alive(cache_.leader().node)))
     others += settings_.state_limits.present().writes_per_s;
-  state_.limit().set_shares(share_of(leading, settings_.nodes),
+  state_.limit().set_shares(share_of(is_leading, settings_.nodes),
                             write_share(settings_.nodes, wanted_writes(), others));
 }
 
@@ -163,7 +167,7 @@
   const double period = settings_.report_s / 3;
   while (!stop_token.stop_requested()) {
     share_limits();
-    cancellations_.forget_heard_before(cache_.as_of());
+    cancellations_.forget_received_before(cache_.as_of());
     api_.forget_refused();
     http_->trim(idle_connection_s);
     server_->tidy();
@@ -189,7 +193,7 @@
                                                        : Requester::other;
   auto response = co_await dispatch(std::move(r));
   response.close = closes_after_answer(
-      requester, {server_->open(), max_connections(settings_), holder_.fleet_size()});
+      requester, {server_->open(), max_connections(settings_), shard_leader_.fleet_size()});
   co_return response;
 }
 
@@ -200,7 +204,7 @@
   std::string_view path = r.path;
   if (path == reports_path) {
     if (r.method != Method::post) co_return wrong_method;
-    co_return holder_.on_report(r);
+    co_return shard_leader_.on_report(r);
   }
   if (path == "/healthz") {
     if (r.method != Method::get) co_return wrong_method;
--- a/src/coordination/node.hpp
+++ b/src/coordination/node.hpp
@@ -13,7 +13,9 @@
   // False when an address can't be had.
   bool start();
   // Replicas of several parts, where this node holds the grant.
-  std::vector<replicas::ReplicaStatus> replica_statuses() { return holder_.replica_statuses(); }
+  std::vector<replicas::ReplicaStatus> replica_statuses() {
+    return shard_leader_.replica_statuses();
+  }
   uint16_t port() const { return server_->port(); }
 
  private:
@@ -33,14 +35,14 @@
   Notification changed_;
   Cache cache_;
   Catalog catalog_;
-  Cancellations cancellations_;
+  CancellationGossip cancellations_;
   PeerNetwork peer_network_;
   VersionRegistry versions_;
-  ExitRelay exit_relay_;
+  ExitForwarder exit_forwarder_;
   budgets::TeamBudgets budgets_;
   budgets::RegionNetwork regions_;
   Election election_;
-  Holder holder_;
+  ShardLeader shard_leader_;
   UserApi api_;
   std::unique_ptr<HttpServer> server_;
 };
--- a/src/coordination/orphan_cleanup.cpp
+++ b/src/coordination/orphan_cleanup.cpp
@@ -15,7 +15,7 @@
 }  // namespace
 
 OrphanCleanup::OrphanCleanup(Loop& loop, const Settings& settings, Cache& cache, HttpClient& http,
-                             PeerNetwork& peer_network, const Cancellations& cancellations,
+                             PeerNetwork& peer_network, const CancellationGossip& cancellations,
                              const StateContact& contact, MachineListReader& machine_list,
                              int most_sockets)
     : loop_(loop),
@@ -31,11 +31,11 @@
 // Without state service, peers that have it, and the holder: then what was confirmed here may be
 // unknown to everybody else. A holder that doesn't know stops answering in time, which ends the
 // tasks of every machine that runs on; one that hangs keeps them.
-bool OrphanCleanup::no_holder_reachable() const {
+bool OrphanCleanup::no_shard_leader_reachable() const {
   if (!cache_.loaded() || contact_.in_contact() || peer_network_.peer_has_state(contact_.limit_s()))
     return false;
   // Not whom the records name: it may be up again and hold nothing.
-  return peer_network_.newest_holder().second == 0;
+  return peer_network_.newest_shard_leader().second == 0;
 }
 
 std::vector<OrphanCleanup::OrphanHost> OrphanCleanup::orphan_hosts() const {
@@ -57,13 +57,13 @@
 }
 
 Task<void> OrphanCleanup::run_once(std::stop_token stop_token) {
-  if (loop_.now() < next_check_ || !no_holder_reachable()) co_return;
+  if (loop_.now() < next_check_ || !no_shard_leader_reachable()) co_return;
   next_check_ = loop_.now() + settings_.report_s;
   auto hosts = orphan_hosts();
   if (hosts.empty()) co_return;
   std::map<std::string, std::string> addresses;
   MachineListReader::Take take = [&](auto& machine) { addresses[machine.id] = machine.address; };
-  MachineListReader::KeepGoing keep_going = [this] { return no_holder_reachable(); };
+  MachineListReader::KeepGoing keep_going = [this] { return no_shard_leader_reachable(); };
   if (!co_await machine_list_.read(std::move(take), std::move(keep_going), stop_token)) co_return;
   for (auto& host : hosts) host.address = addresses[host.id];
   co_await stop_orphans(hosts, stop_token);
@@ -72,7 +72,7 @@
 
 Task<void> OrphanCleanup::stop_orphans(std::vector<OrphanHost>& hosts, std::stop_token stop_token) {
   uint64_t fencing_token = 0;
-  for (auto& grant : cache_.blocks().grants)
+  for (auto& grant : cache_.shard_table().leases)
     fencing_token = std::max(fencing_token, grant.fencing_token);
   for (size_t done = 0; done < hosts.size() && !stop_token.stop_requested();) {
     const size_t count = std::min(hosts.size() - done, most_sockets_);
--- a/src/coordination/orphan_cleanup.hpp
+++ b/src/coordination/orphan_cleanup.hpp
@@ -16,7 +16,7 @@
  public:
   // `most_sockets`: messages to workers that may be under way at once.
   OrphanCleanup(Loop& loop, const Settings& settings, Cache& cache, HttpClient& http,
-                PeerNetwork& peer_network, const Cancellations& cancellations,
+                PeerNetwork& peer_network, const CancellationGossip& cancellations,
                 const StateContact& contact, MachineListReader& machine_list, int most_sockets);
 
   // Asks each machine that may run a cancelled task, stops what is there under the holder's term,
@@ -30,7 +30,7 @@
     std::vector<std::pair<TaskName, uint64_t>> tasks;
     bool out_of_reach = false;
   };
-  bool no_holder_reachable() const;
+  bool no_shard_leader_reachable() const;
   std::vector<OrphanHost> orphan_hosts() const;
   Task<void> stop_orphans_on(OrphanHost& host, uint64_t fencing_token, size_t& left);
   Task<void> stop_orphans(std::vector<OrphanHost>& hosts, std::stop_token stop_token);
@@ -41,7 +41,7 @@
   Cache& cache_;
   HttpClient& http_;
   PeerNetwork& peer_network_;
-  const Cancellations& cancellations_;
+  const CancellationGossip& cancellations_;
   const StateContact& contact_;
   MachineListReader& machine_list_;
   const size_t most_sockets_;
--- a/src/coordination/peer_network.cpp
+++ b/src/coordination/peer_network.cpp
@@ -8,7 +8,7 @@
 namespace damsonport {
 
 PeerNetwork::PeerNetwork(Loop& loop, Network& network, const Settings& settings,
-                         Cancellations& cancellations)
+                         CancellationGossip& cancellations)
     : loop_(loop), cancellations_(cancellations), period_(settings.report_s / 3), wake_(loop) {
   for (auto& p : settings.peers) {
     links_[p.name] = network.link(p.address);
@@ -80,7 +80,7 @@
   return false;
 }
 
-std::pair<std::string, uint64_t> PeerNetwork::newest_holder() const {
+std::pair<std::string, uint64_t> PeerNetwork::newest_shard_leader() const {
   std::pair<std::string, uint64_t> newest{{}, 0};
   for (auto& [node, s] : seen_)
     if (alive(node) && s.heartbeat.fencing_token > newest.second)
--- a/src/coordination/peer_network.hpp
+++ b/src/coordination/peer_network.hpp
@@ -13,7 +13,8 @@
 
 class PeerNetwork {
  public:
-  PeerNetwork(Loop& loop, Network& network, const Settings& settings, Cancellations& cancellations);
+  PeerNetwork(Loop& loop, Network& network, const Settings& settings,
+              CancellationGossip& cancellations);
   bool listening() const { return listener_ && listener_->listening(); }
   // Sends heartbeats until stopped; `fill` makes what is said to all alike.
   Task<void> send_heartbeats(std::function<Heartbeat()> fill, std::stop_token stop_token);
@@ -34,7 +35,7 @@
   // Some live peer has contact with the state service.
   bool peer_has_state(double max_age_s) const;
   // The live peer with the newest grant by its own word, and its term; 0: none holds one.
-  std::pair<std::string, uint64_t> newest_holder() const;
+  std::pair<std::string, uint64_t> newest_shard_leader() const;
   // The most machines that come to one live peer without being its own.
   uint64_t misrouted_machines() const;
 
@@ -45,7 +46,7 @@
   };
   long take(std::string_view bytes);
   Loop& loop_;
-  Cancellations& cancellations_;
+  CancellationGossip& cancellations_;
   double period_;
   Notification wake_;
   std::map<std::string, Seen> seen_;
--- a/src/coordination/record_division.cpp
+++ b/src/coordination/record_division.cpp
@@ -65,7 +65,7 @@
 Task<bool> RecordDivision::commit_divided_chunks(std::string id, std::stop_token stop_token) {
   const Job& job = *cache_.job(id);
   Txn txn;
-  txn.conditions[keys::blocks] = cache_.blocks_version();
+  txn.conditions[keys::shard_table] = cache_.shard_table_version();
   txn.conditions[keys::job(id)] = job.version;
   std::vector<uint32_t> written;
   for (auto& [n, record] : dividing_.to_write) {
@@ -86,7 +86,7 @@
   if (!read.ok || !read.found || !job || read.item.version != dividing_.job_version)
     co_return false;
   Txn txn;
-  txn.conditions[keys::blocks] = cache_.blocks_version();
+  txn.conditions[keys::shard_table] = cache_.shard_table_version();
   txn.conditions[keys::job(id)] = read.item.version;
   read.item.value[fields::chunk_size] = chunk_size(limits().value_kb);
   read.item.value[fields::layout] = job->layout + 1;
--- a/src/coordination/rentals.cpp
+++ b/src/coordination/rentals.cpp
@@ -103,7 +103,7 @@
 
 Task<bool> Rentals::commit_request(const RentalRequest& request) {
   Txn txn;
-  txn.conditions[keys::blocks] = cache_.blocks_version();
+  txn.conditions[keys::shard_table] = cache_.shard_table_version();
   txn.conditions[keys::rental(request.id)] = 0;
   txn.writes.push_back({keys::rental(request.id),
                         {{"type", request.type},
--- a/src/coordination/replicas/replica_manager.cpp
+++ b/src/coordination/replicas/replica_manager.cpp
@@ -46,8 +46,8 @@
   for (auto& task : job.live_tasks(replica)) {
     PartStatus part{true, task.attempt, false, 0};
     const Machine* machine = facts_.find_machine(task.machine);
-    const bool heard = machine && machine->session != 0 && !facts_.has_ended(task);
-    if (heard) {
+    const bool received = machine && machine->session != 0 && !facts_.has_ended(task);
+    if (received) {
       auto reported = machine->tasks.find(task.name);
       part.running = reported != machine->tasks.end() && reported->second.attempt == task.attempt &&
                      reported->second.state == TaskState::running;
--- a/src/protocol/tuning.cpp
+++ b/src/protocol/tuning.cpp
@@ -20,7 +20,7 @@
     {"straggler-bar", 0.01, 1, &Tuning::straggler_bar, nullptr},
     {"straggler-test-every", 1, 1000, nullptr, &Tuning::straggler_test_every},
     {"straggler-min-successes", 1, 1000, nullptr, &Tuning::straggler_min_successes},
-    {"grant-s", 1, 600, &Tuning::grant_s, nullptr},
+    {"grant-s", 1, 600, &Tuning::shard_lease_s, nullptr},
     {"doubt-reports", 1.5, 100, &Tuning::doubt_reports, nullptr},
     {"doubt-lease-share", 0.05, 10, &Tuning::doubt_lease_share, nullptr},
     {"return-reports", 2, 1000, &Tuning::return_reports, nullptr},
--- a/src/protocol/tuning.hpp
+++ b/src/protocol/tuning.hpp
@@ -14,7 +14,7 @@
   int straggler_test_every = 10;
   int straggler_min_successes = 5;
   // Seconds that a block is granted for.
-  double grant_s = 30.0;
+  double shard_lease_s = 30.0;
   // No new tasks and no orders of their own to a machine silent for so many report periods, or for
   // this share of its lease if that is shorter.
   double doubt_reports = 2.5;
--- a/src/storage/cache.cpp
+++ b/src/storage/cache.cpp
@@ -142,10 +142,10 @@
     apply_job(tail(keys::jobs), item);
   } else if (key.starts_with(keys::chunks)) {
     apply_chunk(tail(keys::chunks), item);
-  } else if (key == keys::blocks) {
-    if (item.version <= blocks_version_) return;
-    blocks_ = item.value.is_null() ? Blocks{} : decode_blocks(item.value);
-    blocks_version_ = item.version;
+  } else if (key == keys::shard_table) {
+    if (item.version <= shard_table_version_) return;
+    shard_table_ = item.value.is_null() ? ShardTable{} : decode_shard_table(item.value);
+    shard_table_version_ = item.version;
   } else if (key == keys::leader) {
     if (item.version <= leader_version_) return;
     has_leader_ = !item.value.is_null();
@@ -167,9 +167,9 @@
     }
   } else if (key.starts_with(keys::exits)) {
     if (item.value.is_object()) {
-      relayed_exits_[tail(keys::exits)] = decode_relayed_exits(item.value);
+      forwarded_exits_[tail(keys::exits)] = decode_forwarded_exits(item.value);
     } else {
-      relayed_exits_.erase(tail(keys::exits));
+      forwarded_exits_.erase(tail(keys::exits));
     }
   } else if (key.starts_with(keys::budgets)) {
     apply_budget(tail(keys::budgets), item);
@@ -361,8 +361,8 @@
       gone.push_back(keys::rental(id));
   for (auto& key : orphans_)
     if (!seen.contains(key)) gone.push_back(key);
-  for (auto& [node, exits] : relayed_exits_)
-    if (!seen.contains(keys::relayed_exits(node))) gone.push_back(keys::relayed_exits(node));
+  for (auto& [node, exits] : forwarded_exits_)
+    if (!seen.contains(keys::forwarded_exits(node))) gone.push_back(keys::forwarded_exits(node));
   for (auto& key : gone) apply({key, Json(), first, 0});
   if (!seen.contains(keys::leader)) apply({keys::leader, Json(), first, 0});
   warning_.clear();
--- a/src/storage/cache.hpp
+++ b/src/storage/cache.hpp
@@ -110,8 +110,8 @@
   // Chunks whose job is gone: left over after a job's end, to be removed.
   const std::set<std::string>& orphans() const { return orphans_; }
 
-  const Blocks& blocks() const { return blocks_; }
-  uint64_t blocks_version() const { return blocks_version_; }
+  const ShardTable& shard_table() const { return shard_table_; }
+  uint64_t shard_table_version() const { return shard_table_version_; }
   const LeaderRecord& leader() const { return leader_; }
   uint64_t leader_version() const { return leader_version_; }
   bool has_leader() const { return has_leader_; }
@@ -129,7 +129,7 @@
   const std::map<std::string, uint64_t>& versions() const { return versions_; }
 
   // Exits that controllers saw for the holder, by controller.
-  const std::map<std::string, RelayedExits>& relayed_exits() const { return relayed_exits_; }
+  const std::map<std::string, ForwardedExits>& forwarded_exits() const { return forwarded_exits_; }
 
   // This region's budgets of the teams' limits, by team; none where limits are not divided.
   struct Budget {
@@ -179,15 +179,15 @@
   // Versions of keys removed lately, so that an older copy does not bring them back: the newest and
   // those before them, which go together when there are many newer ones.
   std::unordered_map<std::string, uint64_t> removed_, removed_before_;
-  Blocks blocks_;
-  uint64_t blocks_version_ = 0;
+  ShardTable shard_table_;
+  uint64_t shard_table_version_ = 0;
   LeaderRecord leader_;
   uint64_t leader_version_ = 0;
   bool has_leader_ = false;
   std::map<std::string, std::string> leaving_;
   std::map<std::string, Rental> rentals_;
   std::map<std::string, uint64_t> versions_;
-  std::map<std::string, RelayedExits> relayed_exits_;
+  std::map<std::string, ForwardedExits> forwarded_exits_;
   std::map<std::string, Budget> budgets_;
 };
 
--- a/src/storage/records.cpp
+++ b/src/storage/records.cpp
@@ -148,45 +148,45 @@
   return {{"s", cancelled ? "aborted" : "done"}, {"n", done}};
 }
 
-Json encode_blocks(const Blocks& b) {
-  Json grants = Json::array();
-  for (auto& g : b.grants) {
+Json encode_shard_table(const ShardTable& b) {
+  Json leases = Json::array();
+  for (auto& g : b.leases) {
     Json m = {{"node", g.node}, {"inc", g.incarnation}, {"term", g.fencing_token}};
-    if (g.rest) m["rest"] = true;
+    if (g.covers_unassigned) m["rest"] = true;
     if (!g.machines.empty()) m["machines"] = g.machines;
-    grants.push_back(std::move(m));
+    leases.push_back(std::move(m));
   }
-  return {{"grants", std::move(grants)}, {"renewals", b.renewals}};
+  return {{"grants", std::move(leases)}, {"renewals", b.renewals}};
 }
 
-Blocks decode_blocks(const Json& m) {
-  Blocks b;
+ShardTable decode_shard_table(const Json& m) {
+  ShardTable b;
   b.renewals = m.value("renewals", uint64_t{0});
   if (m.contains("grants"))
     for (auto& g : m["grants"]) {
-      Grant out;
+      ShardLease out;
       out.node = g.value("node", std::string());
       out.incarnation = g.value("inc", uint64_t{0});
       out.fencing_token = g.value("term", uint64_t{0});
-      out.rest = g.value("rest", false);
+      out.covers_unassigned = g.value("rest", false);
       if (g.contains("machines")) out.machines = g["machines"].get<std::vector<std::string>>();
-      b.grants.push_back(std::move(out));
+      b.leases.push_back(std::move(out));
     }
   return b;
 }
 
-Json encode_relayed_exit(const RelayedExit& e) {
+Json encode_forwarded_exit(const ForwardedExit& e) {
   return {e.machine, e.task.job, e.task.index, e.attempt, static_cast<int>(e.cause)};
 }
 
-Json encode_relayed_exits(const RelayedExits& r) {
+Json encode_forwarded_exits(const ForwardedExits& r) {
   Json list = Json::array();
-  for (auto& e : r.exits) list.push_back(encode_relayed_exit(e));
+  for (auto& e : r.exits) list.push_back(encode_forwarded_exit(e));
   return {{"term", r.fencing_token}, {"exits", std::move(list)}};
 }
 
-RelayedExits decode_relayed_exits(const Json& m) {
-  RelayedExits r;
+ForwardedExits decode_forwarded_exits(const Json& m) {
+  ForwardedExits r;
   r.fencing_token = m.value("term", uint64_t{0});
   if (!m.contains("exits")) return r;
   for (auto& e : m["exits"]) {
--- a/src/storage/records.hpp
+++ b/src/storage/records.hpp
@@ -14,7 +14,7 @@
 // Everything under one prefix is cached by every node; final states are read on demand.
 namespace keys {
 inline const std::string cached = "d/";
-inline const std::string blocks = "d/b";
+inline const std::string shard_table = "d/b";
 inline const std::string leader = "d/l";
 inline const std::string jobs = "d/j/";
 inline const std::string chunks = "d/t/";
@@ -32,7 +32,7 @@
 inline std::string leaving(const std::string& batch) { return machines + batch; }
 inline std::string rental(const std::string& id) { return rentals + id; }
 inline std::string version(const std::string& node) { return versions + node; }
-inline std::string relayed_exits(const std::string& node) { return exits + node; }
+inline std::string forwarded_exits(const std::string& node) { return exits + node; }
 inline std::string budget(const std::string& team) { return budgets + team; }
 inline std::string final_state(const std::string& id) { return "f/" + id; }
 }  // namespace keys
@@ -105,38 +105,38 @@
 uint32_t chunk_size(double value_kb);
 
 // Who may place and answer. `rest` is the grant of every machine and team not named in another.
-struct Grant {
+struct ShardLease {
   std::string node;
   uint64_t incarnation = 0;
   uint64_t fencing_token = 0;  // the token of this grant's workers
   std::vector<std::string> machines;
-  bool rest = false;
+  bool covers_unassigned = false;
 };
-struct Blocks {
-  std::vector<Grant> grants;
+struct ShardTable {
+  std::vector<ShardLease> leases;
   uint64_t renewals = 0;
 };
-Json encode_blocks(const Blocks& b);
-Blocks decode_blocks(const Json& m);
+Json encode_shard_table(const ShardTable& b);
+ShardTable decode_shard_table(const Json& m);
 
 // Machines whose marks fit into one value.
 size_t machines_in_a_mark(double value_kb);
 
 // An exit that a controller other than the holder was told of by the machine.
-struct RelayedExit {
+struct ForwardedExit {
   std::string machine;
   TaskName task;
   uint64_t attempt = 0;
   ExitCause cause = ExitCause::none;  // stored as its number
-  auto operator<=>(const RelayedExit&) const = default;
+  auto operator<=>(const ForwardedExit&) const = default;
 };
-struct RelayedExits {
+struct ForwardedExits {
   uint64_t fencing_token = 0;  // that the machines had learned
-  std::vector<RelayedExit> exits;
+  std::vector<ForwardedExit> exits;
 };
-Json encode_relayed_exit(const RelayedExit& e);
-Json encode_relayed_exits(const RelayedExits& r);
-RelayedExits decode_relayed_exits(const Json& m);
+Json encode_forwarded_exit(const ForwardedExit& e);
+Json encode_forwarded_exits(const ForwardedExits& r);
+ForwardedExits decode_forwarded_exits(const Json& m);
 
 struct LeaderRecord {
   std::string node;
--- a/tests/cancellations_test.cpp
+++ b/tests/cancellations_test.cpp
@@ -15,7 +15,7 @@
   std::string name;
   uint64_t incarnation;
   double clock_off;
-  Cancellations said;
+  CancellationGossip said;
   bool loaded = true;
   Side(std::string n, uint64_t life, double off, const std::vector<std::string>& peers)
       : name(std::move(n)), incarnation(life), clock_off(off), said(life, peers) {}
@@ -30,7 +30,7 @@
     return said.merge(b, clock(time)).fresh;
   }
   // How old a cancellation that is unknown here can be.
-  double unheard(double time) const { return clock(time) - said.covered(clock(time)); }
+  double unheard(double time) const { return clock(time) - said.watermark(clock(time)); }
 };
 
 struct Pair {
@@ -42,7 +42,7 @@
   }
 };
 
-TEST(Cancellations, AreHeardOnceAndWithTheirAge) {
+TEST(CancellationGossip, AreHeardOnceAndWithTheirAge) {
   Pair p;
   p.exchange(1);
   p.exchange(2);
@@ -50,13 +50,13 @@
   EXPECT_FALSE(p.b.said.record("run-1", p.b.clock(2.5)));
   EXPECT_EQ(p.a.merge(p.b.heartbeat("a", 3), 3.01), std::vector<std::string>{"run-1"});
   EXPECT_TRUE(p.a.merge(p.b.heartbeat("a", 3.1), 3.11).empty());
-  ASSERT_TRUE(p.a.said.heard("run-1"));
+  ASSERT_TRUE(p.a.said.received("run-1"));
   // Never younger than it is, and older by no more than the way of a heartbeat and its echo.
-  EXPECT_LE(*p.a.said.heard("run-1"), p.a.clock(1.5));
-  EXPECT_GT(*p.a.said.heard("run-1"), p.a.clock(0));
+  EXPECT_LE(*p.a.said.received("run-1"), p.a.clock(1.5));
+  EXPECT_GT(*p.a.said.received("run-1"), p.a.clock(0));
 }
 
-TEST(Cancellations, CoverUpToWhatWasEchoedAndNoFurther) {
+TEST(CancellationGossip, CoverUpToWhatWasEchoedAndNoFurther) {
   Pair p;
   EXPECT_GT(p.a.unheard(1), 1e6);  // nothing was ever said
   p.a.merge(p.b.heartbeat("a", 0.5), 0.51);
@@ -70,7 +70,7 @@
   EXPECT_NEAR(p.a.unheard(60), 57, 0.01);
 }
 
-TEST(Cancellations, AnIncompleteListCoversNothing) {
+TEST(CancellationGossip, AnIncompleteListCoversNothing) {
   Pair p;
   p.exchange(1);
   p.exchange(2);
@@ -85,7 +85,7 @@
 }
 
 // Longest names: what a heartbeat lists is bounded by what every version reads.
-TEST(Cancellations, AHeartbeatStaysWithinWhatItsReceiverTakes) {
+TEST(CancellationGossip, AHeartbeatStaysWithinWhatItsReceiverTakes) {
   Pair p;
   constexpr size_t longest_name = 64;
   for (int i = 0; i < 5000; ++i) {
@@ -107,14 +107,14 @@
 
 // A burst in an outage: with one part of the list a heartbeat period it would take seconds, in
 // which a controller must assume that it doesn't know all.
-TEST(Cancellations, ALongListIsToldWithinAHeartbeatPeriod) {
+TEST(CancellationGossip, ALongListIsToldWithinAHeartbeatPeriod) {
   simulation::World world(1);
   simulation::VirtualNetwork::Streams streams;
   struct Controller {
     Settings settings;
     simulation::VirtualLoop loop;
     simulation::VirtualNetwork network;
-    Cancellations said;
+    CancellationGossip said;
     PeerNetwork peers;
     Controller(simulation::World& world, simulation::VirtualNetwork::Streams& streams,
                const std::string& name, const std::string& host, const std::string& peer,
@@ -152,7 +152,7 @@
   world.run_until(6);
 }
 
-TEST(Cancellations, ABeginnerCoversOnlyOnceItHasReadTheRecords) {
+TEST(CancellationGossip, ABeginnerCoversOnlyOnceItHasReadTheRecords) {
   Pair p;
   for (double t = 1; t < 4; ++t) p.exchange(t);
   Side again{"b", 33, 9000, {"a"}};
@@ -167,7 +167,7 @@
   EXPECT_LT(p.a.unheard(14), 2);
 }
 
-TEST(Cancellations, WhoeverBeganAnewIsToldAllAgain) {
+TEST(CancellationGossip, WhoeverBeganAnewIsToldAllAgain) {
   Pair p;
   p.exchange(1);
   p.b.said.record("run-1", p.b.clock(1));
@@ -182,14 +182,14 @@
   EXPECT_LT(again.unheard(8), 2.1);
 }
 
-TEST(Cancellations, AreKeptUntilTheRecordsSpeakForThem) {
+TEST(CancellationGossip, AreKeptUntilTheRecordsSpeakForThem) {
   Pair p;
   p.exchange(1);
   p.b.said.record("run-1", p.b.clock(1));
   p.exchange(2);
-  p.a.said.forget_heard_before(p.a.clock(1.9));
+  p.a.said.forget_received_before(p.a.clock(1.9));
   EXPECT_TRUE(p.a.said.cancelled("run-1"));
-  p.a.said.forget_heard_before(p.a.clock(2.1));
+  p.a.said.forget_received_before(p.a.clock(2.1));
   EXPECT_FALSE(p.a.said.cancelled("run-1"));
   p.b.said.forget("run-1");
   Side fresh{"a", 12, 500, {"b"}};
--- a/tests/mixed_versions_test.cpp
+++ b/tests/mixed_versions_test.cpp
@@ -29,8 +29,8 @@
       auto spec = decode_job(value);
       ASSERT_TRUE(spec) << spec.error();
       EXPECT_EQ(encode_job_record(*spec, value.at(fields::chunk_size)).dump(), text);
-    } else if (key == keys::blocks) {
-      EXPECT_EQ(encode_blocks(decode_blocks(Json::parse(text))).dump(), text);
+    } else if (key == keys::shard_table) {
+      EXPECT_EQ(encode_shard_table(decode_shard_table(Json::parse(text))).dump(), text);
     }
   }
 }
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -32,10 +32,10 @@
     return static_cast<double>(stored_size(value)) <= kb * 1024;
   };
   EXPECT_TRUE(fits(encode_leader({long_name(64), UINT64_MAX})));
-  Blocks blocks;
-  blocks.grants.push_back({long_name(64), UINT64_MAX, UINT64_MAX, {}, true});
-  blocks.renewals = UINT64_MAX;
-  EXPECT_TRUE(fits(encode_blocks(blocks)));
+  ShardTable shard_table;
+  shard_table.leases.push_back({long_name(64), UINT64_MAX, UINT64_MAX, {}, true});
+  shard_table.renewals = UINT64_MAX;
+  EXPECT_TRUE(fits(encode_shard_table(shard_table)));
   std::vector<std::string> machines(machines_in_a_mark(kb), "i-000000000000000000");
   EXPECT_TRUE(fits({{"machines", machines}}));
   EXPECT_TRUE(
@@ -151,16 +151,16 @@
   EXPECT_LT(limit.writes_per_s(), present);
 }
 
-TEST(RelayedExits, ComeBackFromTheirValue) {
-  RelayedExits r{
+TEST(ForwardedExits, ComeBackFromTheirValue) {
+  ForwardedExits r{
       7, {{"i-1", {"run-1", 3}, 2, ExitCause::done}, {"i-2", {"run-2", 0}, 1, ExitCause::peers}}};
-  const auto back = decode_relayed_exits(encode_relayed_exits(r));
+  const auto back = decode_forwarded_exits(encode_forwarded_exits(r));
   EXPECT_EQ(back.fencing_token, 7u);
   EXPECT_EQ(back.exits, r.exits);
   // A cause that a later version knows is an end all the same, but never a success.
-  auto later = encode_relayed_exits(r);
+  auto later = encode_forwarded_exits(r);
   later["exits"][0][4] = 99;
-  EXPECT_EQ(decode_relayed_exits(later).exits[0].cause, ExitCause::stopped);
+  EXPECT_EQ(decode_forwarded_exits(later).exits[0].cause, ExitCause::stopped);
 }
 
 // What an older controller doesn't understand waits until every one has recorded the version.
@@ -244,14 +244,14 @@
   EXPECT_TRUE(cache.assigned("i-1").empty());
 }
 
-TEST(Blocks, ComeBackFromTheirValue) {
-  Blocks b;
-  b.grants.push_back({"n", 7, 41, {"i-1"}, true});
-  auto back = decode_blocks(encode_blocks(b));
-  ASSERT_EQ(back.grants.size(), 1u);
-  EXPECT_EQ(back.grants[0].fencing_token, 41u);
-  EXPECT_TRUE(back.grants[0].rest);
-  EXPECT_EQ(back.grants[0].machines, std::vector<std::string>{"i-1"});
+TEST(ShardTable, ComeBackFromTheirValue) {
+  ShardTable b;
+  b.leases.push_back({"n", 7, 41, {"i-1"}, true});
+  auto back = decode_shard_table(encode_shard_table(b));
+  ASSERT_EQ(back.leases.size(), 1u);
+  EXPECT_EQ(back.leases[0].fencing_token, 41u);
+  EXPECT_TRUE(back.leases[0].covers_unassigned);
+  EXPECT_EQ(back.leases[0].machines, std::vector<std::string>{"i-1"});
 }
 
 }  // namespace
--- a/tests/regions/region_cluster.cpp
+++ b/tests/regions/region_cluster.cpp
@@ -186,10 +186,11 @@
   });
 }
 
-VirtualController& RegionCluster::holder(size_t region) {
+VirtualController& RegionCluster::shard_leader(size_t region) {
   std::string name;
-  if (auto* value = regions_[region].state->value(keys::blocks))
-    if (auto blocks = decode_blocks(*value); !blocks.grants.empty()) name = blocks.grants[0].node;
+  if (auto* value = regions_[region].state->value(keys::shard_table))
+    if (auto shard_table = decode_shard_table(*value); !shard_table.leases.empty())
+      name = shard_table.leases[0].node;
   for (auto& controller : regions_[region].controllers)
     if (controller->name() == name) return *controller;
   return *regions_[region].controllers.front();
--- a/tests/regions/region_cluster.hpp
+++ b/tests/regions/region_cluster.hpp
@@ -42,7 +42,7 @@
   // Between the controllers of two regions.
   void cut(size_t a, size_t b, Way way, World::Cut how, double for_s);
   // The controller that holds the region's grant, or the first.
-  VirtualController& holder(size_t region);
+  VirtualController& shard_leader(size_t region);
   std::vector<std::unique_ptr<VirtualController>>& controllers(size_t region) {
     return regions_[region].controllers;
   }
--- a/tests/regions/regions_test.cpp
+++ b/tests/regions/regions_test.cpp
@@ -144,7 +144,7 @@
       const bool committer = GetParam().giver == GetParam().after_gift;
       const size_t victim = committer ? region : 1 - region;
       ++kills;
-      cluster.world().in(0, [&cluster, victim] { cluster.holder(victim).crash(6); });
+      cluster.world().in(0, [&cluster, victim] { cluster.shard_leader(victim).crash(6); });
     };
     cluster.at(settled, [&] { cluster.submit(0, "run-1", 14, 1, 40); });
     cluster.at(80, [&] { cluster.submit(1, "run-2", 14, 1, 0); });
@@ -170,7 +170,7 @@
     cluster.on_budget = [&](size_t, auto& before, auto& after) {
       if (!gave(before, after) || std::exchange(struck, true)) return;
       cluster.world().in(0, [&] {
-        for (size_t region : {0, 1}) cluster.holder(region).crash(20);
+        for (size_t region : {0, 1}) cluster.shard_leader(region).crash(20);
       });
     };
     cluster.at(settled, [&] { cluster.submit(0, "run-1", 16, 1, 0); });
@@ -187,7 +187,7 @@
     RegionCluster cluster({.controllers = 3, .seed = seed});
     for (int i = 0; i < 6; ++i)
       cluster.at(settled + 12.0 * i, [&cluster, i] {
-        cluster.holder(i % 2).stall(9);
+        cluster.shard_leader(i % 2).stall(9);
         const size_t region = (i + 1) % 2;
         cluster.submit(region, "run-" + std::to_string(i), 14, 1, 8, Priority::high);
       });
@@ -205,12 +205,12 @@
     RegionCluster cluster({.seed = seed});
     std::string host;
     cluster.at(12, [&] {
-      host = cluster.holder(0).host();
+      host = cluster.shard_leader(0).host();
       cluster.state(0).set_fate(StateService::Fate::applied_late, host);
     });
     cluster.at(12.1, [&] { cluster.submit(1, "run-1", 14, 1, 0); });
     cluster.at(14.2, [&] {
-      cluster.holder(0).crash(60);
+      cluster.shard_leader(0).crash(60);
       cluster.submit(0, "run-2", 8, 1, 0);
     });
     cluster.at(40, [&] { cluster.state(0).set_fate(StateService::Fate::normal, {}); });
@@ -229,7 +229,7 @@
     RegionCluster cluster({.seed = seed});
     // Between two renewals of the grant.
     cluster.at(15.8, [&] {
-      cluster.state(0).set_fate(StateService::Fate::applied_late, cluster.holder(0).host());
+      cluster.state(0).set_fate(StateService::Fate::applied_late, cluster.shard_leader(0).host());
       cluster.submit(1, "run-1", 10, 1, 0);
     });
     cluster.at(17.3, [&] { cluster.state(0).set_fate(StateService::Fate::normal, {}); });
@@ -255,7 +255,7 @@
   cluster.at(from, [&] {
     switch (trouble) {
       case StateTrouble::refuses:
-        return state.refuse(cluster.holder(where).host(), true);
+        return state.refuse(cluster.shard_leader(where).host(), true);
       case StateTrouble::outage:
         return state.set_down(true);
       case StateTrouble::applies_late:
@@ -462,12 +462,12 @@
   auto later = [&](std::function<void()> what) { cluster.world().in(lasts, std::move(what)); };
   switch (below(9)) {
     case 0:
-      return cluster.holder(region).crash(lasts);
+      return cluster.shard_leader(region).crash(lasts);
     case 1:
       for (auto& controller : cluster.controllers(region)) controller->crash(lasts);
       return;
     case 2:
-      return cluster.holder(region).stall(lasts);
+      return cluster.shard_leader(region).stall(lasts);
     case 3:
       return cluster.cut(region, other, RegionCluster::Way::both, World::Cut::drop, 2 * lasts);
     case 4:
--- a/tools/fleet/experiment_run.cpp
+++ b/tools/fleet/experiment_run.cpp
@@ -243,7 +243,8 @@
     broken += second.at("broken").get<double>();
   }
   std::string holders;
-  for (auto& holder : holders_) holders += fmt::format(" {}", holder.empty() ? "-" : holder);
+  for (auto& shard_leader : holders_)
+    holders += fmt::format(" {}", shard_leader.empty() ? "-" : shard_leader);
   progress_ << fmt::format(
                    "{:5.0f} s  {:.0f} workers  {:.0f} tasks on them  {:.0f} started  {:.0f} rules "
                    "broken  holders:{}",
--- a/tools/fleet/state_process.cpp
+++ b/tools/fleet/state_process.cpp
@@ -58,11 +58,12 @@
   state = &service;
   service.on_change = [&](const std::string& key, const Json& value) {
     ++writes;
-    if (key != keys::blocks || !value.is_object()) return;
-    const auto blocks = decode_blocks(value);
-    if (blocks.grants.empty() || blocks.grants[0].fencing_token == fencing_token) return;
-    fencing_token = blocks.grants[0].fencing_token;
-    parent.tell({{"kind", "holder"}, {"node", blocks.grants[0].node}, {"at", loop.loop().now()}});
+    if (key != keys::shard_table || !value.is_object()) return;
+    const auto shard_table = decode_shard_table(value);
+    if (shard_table.leases.empty() || shard_table.leases[0].fencing_token == fencing_token) return;
+    fencing_token = shard_table.leases[0].fencing_token;
+    parent.tell(
+        {{"kind", "holder"}, {"node", shard_table.leases[0].node}, {"at", loop.loop().now()}});
   };
   loop.run([&] {
     parent.tell({{"kind", "second"}, {"writes", writes}, {"keys", service.all().size()}});
