--- a/simulation/fleet.cpp
+++ b/simulation/fleet.cpp
@@ -183,7 +183,7 @@
 void Worker::execute(const Json& orders) {
   for (auto& o : orders) {
     Attempt a;
-    if (!parse_task_name(o.at("hand").get<std::string>(), a.first)) continue;
+    if (!parse_task_id(o.at("hand").get<std::string>(), a.first)) continue;
     a.second = o.at("launch");
     const std::string order = o.at("order");
     auto it = tasks_.find(a);
@@ -260,12 +260,12 @@
   fleet_.gangs_.arrived(a.first, a.second);
 }
 
-bool Worker::ready_for_gang(const TaskName& task, uint64_t attempt) const {
+bool Worker::ready_for_gang(const TaskId& task, uint64_t attempt) const {
   auto it = tasks_.find({task, attempt});
   return !hung() && it != tasks_.end() && it->second.report.state == TaskState::waiting;
 }
 
-void Worker::run_gang_task(const TaskName& task, uint64_t attempt) {
+void Worker::run_gang_task(const TaskId& task, uint64_t attempt) {
   Running& t = tasks_.at({task, attempt});
   if (t.timed) world_.cancel(t.next);
   t.timed = false;
@@ -273,7 +273,7 @@
   changed();
 }
 
-void Worker::end_gang_task(const TaskName& task, uint64_t attempt, ExitCause cause, bool saved) {
+void Worker::end_gang_task(const TaskId& task, uint64_t attempt, ExitCause cause, bool saved) {
   if (hung()) {
     world_.at(hung_until_, [this, task, attempt, cause, saved] {
       if (!gone) end_gang_task(task, attempt, cause, saved);
--- a/simulation/fleet.hpp
+++ b/simulation/fleet.hpp
@@ -30,13 +30,13 @@
   void told(const std::string& job, int status, const std::string& state, double asked);
   void asked_to_cancel(const std::string& job) { asked_to_cancel_.insert(job); }
   // A task has its image and begins; it counts until it leaves.
-  void starts(const std::string& machine, const TaskName& task, uint64_t attempt);
-  void leaves(const std::string& machine, const TaskName& task);
+  void starts(const std::string& machine, const TaskId& task, uint64_t attempt);
+  void leaves(const std::string& machine, const TaskId& task);
   ReplicaChecker& replicas() { return replicas_; }
-  void done(const TaskName& task) { done_.insert(task); }
-  bool is_done(const TaskName& task) const { return done_.contains(task); }
+  void done(const TaskId& task) { done_.insert(task); }
+  bool is_done(const TaskId& task) const { return done_.contains(task); }
   // Called after the rules were checked for a task that starts.
-  std::function<void(const TaskName& task)> on_start;
+  std::function<void(const TaskId& task)> on_start;
   // What a team's tasks on machines take changes by so much.
   std::function<void(const std::string& team, double cpus, double gpus)> on_use;
   void broke(const std::string& rule, const std::string& what);
@@ -50,7 +50,7 @@
 
  private:
   void check_cancelled(const std::string& job);
-  void check_place(const JobSpec& spec, const Worker& worker, const TaskName& task);
+  void check_place(const JobSpec& spec, const Worker& worker, const TaskId& task);
   void count(const JobSpec& spec, const std::string& zone, double sign);
   World& world_;
   const Settings& settings_;
@@ -60,10 +60,10 @@
   std::map<std::string, double> answered_;                      // and last
   std::map<std::string, std::pair<double, std::string>> over_;  // done or aborted, as told first
   std::set<std::string> asked_to_cancel_;
-  std::set<TaskName> done_;
+  std::set<TaskId> done_;
   std::vector<std::string> broken_;
   // What is on machines, kept by starts() and leaves().
-  std::map<TaskName, std::vector<std::string>> machines_of_;
+  std::map<TaskId, std::vector<std::string>> machines_of_;
   std::map<std::string, std::map<std::string, int>> in_zone_;  // by job
   struct Use {
     double cpus = 0, gpus = 0;
@@ -87,15 +87,15 @@
     World::Key next{};
     bool timed = false;
   };
-  using Attempt = std::pair<TaskName, uint64_t>;
+  using Attempt = std::pair<TaskId, uint64_t>;
   const std::map<Attempt, Running>& tasks() const { return tasks_; }
   uint64_t session() const { return session_; }
 
   // A gang's task that has its image, on a machine that goes on, and waits for the others.
-  bool ready_for_gang(const TaskName& task, uint64_t attempt) const;
-  void run_gang_task(const TaskName& task, uint64_t attempt);
+  bool ready_for_gang(const TaskId& task, uint64_t attempt) const;
+  void run_gang_task(const TaskId& task, uint64_t attempt);
   // On a machine that stands still: when it goes on.
-  void end_gang_task(const TaskName& task, uint64_t attempt, ExitCause cause, bool saved);
+  void end_gang_task(const TaskId& task, uint64_t attempt, ExitCause cause, bool saved);
 
   std::string id, address, host, type, zone;
   bool spot;
@@ -195,7 +195,7 @@
   GangRuns gangs_;
   std::map<std::string, std::unique_ptr<Worker>> workers_;
   std::map<std::string, double> run_s_;
-  std::map<TaskName, double> saved_;  // progress kept outside the machines
+  std::map<TaskId, double> saved_;  // progress kept outside the machines
   struct Rented {
     std::string type, zone;
     bool spot;
--- a/simulation/gang_runs.cpp
+++ b/simulation/gang_runs.cpp
@@ -33,7 +33,7 @@
   return it == lost_progress_.end() ? 0 : it->second;
 }
 
-void GangRuns::arrived(const TaskName& task, uint64_t attempt) {
+void GangRuns::arrived(const TaskId& task, uint64_t attempt) {
   const Key key{task.job, attempt};
   auto& run = runs_[key];
   if (run.running) return;  // too late: it waits alone
@@ -64,7 +64,7 @@
   lost_progress_[key.first] += std::max(reached - saved, 0.0);
 }
 
-void GangRuns::lost(const TaskName& task, uint64_t attempt) {
+void GangRuns::lost(const TaskId& task, uint64_t attempt) {
   const Key key{task.job, attempt};
   auto it = runs_.find(key);
   if (it == runs_.end() || !it->second.running || it->second.ended) return;
@@ -77,8 +77,7 @@
   for (auto& m : members(key)) m.worker->end_gang_task(m.task, key.second, cause, saved);
 }
 
-bool GangRuns::told_to_stop(Worker& worker, const TaskName& task, uint64_t attempt,
-                            double grace_s) {
+bool GangRuns::told_to_stop(Worker& worker, const TaskId& task, uint64_t attempt, double grace_s) {
   const Key key{task.job, attempt};
   auto it = runs_.find(key);
   if (it == runs_.end() || !it->second.running || it->second.ended) return false;
--- a/simulation/gang_runs.hpp
+++ b/simulation/gang_runs.hpp
@@ -16,11 +16,11 @@
  public:
   GangRuns(World& world, Fleet& fleet) : world_(world), fleet_(fleet) {}
   // A task has its image and waits for the others; the last one starts them all.
-  void arrived(const TaskName& task, uint64_t attempt);
+  void arrived(const TaskId& task, uint64_t attempt);
   // A task of the gang is gone, or its machine stands still.
-  void lost(const TaskName& task, uint64_t attempt);
+  void lost(const TaskId& task, uint64_t attempt);
   // A task of a running gang was told to stop. False: the gang does not run, the task just exits.
-  bool told_to_stop(Worker& worker, const TaskName& task, uint64_t attempt, double grace_s);
+  bool told_to_stop(Worker& worker, const TaskId& task, uint64_t attempt, double grace_s);
   // Attempts that began to run, of this job.
   int starts(const std::string& job) const;
   // Progress that was lost with attempts that ended without saving.
@@ -32,12 +32,12 @@
     bool running = false, ended = false;
     double begun_at = 0, progress = 0;  // progress at that moment
     double first_halt = -1;
-    std::set<TaskName> told;
+    std::set<TaskId> told;
     World::Key completion{};
   };
   struct Member {
     Worker* worker;
-    TaskName task;
+    TaskId task;
   };
   std::vector<Member> members(const Key& key) const;
   double progress(const Run& run) const;
--- a/simulation/replica_checker.cpp
+++ b/simulation/replica_checker.cpp
@@ -19,7 +19,7 @@
          });
 }
 
-void ReplicaChecker::judge_start(const Replica& replica, const JobSpec& spec, const TaskName& task,
+void ReplicaChecker::judge_start(const Replica& replica, const JobSpec& spec, const TaskId& task,
                                  uint64_t attempt, const std::string& machine) {
   for (auto& [number, other] : replica.attempts)
     for (auto& [index, part] : other) {
@@ -36,7 +36,7 @@
            fmt::format("{} starts under attempt {}, which was ready before", task.text(), attempt));
 }
 
-void ReplicaChecker::part_starts(const JobSpec& spec, const TaskName& task, uint64_t attempt,
+void ReplicaChecker::part_starts(const JobSpec& spec, const TaskId& task, uint64_t attempt,
                                  const std::string& machine) {
   if (!spec.replicated()) return;
   Replica& replica = replicas_[{spec.id, task.index / spec.parts}];
@@ -53,7 +53,7 @@
   replica.broken_since = -1;
 }
 
-void ReplicaChecker::part_leaves(const JobSpec& spec, const TaskName& task,
+void ReplicaChecker::part_leaves(const JobSpec& spec, const TaskId& task,
                                  const std::string& machine) {
   if (!spec.replicated()) return;
   Replica& replica = replicas_[{spec.id, task.index / spec.parts}];
--- a/simulation/replica_checker.hpp
+++ b/simulation/replica_checker.hpp
@@ -18,9 +18,9 @@
   ReplicaChecker(World& world, Broke broke) : world_(world), broke_(std::move(broke)) {}
 
   // A part is on its machine from now on, and until it leaves.
-  void part_starts(const JobSpec& spec, const TaskName& task, uint64_t attempt,
+  void part_starts(const JobSpec& spec, const TaskId& task, uint64_t attempt,
                    const std::string& machine);
-  void part_leaves(const JobSpec& spec, const TaskName& task, const std::string& machine);
+  void part_leaves(const JobSpec& spec, const TaskId& task, const std::string& machine);
   // A controller says that the replica is ready under this attempt, by messages up to `age_s` old.
   void claimed_ready(const std::string& controller, const JobSpec& spec, uint32_t number,
                      uint64_t attempt, double age_s);
@@ -64,7 +64,7 @@
     double longest_s = 0;
   };
   static bool is_whole(const Attempt& attempt, uint32_t parts);
-  void judge_start(const Replica& replica, const JobSpec& spec, const TaskName& task,
+  void judge_start(const Replica& replica, const JobSpec& spec, const TaskId& task,
                    uint64_t attempt, const std::string& machine);
   // Notes what a part that came or left means for a replica that was whole before.
   void measure(Replica& replica, const JobSpec& spec, bool whole);
--- a/simulation/rule_checker.cpp
+++ b/simulation/rule_checker.cpp
@@ -85,7 +85,7 @@
   if (on_use) on_use(spec.team, sign * spec.cpus, sign * spec.gpus);
 }
 
-void RuleChecker::starts(const std::string& machine, const TaskName& task, uint64_t attempt) {
+void RuleChecker::starts(const std::string& machine, const TaskId& task, uint64_t attempt) {
   auto* s = spec(task.job);
   if (!s) return broke("ran_unknown", task.text());
   if (auto over = over_.find(task.job); over != over_.end() && over->second.second == "aborted") {
@@ -112,7 +112,7 @@
   if (on_start) on_start(task);
 }
 
-void RuleChecker::check_place(const JobSpec& spec, const Worker& worker, const TaskName& task) {
+void RuleChecker::check_place(const JobSpec& spec, const Worker& worker, const TaskId& task) {
   if (!spec.types.empty() &&
       std::find(spec.types.begin(), spec.types.end(), worker.type) == spec.types.end())
     broke("wrong_place", task.text() + " starts on a " + worker.type);
@@ -126,7 +126,7 @@
     broke("wrong_place", task.text() + " is one too many in " + worker.zone);
 }
 
-void RuleChecker::leaves(const std::string& machine, const TaskName& task) {
+void RuleChecker::leaves(const std::string& machine, const TaskId& task) {
   auto* s = spec(task.job);
   auto it = machines_of_.find(task);
   if (!s || it == machines_of_.end()) return;
--- a/src/coordination/budgets/team_budgets.cpp
+++ b/src/coordination/budgets/team_budgets.cpp
@@ -24,7 +24,7 @@
     {&BudgetParts::gpus, &placing::Amounts::gpus, &TeamSettings::gpus_max}};
 
 TeamBudgets::TeamBudgets(const Settings& settings, const RegionSettings* regions,
-                         const Cache& cache)
+                         const RecordCache& cache)
     : settings_(settings), regions_(regions), cache_(cache) {
   if (!regions_) return;
   auto& all = regions_->regions;
@@ -153,11 +153,11 @@
   }
 }
 
-Txn TeamBudgets::next_changes(int most) const {
-  Txn txn;
-  if (!regions_) return txn;
+Transaction TeamBudgets::next_changes(int most) const {
+  Transaction transaction;
+  if (!regions_) return transaction;
   for (auto& team : settings_.teams) {
-    if (static_cast<int>(txn.writes.size()) >= most) break;
+    if (static_cast<int>(transaction.writes.size()) >= most) break;
     if (!limited(team)) continue;
     auto known = cache_.budgets().find(team.name);
     const bool first = known == cache_.budgets().end();
@@ -167,10 +167,10 @@
     // Nothing is given from a record that isn't there yet.
     if (!first && exchanging()) give(team, record);
     if (!first && record == before) continue;
-    txn.conditions[keys::budget(team.name)] = first ? 0 : known->second.version;
-    txn.writes.push_back({keys::budget(team.name), encode_budget(record), 0});
+    transaction.preconditions[keys::budget(team.name)] = first ? 0 : known->second.version;
+    transaction.writes.push_back({keys::budget(team.name), encode_budget(record), 0});
   }
-  return txn;
+  return transaction;
 }
 
 // --- messages
--- a/src/coordination/budgets/team_budgets.hpp
+++ b/src/coordination/budgets/team_budgets.hpp
@@ -20,7 +20,7 @@
 class TeamBudgets {
  public:
   // `regions`: null where limits are not divided.
-  TeamBudgets(const Settings& settings, const RegionSettings* regions, const Cache& cache);
+  TeamBudgets(const Settings& settings, const RegionSettings* regions, const RecordCache& cache);
 
   // The limits are divided: by the regions file, or by an earlier holder according to the records.
   bool divided() const { return regions_ || !cache_.budgets().empty(); }
@@ -39,7 +39,7 @@
   // The changes of records that are due: first records, what came, what is given. Empty: none.
   // Every record is named by a condition, and nothing else may be written until the outcome is
   // known. `most`: puts in one transaction.
-  Txn next_changes(int most) const;
+  Transaction next_changes(int most) const;
   // What to tell this region.
   RegionMessage message_to(size_t region, uint64_t fencing_token);
   // Some team's work waits for budget.
@@ -86,7 +86,7 @@
 
   const Settings& settings_;
   const RegionSettings* regions_;
-  const Cache& cache_;
+  const RecordCache& cache_;
   BudgetParts initial_;                                 // this region's, of every limit
   std::map<std::string, placing::Amounts> guarantees_;  // its shares, by team
   std::map<std::string, Received> received_;            // by region
--- a/src/coordination/budgets/team_demand.cpp
+++ b/src/coordination/budgets/team_demand.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-Demands measure_demands(const Cache& cache) {
+Demands measure_demands(const RecordCache& cache) {
   Demands demands;
   for (auto& [id, job] : cache.jobs()) {
     auto& spec = job->spec;
--- a/src/coordination/budgets/team_demand.hpp
+++ b/src/coordination/budgets/team_demand.hpp
@@ -18,6 +18,6 @@
 using Demands = std::map<std::string, TeamDemand>;  // by team
 
 // Teams without any unfinished job are left out.
-Demands measure_demands(const Cache& cache);
+Demands measure_demands(const RecordCache& cache);
 
 }  // namespace damsonport::budgets
--- a/src/coordination/chunk_edits.cpp
+++ b/src/coordination/chunk_edits.cpp
@@ -8,17 +8,17 @@
 constexpr size_t head_bytes = 64, entry_bytes = 48;
 }  // namespace
 
-ChunkRecord* ChunkEdits::edit(const Job& job, uint32_t chunk) {
+TaskChunk* ChunkEdits::edit(const Job& job, uint32_t chunk) {
   const auto key = job.chunk_key(chunk);
   if (auto it = edits_.find(key); it != edits_.end()) return &it->second;
   if (writes() >= limits_.txn_writes) return nullptr;
-  ChunkRecord record;
+  TaskChunk record;
   if (auto c = job.chunks.find(chunk); c != job.chunks.end()) record = c->second.record;
   const size_t entries = record.live.size() + record.waiting.size();
   const size_t size = head_bytes + entry_bytes * entries;
   if (bytes_ + size > max_bytes && !edits_.empty()) return nullptr;
   bytes_ += size;
-  txn_.conditions[key] = cache_.chunk_version(job.spec.id, chunk);
+  transaction_.preconditions[key] = cache_.chunk_version(job.spec.id, chunk);
   return &(edits_[key] = std::move(record));
 }
 
@@ -32,7 +32,7 @@
 }
 
 void ChunkEdits::require_unchanged(const Job& job) {
-  txn_.conditions[keys::job(job.spec.id)] = job.version;
+  transaction_.preconditions[keys::job(job.spec.id)] = job.version;
 }
 
 bool ChunkEdits::end_with_edit(const Job& job) {
@@ -41,16 +41,17 @@
   const auto& id = job.spec.id;
   require_unchanged(job);
   ended_.insert(job.chunk_key(0));
-  txn_.writes.push_back({keys::job(id), Json(), 0});
-  txn_.writes.push_back({keys::final_state(id), encode_final_state(false, job.spec.tasks), 0});
+  transaction_.writes.push_back({keys::job(id), Json(), 0});
+  transaction_.writes.push_back(
+      {keys::final_state(id), encode_final_state(false, job.spec.tasks), 0});
   return true;
 }
 
-Txn ChunkEdits::finish() {
-  txn_.conditions[keys::shard_table] = cache_.shard_table_version();
+Transaction ChunkEdits::finish() {
+  transaction_.preconditions[keys::shard_table] = cache_.shard_table_version();
   for (auto& [key, record] : edits_)
-    txn_.writes.push_back({key, ended_.contains(key) ? Json() : encode_chunk(record), 0});
-  return std::move(txn_);
+    transaction_.writes.push_back({key, ended_.contains(key) ? Json() : encode_chunk(record), 0});
+  return std::move(transaction_);
 }
 
 }  // namespace damsonport
--- a/src/coordination/chunk_edits.hpp
+++ b/src/coordination/chunk_edits.hpp
@@ -11,10 +11,11 @@
 
 class ChunkEdits {
  public:
-  ChunkEdits(const Cache& cache, const StateLimits& limits) : cache_(cache), limits_(limits) {}
+  ChunkEdits(const RecordCache& cache, const StateLimits& limits)
+      : cache_(cache), limits_(limits) {}
 
   // The record to edit, or null when the transaction is full.
-  ChunkRecord* edit(const Job& job, uint32_t chunk);
+  TaskChunk* edit(const Job& job, uint32_t chunk);
   // Makes room for one more started task in the records edited; false: the transaction is full.
   bool take_entry();
   bool empty() const { return edits_.empty(); }
@@ -23,17 +24,17 @@
   // The job is over with the edit of its only chunk: its records go, and its final state stays. The
   // edit stands as it is where the transaction has no room for that: false.
   bool end_with_edit(const Job& job);
-  Txn finish();
+  Transaction finish();
 
  private:
-  const Cache& cache_;
-  int writes() const { return static_cast<int>(edits_.size() + txn_.writes.size()); }
+  const RecordCache& cache_;
+  int writes() const { return static_cast<int>(edits_.size() + transaction_.writes.size()); }
   StateLimits limits_;
   size_t bytes_ = 0;
   bool any_entry_ = false;
-  std::map<std::string, ChunkRecord> edits_;
+  std::map<std::string, TaskChunk> edits_;
   std::set<std::string> ended_;  // keys of chunks that go with their jobs
-  Txn txn_;
+  Transaction transaction_;
 };
 
 }  // namespace damsonport
--- a/src/coordination/election.cpp
+++ b/src/coordination/election.cpp
@@ -6,11 +6,11 @@
 
 namespace damsonport {
 
-Election::Election(Loop& loop, const Settings& settings, StateClient& state, Cache& cache,
+Election::Election(Loop& loop, const Settings& settings, KeyValueClient& store, RecordCache& cache,
                    uint64_t incarnation, Notification& changed)
     : loop_(loop),
       settings_(settings),
-      state_(state),
+      store_(store),
       cache_(cache),
       incarnation_(incarnation),
       changed_(changed),
@@ -33,15 +33,15 @@
       changed_.notify();
     }
     if (is_backing_off()) {
-      if (is_leading_ && lease_) co_await state_.end(lease_);
+      if (is_leading_ && lease_) co_await store_.end(lease_);
       is_leading_ = false;
       lease_ = 0;
       if (!co_await Sleep(loop_, ttl_s_ / 3.5, stop_token)) co_return;
       continue;
     }
     if (is_leading_) {
-      auto renewal = co_await state_.renew(lease_);
-      if (renewal == StateClient::Renewal::ended) {
+      auto renewal = co_await store_.renew(lease_);
+      if (renewal == KeyValueClient::Renewal::ended) {
         spdlog::warn("the leader's lease ended");
         is_leading_ = false;
         lease_ = 0;
@@ -62,23 +62,25 @@
   const uint64_t replaced = cache_.has_leader() ? cache_.leader_version() : 0;
   // A new lease for each try: one left from an earlier try would be about to end, and the key with
   // it, while this node still believed to lead.
-  lease_ = co_await state_.new_lease(ttl_s_);
+  lease_ = co_await store_.new_lease(ttl_s_);
   if (!lease_ || stop_token.stop_requested()) co_return;
-  Txn txn;
-  txn.conditions[keys::leader] = replaced;
-  txn.writes.push_back({keys::leader, encode_leader({settings_.node_name, incarnation_}), lease_});
-  auto writes = txn.writes;
-  auto reply = co_await state_.commit(std::move(txn), Importance::lease);
-  if (reply.outcome == Outcome::committed) {
+  Transaction transaction;
+  transaction.preconditions[keys::leader] = replaced;
+  transaction.writes.push_back(
+      {keys::leader, encode_leader({settings_.node_name, incarnation_}), lease_});
+  auto writes = transaction.writes;
+  auto reply = co_await store_.compare_and_swap(std::move(transaction), Importance::lease);
+  if (reply.outcome == TransactionOutcome::committed) {
     cache_.apply_writes(writes, reply.revision);
     is_leading_ = true;
     spdlog::info("elected leader at revision {}", reply.revision);
     changed_.notify();
-  } else if (reply.outcome == Outcome::conflict || reply.outcome == Outcome::unknown) {
+  } else if (reply.outcome == TransactionOutcome::conflict ||
+             reply.outcome == TransactionOutcome::unknown) {
     // Somebody was faster, or our own lost message was: read what stands there.
-    auto read = co_await state_.read(keys::leader, Importance::lease);
+    auto read = co_await store_.get(keys::leader, Importance::lease);
     if (read.ok && read.found) {
-      cache_.apply(read.item);
+      cache_.apply(read.key_value);
       auto& l = cache_.leader();
       if (l.node == settings_.node_name && l.incarnation == incarnation_) {
         is_leading_ = true;
--- a/src/coordination/election.hpp
+++ b/src/coordination/election.hpp
@@ -7,7 +7,7 @@
 
 class Election {
  public:
-  Election(Loop& loop, const Settings& settings, StateClient& state, Cache& cache,
+  Election(Loop& loop, const Settings& settings, KeyValueClient& store, RecordCache& cache,
            uint64_t incarnation, Notification& changed);
   Task<void> run(std::stop_token stop_token);
   // Our key stands, as far as is known. Also asked of the cache: after a conflict the key of a
@@ -26,8 +26,8 @@
   bool is_backing_off() const { return loop_.now() - stepped_down_at_ < settings_.lease_s; }
   Loop& loop_;
   const Settings& settings_;
-  StateClient& state_;
-  Cache& cache_;
+  KeyValueClient& store_;
+  RecordCache& cache_;
   uint64_t incarnation_;
   Notification& changed_;
   double ttl_s_;
--- a/src/coordination/exit_relay.cpp
+++ b/src/coordination/exit_relay.cpp
@@ -40,13 +40,13 @@
 
 // Only this controller writes the key. An older copy that comes late tells what is still true.
 Task<bool> ExitForwarder::write(ForwardedExits record) {
-  Txn txn;
+  Transaction transaction;
   const bool empty = record.exits.empty();
-  txn.writes.push_back({keys::forwarded_exits(settings_.node_name),
-                        empty ? Json() : encode_forwarded_exits(record), 0});
-  const auto writes = txn.writes;
-  auto reply = co_await state_.commit(std::move(txn), Importance::placing);
-  if (reply.outcome != Outcome::committed) co_return false;
+  transaction.writes.push_back({keys::forwarded_exits(settings_.node_name),
+                                empty ? Json() : encode_forwarded_exits(record), 0});
+  const auto writes = transaction.writes;
+  auto reply = co_await store_.compare_and_swap(std::move(transaction), Importance::placing);
+  if (reply.outcome != TransactionOutcome::committed) co_return false;
   cache_.apply_writes(writes, reply.revision);
   spdlog::debug("{} exits relayed for the holder with term {}", record.exits.size(),
                 record.fencing_token);
--- a/src/coordination/exit_relay.hpp
+++ b/src/coordination/exit_relay.hpp
@@ -16,8 +16,8 @@
 
 class ExitForwarder {
  public:
-  ExitForwarder(Loop& loop, const Settings& settings, StateClient& state, Cache& cache)
-      : loop_(loop), settings_(settings), state_(state), cache_(cache), changed_(loop) {}
+  ExitForwarder(Loop& loop, const Settings& settings, KeyValueClient& store, RecordCache& cache)
+      : loop_(loop), settings_(settings), store_(store), cache_(cache), changed_(loop) {}
 
   // A machine that has learned this term reported the exit.
   void saw(uint64_t fencing_token, const ForwardedExit& exit);
@@ -32,8 +32,8 @@
 
   Loop& loop_;
   const Settings& settings_;
-  StateClient& state_;
-  Cache& cache_;
+  KeyValueClient& store_;
+  RecordCache& cache_;
   Notification changed_;
   uint64_t fencing_token_ = 0;
   std::set<ForwardedExit> seen_;
--- a/src/coordination/fleet.hpp
+++ b/src/coordination/fleet.hpp
@@ -10,7 +10,7 @@
 
 namespace damsonport {
 
-using AttemptKey = std::pair<TaskName, uint64_t>;
+using AttemptKey = std::pair<TaskId, uint64_t>;
 
 // Images on a machine, by the order of use, as the workers are said to keep them.
 class ImageCache {
@@ -41,7 +41,7 @@
   double last_heard = 0;            // the last report
   double last_direct = 0;           // the last answer to a direct message, which renews no lease
   std::optional<double> notice_at;  // steady time when the cloud takes it
-  std::map<TaskName, TaskReport> tasks;
+  std::map<TaskId, TaskReport> tasks;
 
   // Start orders that may yet reach the worker in this session under our term.
   std::set<AttemptKey> in_flight;  // in a direct message that is not answered yet
--- a/src/coordination/holder.cpp
+++ b/src/coordination/holder.cpp
@@ -10,7 +10,7 @@
       settings_(deps.settings),
       tuning_(deps.settings.tuning),
       cache_(deps.cache),
-      contact_(loop_, settings_, deps.state),
+      contact_(loop_, settings_, deps.store),
       lease_renewal_(loop_, settings_, cache_, deps.peer_network, deps.cancellations,
                      deps.exit_forwarder, contact_),
       machine_list_(loop_, settings_, deps.http),
@@ -18,14 +18,14 @@
                       contact_, machine_list_, direct_sockets(settings_)),
       gangs_(loop_, settings_, *this),
       replicas_(loop_, settings_, cache_, *this, gangs_),
-      rentals_(loop_, settings_, deps.state, cache_, deps.http, deps.incarnation),
-      division_(loop_, settings_, cache_, deps.state, deps.versions,
-                [this](Txn txn, std::stop_token stop_token) {
-                  return commit_and_apply(std::move(txn), std::move(stop_token));
-                }) {
+      rentals_(loop_, settings_, deps.store, cache_, deps.http, deps.incarnation),
+      rechunker_(loop_, settings_, cache_, deps.store, deps.versions,
+                 [this](Transaction transaction, std::stop_token stop_token) {
+                   return commit_and_apply(std::move(transaction), std::move(stop_token));
+                 }) {
   rentals_.on_rented = [this](auto& machines, const MachineKind& kind) {
     for (auto& id : machines)
-      if (!machines_.contains(id) && !cache_.leaving(id))
+      if (!machines_.contains(id) && !cache_.has_tombstone(id))
         booting_.try_emplace(id, Booting{kind.type, kind.zone, kind.spot, loop_.now()});
   };
 }
@@ -71,12 +71,12 @@
   stopping_.clear();
   cancelled_.clear();
   overdue_.clear();
-  unmarked_.clear();
+  awaiting_tombstone_.clear();
   to_return_.clear();
   returned_.clear();
   given_up_.clear();
   lost_.clear();
-  division_.clear();
+  rechunker_.clear();
   uncommitted_starts_ = 0;
   send_queue_.clear();
   returning_.clear();
@@ -98,7 +98,7 @@
   for (auto& [id, assigned] : cache_.assignments()) machine(id);
   // Marked by an earlier holder, who may not have got round to it.
   // Those on which nothing is placed any more are returned again where the machine list names them.
-  for (auto& [id, mark] : cache_.leaving_marks())
+  for (auto& [id, mark] : cache_.tombstones())
     if (!cache_.assigned(id).empty()) to_return_[id] = "marked by an earlier holder";
   for (auto& [id, job] : cache_.jobs()) {
     if (is_cancelled(*job)) cancelled_.insert(id);
@@ -130,7 +130,7 @@
   if (!deps_.election.is_leading()) co_return fencing_token_ != 0;
   if (own && now < next_renewal_) co_return true;
 
-  Txn txn;
+  Transaction transaction;
   uint64_t replaced = cache_.shard_table_version();
   ShardTable next = cache_.shard_table();
   if (!own) {
@@ -143,23 +143,24 @@
     next.leases = {g};
   }
   ++next.renewals;
-  txn.conditions[keys::shard_table] = replaced;
-  txn.conditions[keys::leader] = cache_.leader_version();
-  txn.writes.push_back({keys::shard_table, encode_shard_table(next), 0});
-  auto writes = txn.writes;
+  transaction.preconditions[keys::shard_table] = replaced;
+  transaction.preconditions[keys::leader] = cache_.leader_version();
+  transaction.writes.push_back({keys::shard_table, encode_shard_table(next), 0});
+  auto writes = transaction.writes;
   const double asked = loop_.now();
-  auto reply = co_await deps_.state.commit(std::move(txn), Importance::lease);
-  if (reply.outcome == Outcome::committed) {
+  auto reply = co_await deps_.store.compare_and_swap(std::move(transaction), Importance::lease);
+  if (reply.outcome == TransactionOutcome::committed) {
     cache_.apply_writes(writes, reply.revision);
     // Early and often: an outage must fit into what is left of the grant.
     next_renewal_ = asked + tuning_.shard_lease_s / 6;
     if (!own) on_lease_acquired();
     co_return true;
   }
-  if (reply.outcome == Outcome::conflict || reply.outcome == Outcome::unknown) {
+  if (reply.outcome == TransactionOutcome::conflict ||
+      reply.outcome == TransactionOutcome::unknown) {
     for (auto& key : {keys::shard_table, keys::leader}) {
-      auto read = co_await deps_.state.read(key, Importance::lease);
-      if (read.ok && read.found) cache_.apply(read.item);
+      auto read = co_await deps_.store.get(key, Importance::lease);
+      if (read.ok && read.found) cache_.apply(read.key_value);
     }
   }
   next_renewal_ = loop_.now() + 0.2;
@@ -188,7 +189,7 @@
   held_back_.erase(job->spec.id);
   over_.erase(job->spec.id);
   cancelled_.erase(job->spec.id);
-  TaskName first{job->spec.id, 0};
+  TaskId first{job->spec.id, 0};
   for (auto it = attempts_.lower_bound(first);
        it != attempts_.end() && it->first.job == job->spec.id;)
     it = attempts_.erase(it);
@@ -206,7 +207,7 @@
       busy = co_await commit_exits(stop_token);
       if (is_leading()) busy = co_await commit_finals(stop_token) || busy;
       if (is_leading() && records_current())
-        busy = co_await division_.commit_next(stop_token) || busy;
+        busy = co_await rechunker_.commit_next(stop_token) || busy;
       if (is_leading()) busy = co_await commit_budgets(stop_token) || busy;
       if (is_leading()) busy = co_await commit_starts(stop_token) || busy;
     }
@@ -223,7 +224,7 @@
   while (!stop_token.stop_requested()) {
     if (!co_await Sleep(loop_, tick, stop_token)) co_return;
     lease_renewal_.forget_old_visits();
-    std::erase_if(images_seen_, [&](auto& entry) { return cache_.leaving(entry.first); });
+    std::erase_if(images_seen_, [&](auto& entry) { return cache_.has_tombstone(entry.first); });
     if (!is_leading() || is_deposed()) {
       co_await orphan_cleanup_.run_once(stop_token);
       continue;
--- a/src/coordination/holder.hpp
+++ b/src/coordination/holder.hpp
@@ -39,8 +39,8 @@
   struct Dependencies {
     Loop& loop;
     const Settings& settings;
-    StateClient& state;
-    Cache& cache;
+    KeyValueClient& store;
+    RecordCache& cache;
     HttpClient& http;
     Catalog& catalog;
     PeerNetwork& peer_network;
@@ -129,7 +129,7 @@
   bool is_cancelled(const Job& job) const;
   double cancelled_since(const Job& job) const;
   void stop_cancelled(const Job& job);
-  bool has_released(const std::string& machine, const TaskName& task, uint64_t attempt) const;
+  bool has_released(const std::string& machine, const TaskId& task, uint64_t attempt) const;
 
   // Exits that other controllers were told of by machines that can't reach us.
   void apply_forwarded_exits();
@@ -149,12 +149,12 @@
   double starts_may_take_s() const;
   void order_starts(const std::vector<CommittedStart>& starts);
   // `committed` is called between the commit and its taking effect here.
-  Task<bool> commit_and_apply(Txn txn, std::stop_token stop_token, bool starts = false,
-                              std::function<void()> committed = {});
+  Task<bool> commit_and_apply(Transaction transaction, std::stop_token stop_token,
+                              bool starts = false, std::function<void()> committed = {});
   // An exit that is the last of its job, in a transaction that may end the job with it.
-  bool ends_with(const Job& job, const ChunkRecord& record, const PendingExit& exit) const;
+  bool ends_with(const Job& job, const TaskChunk& record, const PendingExit& exit) const;
   // What the exits that were committed teach, and their end here.
-  void finish_exits(const std::vector<TaskName>& tasks);
+  void finish_exits(const std::vector<TaskId>& tasks);
   Task<void> reread(std::vector<std::string> failed);
   bool records_current() const;
   // What every write has to fit.
@@ -167,7 +167,7 @@
 
   // --- gangs (holder_gangs.cpp)
   // Takes note of a proven exit; of a gang it says something about the other tasks too.
-  void note_exit(const TaskName& task, PendingExit exit);
+  void note_exit(const TaskId& task, PendingExit exit);
   bool is_stopping(const PlacedTask& task) const override;
   bool has_ended(const PlacedTask& task) const override;
   const Machine* find_machine(const std::string& id) const override;
@@ -209,9 +209,9 @@
   void note_absent_parts(const Machine& m);
   // The images of its tasks are in use at this time.
   void note_images(Machine& m, double at);
-  void note_running(Machine& m, const TaskName& task, uint64_t attempt);
+  void note_running(Machine& m, const TaskId& task, uint64_t attempt);
   void recall_images(Machine& m);
-  void finish_exit(const PendingExit& exit, const TaskName& task);
+  void finish_exit(const PendingExit& exit, const TaskId& task);
   void note_error(Machine& m, const JobSpec& spec);
   // Drains the machines at fault, a bounded share of the fleet at a time, and takes back those for
   // which the blame has gone to a job.
@@ -254,9 +254,9 @@
   const MachineType* coming_type(const std::string& id, const Booting& b) const;
   Task<void> return_machines(bool overdue_only, std::stop_token stop_token);
   void sort_most_urgent_first(std::vector<std::string>& machines) const;
-  Task<bool> mark_leaving(std::vector<std::string> machines);
+  Task<bool> write_tombstones(std::vector<std::string> machines);
   // Keeps those that must go without a mark, in an outage; false: none.
-  bool return_unmarked(std::vector<std::string>& machines);
+  bool return_without_tombstone(std::vector<std::string>& machines);
   Task<bool> ask_return(std::vector<std::string> ask);
   void rent(const std::stop_token& stop_token);
   sizing::Input sizing_input() const;
@@ -269,7 +269,7 @@
   Loop& loop_;
   const Settings& settings_;
   const Tuning& tuning_;
-  Cache& cache_;
+  RecordCache& cache_;
 
   // Of the present grant; cleared when it is taken over.
   uint64_t fencing_token_ = 0;
@@ -295,20 +295,20 @@
   GangTracker gangs_;
   replicas::ReplicaManager replicas_;
   FailureEvidence failures_;
-  std::map<TaskName, std::map<uint64_t, Attempt>> attempts_;
-  std::map<TaskName, PendingExit> exits_;
-  std::map<TaskName, Stopping> stopping_;
+  std::map<TaskId, std::map<uint64_t, Attempt>> attempts_;
+  std::map<TaskId, PendingExit> exits_;
+  std::map<TaskId, Stopping> stopping_;
   std::set<std::string> cancelled_;               // jobs, whose tasks may still be there
   std::map<std::string, std::string> to_return_;  // machine -> why
   std::vector<sizing::Offer> lost_;               // kinds of machines given up, to be replaced
   std::set<std::string> given_up_;                // to be returned for their silence alone
   std::set<std::string> overdue_;                 // to be returned with a cancelled task on them
-  std::set<std::string> unmarked_;                // returned in an outage, to be marked after it
+  std::set<std::string> awaiting_tombstone_;      // returned in an outage, to be marked after it
   std::set<std::string> returned_;                // the cloud has confirmed it
   std::set<std::string> returning_;
   std::map<std::string, Booting> booting_;
   Rentals rentals_;
-  RecordDivision division_;
+  Rechunker rechunker_;
   SpendingAccount spending_;
   std::deque<std::string> send_queue_;  // machines with orders
   std::set<std::string> probing_;
--- a/src/coordination/holder_budgets.cpp
+++ b/src/coordination/holder_budgets.cpp
@@ -23,14 +23,14 @@
   next_budgets_ = now + settings_.report_s * measure_reports;
   deps_.budgets.measure(now);
   // One put fewer than the service takes at once.
-  Txn txn = deps_.budgets.next_changes(limits().txn_writes - 1);
-  if (txn.writes.empty()) {
+  Transaction transaction = deps_.budgets.next_changes(limits().txn_writes - 1);
+  if (transaction.writes.empty()) {
     tell_of_unmet_need();
     co_return false;
   }
-  txn.conditions[keys::shard_table] = cache_.shard_table_version();
-  spdlog::debug("budgets of {} teams change", txn.writes.size());
-  if (co_await commit_and_apply(std::move(txn), stop_token)) place_again_ = true;
+  transaction.preconditions[keys::shard_table] = cache_.shard_table_version();
+  spdlog::debug("budgets of {} teams change", transaction.writes.size());
+  if (co_await commit_and_apply(std::move(transaction), stop_token)) place_again_ = true;
   budget_news_ = true;  // more may be due
   deps_.regions.wake();
   co_return true;
--- a/src/coordination/holder_cancelled.cpp
+++ b/src/coordination/holder_cancelled.cpp
@@ -37,8 +37,7 @@
 
 // A message of the machine just now doesn't show the task, or shows it ended. No proof that it may
 // run elsewhere, but no reason to return the machine either, while its messages keep saying so.
-bool ShardLeader::has_released(const std::string& id, const TaskName& task,
-                               uint64_t attempt) const {
+bool ShardLeader::has_released(const std::string& id, const TaskId& task, uint64_t attempt) const {
   auto it = machines_.find(id);
   if (it == machines_.end() || it->second.session == 0) return false;
   auto& m = it->second;
--- a/src/coordination/holder_cloud.cpp
+++ b/src/coordination/holder_cloud.cpp
@@ -43,7 +43,7 @@
 
 void ShardLeader::note_listed(const ListedMachine& listed) {
   if (returned_.contains(listed.id)) return;  // the list lags
-  if (cache_.leaving(listed.id)) {
+  if (cache_.has_tombstone(listed.id)) {
     // The list lags, so a machine that is gone may still stand in it; asking twice is harmless.
     to_return_.try_emplace(listed.id, "listed though marked");
     return;
@@ -100,14 +100,14 @@
   const double give_up = give_up_s();
   size_t known = 0, silent = 0;
   for (auto& [id, m] : machines_) {
-    if (cache_.leaving(id)) continue;
+    if (cache_.has_tombstone(id)) continue;
     ++known;
     silent += in_doubt(m);
   }
   const double patience =
       silence_timeout_.limit(loop_.now(), known, silent, give_up, settings_.lease_s);
   for (auto& [id, m] : machines_) {
-    if (cache_.leaving(id) || to_return_.contains(id)) continue;
+    if (cache_.has_tombstone(id) || to_return_.contains(id)) continue;
     double quiet = silence(m);
     if (!in_doubt(m)) continue;
     place_again_ = true;
@@ -134,12 +134,12 @@
     if (std::erase_if(m.failed_jobs,
                       [&](auto& failed) { return now - failed.second > 2 * settings_.lease_s; }))
       mark_changed(id);
-    if (cache_.leaving(id) || to_return_.contains(id)) continue;
+    if (cache_.has_tombstone(id) || to_return_.contains(id)) continue;
     if (m.notice_at) {
       // What can save is stopped in time to do it.
       for (auto& [a, attempt] : cache_.assigned(id)) {
         auto& s = a.job->spec;
-        TaskName name{s.id, a.index};
+        TaskId name{s.id, a.index};
         double left = *m.notice_at - now;
         double grace = stop_grace(s);
         if (stopping_.contains(name)) continue;
@@ -196,25 +196,26 @@
 // Many machines fail together, and each waits with all that ran on it: so they are marked in bulk,
 // a hundred in one record, and those of the most urgent tasks go first.
 Task<void> ShardLeader::return_machines(bool overdue_only, std::stop_token stop_token) {
-  const size_t max_marked_at_once = machines_in_a_mark(settings_.state_limits.always().value_kb);
-  if (!unmarked_.empty() && contact_.in_contact()) {
-    std::vector<std::string> late(unmarked_.begin(), unmarked_.end());
+  const size_t max_marked_at_once =
+      machines_per_tombstone(settings_.state_limits.always().value_kb);
+  if (!awaiting_tombstone_.empty() && contact_.in_contact()) {
+    std::vector<std::string> late(awaiting_tombstone_.begin(), awaiting_tombstone_.end());
     if (late.size() > max_marked_at_once) late.resize(max_marked_at_once);
-    if (co_await mark_leaving(late))
-      for (auto& id : late) unmarked_.erase(id);
+    if (co_await write_tombstones(late))
+      for (auto& id : late) awaiting_tombstone_.erase(id);
   }
   for (size_t calls = 0; calls < max_returns_a_tick && is_leading(); ++calls) {
     std::vector<std::string> mark, ask;
     for (auto& [id, why] : to_return_)
       if (!returning_.contains(id) && (!overdue_only || overdue_.contains(id)))
-        (cache_.leaving(id) ? ask : mark).push_back(id);
+        (cache_.has_tombstone(id) ? ask : mark).push_back(id);
     if (mark.empty() && ask.empty()) co_return;
     if (!mark.empty()) {
       sort_most_urgent_first(mark);
       if (mark.size() > max_marked_at_once) mark.resize(max_marked_at_once);
-      const bool marked = co_await mark_leaving(mark);
+      const bool marked = co_await write_tombstones(mark);
       if (!is_leading()) co_return;
-      if (!marked && !return_unmarked(mark)) co_return;
+      if (!marked && !return_without_tombstone(mark)) co_return;
       ask = std::move(mark);
     }
     if (ask.size() > max_returned_at_once) ask.resize(max_returned_at_once);
@@ -235,24 +236,24 @@
 // Nothing can be marked in an outage, and a cancelled task must be gone all the same. Nobody can
 // place anything either; afterwards the mark is made up for, and a holder that doesn't know of it
 // finds the machine silent and returns it once more.
-bool ShardLeader::return_unmarked(std::vector<std::string>& machines) {
+bool ShardLeader::return_without_tombstone(std::vector<std::string>& machines) {
   std::erase_if(machines, [&](auto& id) { return !overdue_.contains(id); });
   if (contact_.in_contact() || machines.empty()) return false;
-  unmarked_.insert(machines.begin(), machines.end());
+  awaiting_tombstone_.insert(machines.begin(), machines.end());
   return true;
 }
 
-Task<bool> ShardLeader::mark_leaving(std::vector<std::string> machines) {
+Task<bool> ShardLeader::write_tombstones(std::vector<std::string> machines) {
   // A record of its own for each batch: one that is written again would lose the marks it had.
   const auto key =
-      keys::leaving(std::to_string(deps_.incarnation) + "-" + std::to_string(loop_.random64()));
-  Txn txn;
-  txn.conditions[keys::shard_table] = cache_.shard_table_version();
-  txn.conditions[key] = 0;
-  txn.writes.push_back({key, {{"machines", std::move(machines)}}, 0});
-  auto writes = txn.writes;
-  auto reply = co_await deps_.state.commit(std::move(txn), Importance::placing);
-  if (reply.outcome != Outcome::committed) co_return false;
+      keys::tombstone(std::to_string(deps_.incarnation) + "-" + std::to_string(loop_.random64()));
+  Transaction transaction;
+  transaction.preconditions[keys::shard_table] = cache_.shard_table_version();
+  transaction.preconditions[key] = 0;
+  transaction.writes.push_back({key, {{"machines", std::move(machines)}}, 0});
+  auto writes = transaction.writes;
+  auto reply = co_await deps_.store.compare_and_swap(std::move(transaction), Importance::placing);
+  if (reply.outcome != TransactionOutcome::committed) co_return false;
   cache_.apply_writes(writes, reply.revision);
   co_return true;
 }
@@ -281,7 +282,7 @@
     booting_.erase(id);
     forget_machine(id);
     for (auto& [a, attempt] : cache_.assigned(id)) {
-      TaskName name{a.job->spec.id, a.index};
+      TaskId name{a.job->spec.id, a.index};
       note_exit(name, {attempt, ExitCause::stopped, id});
     }
   }
@@ -302,7 +303,7 @@
 
 // The type of a machine that is on its way and not overdue, or null.
 const MachineType* ShardLeader::coming_type(const std::string& id, const Booting& b) const {
-  if (machines_.contains(id) || to_return_.contains(id) || cache_.leaving(id)) return nullptr;
+  if (machines_.contains(id) || to_return_.contains(id) || cache_.has_tombstone(id)) return nullptr;
   auto* t = deps_.catalog.type(b.type);
   return t && loop_.now() - b.since <= t->boot_s * slow_boot ? t : nullptr;
 }
@@ -361,7 +362,7 @@
         in.offers.push_back(offer);
       }
   for (auto& [id, m] : machines_) {
-    if (cache_.leaving(id) || to_return_.contains(id) || m.type.empty()) continue;
+    if (cache_.has_tombstone(id) || to_return_.contains(id) || m.type.empty()) continue;
     sizing::MachineState s;
     s.id = id;
     s.type = m.type;
--- a/src/coordination/holder_commit.cpp
+++ b/src/coordination/holder_commit.cpp
@@ -18,19 +18,20 @@
 
 Task<void> ShardLeader::reread(std::vector<std::string> failed) {
   for (auto& key : failed) {
-    auto read = co_await deps_.state.read(key, Importance::placing);
+    auto read = co_await deps_.store.get(key, Importance::placing);
     // Also that it is absent: a copy that came back from the dead must not be built on again.
-    if (read.ok && read.item.version) cache_.apply(read.item);
+    if (read.ok && read.key_value.version) cache_.apply(read.key_value);
   }
 }
 
 // Commits surely. Nothing else of this holder is written meanwhile, so whatever is in doubt keeps
 // its room and its team's quota until the outcome is known.
-Task<bool> ShardLeader::commit_and_apply(Txn txn, std::stop_token stop_token, bool starts,
-                                         std::function<void()> committed) {
-  auto writes = txn.writes;
-  auto reply = co_await deps_.state.commit_surely(std::move(txn), Importance::placing, stop_token);
-  if (reply.outcome == Outcome::committed) {
+Task<bool> ShardLeader::commit_and_apply(Transaction transaction, std::stop_token stop_token,
+                                         bool starts, std::function<void()> committed) {
+  auto writes = transaction.writes;
+  auto reply = co_await deps_.store.commit_until_resolved(std::move(transaction),
+                                                          Importance::placing, stop_token);
+  if (reply.outcome == TransactionOutcome::committed) {
     if (committed) committed();
     const bool again = place_again_;
     cache_.apply_writes(writes, reply.revision);
@@ -38,16 +39,16 @@
     if (starts) place_again_ = again;
     co_return true;
   }
-  if (reply.outcome == Outcome::conflict) {
+  if (reply.outcome == TransactionOutcome::conflict) {
     spdlog::debug("a commit lost against a change of {}",
                   reply.failed.empty() ? "?" : reply.failed.front());
     co_await reread(std::move(reply.failed));
   }
-  if (reply.outcome == Outcome::invalid) {
+  if (reply.outcome == TransactionOutcome::invalid) {
     // Definite: nothing of it was written, and the same again would be refused again.
     spdlog::error("the state service takes no transaction with {}",
                   writes.empty() ? "no writes" : writes.front().key);
-    division_.note_refused(writes);
+    rechunker_.note_refused(writes);
     co_await Sleep(loop_, pause_after_refusal_s, stop_token);
   }
   co_return false;
@@ -71,7 +72,7 @@
 }
 
 // Jobs of several records, gangs and cancelled ones are ended by commit_finals().
-bool ShardLeader::ends_with(const Job& job, const ChunkRecord& record,
+bool ShardLeader::ends_with(const Job& job, const TaskChunk& record,
                             const PendingExit& exit) const {
   if (exit.cause != ExitCause::done || job.spec.kind == Kind::gang || is_cancelled(job))
     return false;
@@ -80,7 +81,7 @@
   return job.chunk_count() == 1 && record.finished(job.spec.tasks);
 }
 
-void ShardLeader::finish_exits(const std::vector<TaskName>& tasks) {
+void ShardLeader::finish_exits(const std::vector<TaskId>& tasks) {
   bool any_failed = false;
   for (auto& name : tasks) {
     auto it = exits_.find(name);
@@ -96,7 +97,7 @@
 Task<bool> ShardLeader::commit_exits(std::stop_token stop_token) {
   if (exits_.empty() || !records_current()) co_return false;
   ChunkEdits edits(cache_, limits());
-  std::vector<TaskName> taken, last;  // `last`: those that end their jobs
+  std::vector<TaskId> taken, last;  // `last`: those that end their jobs
   for (auto it = exits_.begin(); it != exits_.end();) {
     auto& [name, exit] = *it;
     Job* job = cache_.job(name.job);
@@ -109,7 +110,7 @@
       it = exits_.erase(it);  // the records are past it
       continue;
     }
-    if (division_.exit_must_wait(*job, chunk)) {
+    if (rechunker_.exit_must_wait(*job, chunk)) {
       ++it;
       continue;
     }
@@ -125,7 +126,7 @@
   std::function<void()> committed = [&] {
     std::set<std::string> ended;
     for (auto& name : last) ended.insert(name.job);
-    std::vector<TaskName> of_ended = last;
+    std::vector<TaskId> of_ended = last;
     for (auto& name : taken)
       if (ended.contains(name.job)) of_ended.push_back(name);
     finish_exits(of_ended);
@@ -144,7 +145,7 @@
 // A job's record goes when all its tasks are done, or when it was cancelled and none is left.
 Task<bool> ShardLeader::commit_finals(std::stop_token stop_token) {
   if (!records_current()) co_return false;
-  Txn txn;
+  Transaction transaction;
   std::vector<std::string> ended;
   int room = limits().txn_writes;
   for (auto it = over_.begin(); it != over_.end();) {
@@ -162,29 +163,30 @@
     int with = std::min(chunks, std::max(0, limits().txn_writes - 2));
     if (room < 2 + with) break;
     room -= 2 + with;
-    txn.conditions[keys::job(id)] = job->version;
-    txn.writes.push_back({keys::job(id), Json(), 0});
-    txn.writes.push_back({keys::final_state(id), encode_final_state(job->cancelled, job->done), 0});
+    transaction.preconditions[keys::job(id)] = job->version;
+    transaction.writes.push_back({keys::job(id), Json(), 0});
+    transaction.writes.push_back(
+        {keys::final_state(id), encode_final_state(job->cancelled, job->done), 0});
     for (auto& [n, chunk] : job->chunks) {
       if (with-- <= 0) break;
-      txn.writes.push_back({job->chunk_key(n), Json(), 0});
+      transaction.writes.push_back({job->chunk_key(n), Json(), 0});
     }
     ended.push_back(id);
     spdlog::info("job {} is {}", id, job->cancelled ? "cancelled and gone" : "done");
     if (room < 3) break;
   }
   if (ended.empty()) {
-    for (auto& key : cache_.orphans()) {
+    for (auto& key : cache_.orphaned_chunks()) {
       if (room-- <= 0) break;
-      txn.writes.push_back({key, Json(), 0});
+      transaction.writes.push_back({key, Json(), 0});
     }
-    if (txn.writes.empty()) co_return false;
+    if (transaction.writes.empty()) co_return false;
   }
-  txn.conditions[keys::shard_table] = cache_.shard_table_version();
+  transaction.preconditions[keys::shard_table] = cache_.shard_table_version();
   std::vector<std::pair<std::string, bool>> outcome;
   outcome.reserve(ended.size());
   for (auto& id : ended) outcome.emplace_back(id, cache_.job(id)->cancelled);
-  if (co_await commit_and_apply(std::move(txn), stop_token))
+  if (co_await commit_and_apply(std::move(transaction), stop_token))
     for (auto& [id, cancelled] : outcome)
       cache_.remember_final(id, cancelled ? FinalState::cancelled : FinalState::done);
   co_return true;
@@ -243,7 +245,7 @@
   for (auto& s : decided.stops) {
     auto& live = view_.machines[s.machine].live[s.live];
     const std::string& machine_id = view_.machines[s.machine].id;
-    const TaskName name{job_slots_.owner(live.job).job->spec.id, live.index};
+    const TaskId name{job_slots_.owner(live.job).job->spec.id, live.index};
     spdlog::info("stopping {} attempt {} on {} to make room", name.text(), live.attempt,
                  machine_id);
     stop_task({name, live.attempt, machine_id}, s.grace_s);
@@ -279,7 +281,7 @@
       if (job->spec.replicated() && gangs_.startable(*job, gang.tasks) == 0) break;
       attempt = next_attempt(*job, gang.tasks);
     }
-    if (division_.gang_must_wait(*job)) break;
+    if (rechunker_.gang_must_wait(*job)) break;
     ChunkEdits edits(cache_, limits());
     edits.require_unchanged(*job);
     const auto started = edit_gang_starts(*job, gang, committed.size(), attempt, edits);
@@ -335,9 +337,8 @@
       Job* job = cache_.job(s.job);
       // Changed while an earlier part was being committed: the next pass sees it as it is.
       if (!job || is_cancelled(*job)) continue;
-      const auto found = find_startable(*job, edits, [&](const ChunkRecord& record) {
-        return division_.must_wait(*job, record);
-      });
+      const auto found = find_startable(
+          *job, edits, [&](const TaskChunk& record) { return rechunker_.must_wait(*job, record); });
       if (found.full || (found.record && !edits.take_entry())) break;
       if (!found.record) continue;
       found.record->start(found.index, found.attempt, s.machine);
--- a/src/coordination/holder_gangs.cpp
+++ b/src/coordination/holder_gangs.cpp
@@ -62,7 +62,7 @@
     }
 }
 
-void ShardLeader::note_exit(const TaskName& task, PendingExit exit) {
+void ShardLeader::note_exit(const TaskId& task, PendingExit exit) {
   mark_changed(exit.machine);
   Job* job = cache_.job(task.job);
   if (!job || job->spec.gang_size() == 0) {
--- a/src/coordination/holder_machines.cpp
+++ b/src/coordination/holder_machines.cpp
@@ -54,7 +54,7 @@
 }
 
 bool ShardLeader::open_for_work(const Machine& m) const {
-  return m.session != 0 && !m.draining && !m.notice_at && !cache_.leaving(m.id) &&
+  return m.session != 0 && !m.draining && !m.notice_at && !cache_.has_tombstone(m.id) &&
          !to_return_.contains(m.id) && !returned_.contains(m.id) && m.failed_sends < 2 &&
          !in_doubt(m);
 }
@@ -100,7 +100,7 @@
 std::vector<Expected> ShardLeader::expected_on(const Machine& m) const {
   std::vector<Expected> out;
   for (auto& [a, attempt] : cache_.assigned(m.id)) {
-    TaskName name{a.job->spec.id, a.index};
+    TaskId name{a.job->spec.id, a.index};
     if (exits_.contains(name)) continue;  // proven gone, about to be committed
     Expected e{name, attempt, is_cancelled(*a.job), {}};
     if (auto s = stopping_.find(name); s != stopping_.end() && s->second.attempt == attempt)
@@ -134,7 +134,7 @@
   if (!take_report(m, r, loop_.now(), direct, as_of)) return false;
   mark_changed(m.id);
   // Back before the return was marked: what runs there is kept.
-  if (given_up_.erase(m.id) && !cache_.leaving(m.id) && to_return_.erase(m.id))
+  if (given_up_.erase(m.id) && !cache_.has_tombstone(m.id) && to_return_.erase(m.id))
     spdlog::info("{} is heard again and kept", m.id);
   booting_.erase(m.id);
   if (session_before != 0 && session_before != m.session)
@@ -227,7 +227,7 @@
   for (auto& [assignment, attempt] : cache_.assigned(m.id)) {
     const Job& job = *assignment.job;
     if (!job.spec.replicated()) continue;
-    const TaskName name{job.spec.id, assignment.index};
+    const TaskId name{job.spec.id, assignment.index};
     auto reported = m.tasks.find(name);
     const bool there = reported != m.tasks.end() && reported->second.attempt == attempt;
     if (there || m.start_outstanding({name, attempt}) || exits_.contains(name)) continue;
@@ -238,7 +238,7 @@
   for (auto& [job, replica] : concerned) review_gang(*job, replica);
 }
 
-void ShardLeader::note_running(Machine& m, const TaskName& task, uint64_t attempt) {
+void ShardLeader::note_running(Machine& m, const TaskId& task, uint64_t attempt) {
   const double now = loop_.now();
   auto attempts = attempts_.find(task);
   if (attempts == attempts_.end()) return;
@@ -255,7 +255,7 @@
 }
 
 // After the exit is in the records: what it teaches about the machine and the job.
-void ShardLeader::finish_exit(const PendingExit& exit, const TaskName& task) {
+void ShardLeader::finish_exit(const PendingExit& exit, const TaskId& task) {
   const double now = loop_.now();
   stopping_.erase(task);
   Attempt seen;
--- a/src/coordination/holder_view.cpp
+++ b/src/coordination/holder_view.cpp
@@ -120,7 +120,7 @@
     l.job = job_slots_.of(a.job, a.index);
     l.index = a.index;
     l.attempt = attempt;
-    const TaskName name{a.job->spec.id, a.index};
+    const TaskId name{a.job->spec.id, a.index};
     // Started by an earlier holder: long ago.
     l.since = -std::numeric_limits<double>::infinity();
     if (auto it = attempts_.find(name); it != attempts_.end())
--- a/src/coordination/lease_renewal.cpp
+++ b/src/coordination/lease_renewal.cpp
@@ -15,7 +15,7 @@
 constexpr double forgotten_share = 0.5;
 }  // namespace
 
-LeaseRenewal::LeaseRenewal(Loop& loop, const Settings& settings, Cache& cache,
+LeaseRenewal::LeaseRenewal(Loop& loop, const Settings& settings, RecordCache& cache,
                            PeerNetwork& peer_network, const CancellationGossip& cancellations,
                            ExitForwarder& exit_forwarder, const StateContact& contact)
     : loop_(loop),
--- a/src/coordination/lease_renewal.hpp
+++ b/src/coordination/lease_renewal.hpp
@@ -13,7 +13,7 @@
 
 class LeaseRenewal {
  public:
-  LeaseRenewal(Loop& loop, const Settings& settings, Cache& cache, PeerNetwork& peer_network,
+  LeaseRenewal(Loop& loop, const Settings& settings, RecordCache& cache, PeerNetwork& peer_network,
                const CancellationGossip& cancellations, ExitForwarder& exit_forwarder,
                const StateContact& contact);
 
@@ -43,7 +43,7 @@
 
   Loop& loop_;
   const Settings& settings_;
-  Cache& cache_;
+  RecordCache& cache_;
   PeerNetwork& peer_network_;
   const CancellationGossip& cancellations_;
   ExitForwarder& exit_forwarder_;
--- a/src/coordination/node.cpp
+++ b/src/coordination/node.cpp
@@ -54,22 +54,22 @@
       settings_(settings),
       incarnation_(new_incarnation(loop)),
       http_(network.client()),
-      state_(loop, *http_, settings.state, settings.state_limits),
+      store_(loop, *http_, settings.state, settings.state_limits),
       changed_(loop),
-      cache_(loop, state_, watch_gap(settings), settings.clock_off_s,
+      cache_(loop, store_, watch_gap(settings), settings.clock_off_s,
              settings.state_limits.present().writes_per_s),
       catalog_(loop, *http_, settings),
       cancellations_(incarnation_, peer_names(settings)),
       peer_network_(loop, network, settings, cancellations_),
-      versions_(loop, settings, state_, cache_),
-      exit_forwarder_(loop, settings, state_, cache_),
+      versions_(loop, settings, store_, cache_),
+      exit_forwarder_(loop, settings, store_, cache_),
       budgets_(settings, regions, cache_),
       regions_(loop, network, settings, regions, budgets_),
-      election_(loop, settings, state_, cache_, incarnation_, changed_),
-      shard_leader_({loop, settings, state_, cache_, *http_, catalog_, peer_network_,
+      election_(loop, settings, store_, cache_, incarnation_, changed_),
+      shard_leader_({loop, settings, store_, cache_, *http_, catalog_, peer_network_,
                      cancellations_, election_, versions_, exit_forwarder_, budgets_, regions_,
                      changed_, incarnation_}),
-      api_(loop, settings, state_, cache_, catalog_, versions_),
+      api_(loop, settings, store_, cache_, catalog_, versions_),
       server_(network.server(max_read, max_connections(settings), idle_connection_s,
                              [this](HttpRequest r) { return route(std::move(r)); })) {
   // Idle connections to workers take what the workers, users and orders under way leave.
@@ -136,7 +136,7 @@
   Heartbeat b;
   b.node = settings_.node_name;
   b.incarnation = incarnation_;
-  b.state_age_ms = static_cast<uint64_t>(std::min(loop_.now() - state_.last_contact(), 1e6) * 1000);
+  b.state_age_ms = static_cast<uint64_t>(std::min(loop_.now() - store_.last_contact(), 1e6) * 1000);
   b.waiting = shard_leader_.waiting_tasks();
   b.loaded = cache_.loaded();
   b.misrouted_machines = shard_leader_.misrouted_machines();
@@ -159,7 +159,7 @@
   double others = static_cast<double>(peer_network_.wanted_writes());
   if (!is_leading && !(cache_.has_leader() && peer_network_.alive(cache_.leader().node)))
     others += settings_.state_limits.present().writes_per_s;
-  state_.limit().set_shares(share_of(is_leading, settings_.nodes),
+  store_.limit().set_shares(share_of(is_leading, settings_.nodes),
                             write_share(settings_.nodes, wanted_writes(), others));
 }
 
@@ -182,7 +182,7 @@
 HttpResponse Node::health() const {
   if (!cache_.loaded() || !catalog_.known()) return {503, {}, 1};
   const double limit = settings_.lease_s / 4;
-  bool contact = loop_.now() - state_.last_contact() < limit;
+  bool contact = loop_.now() - store_.last_contact() < limit;
   if (!contact && peer_network_.peer_has_state(limit)) return {503, {}, 1};
   return {200, {}, 0};
 }
--- a/src/coordination/node.hpp
+++ b/src/coordination/node.hpp
@@ -31,9 +31,9 @@
   const Settings& settings_;
   uint64_t incarnation_;
   std::unique_ptr<HttpClient> http_;
-  StateClient state_;
+  KeyValueClient store_;
   Notification changed_;
-  Cache cache_;
+  RecordCache cache_;
   Catalog catalog_;
   CancellationGossip cancellations_;
   PeerNetwork peer_network_;
--- a/src/coordination/orphan_cleanup.cpp
+++ b/src/coordination/orphan_cleanup.cpp
@@ -14,10 +14,10 @@
 constexpr double return_patience_s = 3;
 }  // namespace
 
-OrphanCleanup::OrphanCleanup(Loop& loop, const Settings& settings, Cache& cache, HttpClient& http,
-                             PeerNetwork& peer_network, const CancellationGossip& cancellations,
-                             const StateContact& contact, MachineListReader& machine_list,
-                             int most_sockets)
+OrphanCleanup::OrphanCleanup(Loop& loop, const Settings& settings, RecordCache& cache,
+                             HttpClient& http, PeerNetwork& peer_network,
+                             const CancellationGossip& cancellations, const StateContact& contact,
+                             MachineListReader& machine_list, int most_sockets)
     : loop_(loop),
       settings_(settings),
       cache_(cache),
--- a/src/coordination/orphan_cleanup.hpp
+++ b/src/coordination/orphan_cleanup.hpp
@@ -15,7 +15,7 @@
 class OrphanCleanup {
  public:
   // `most_sockets`: messages to workers that may be under way at once.
-  OrphanCleanup(Loop& loop, const Settings& settings, Cache& cache, HttpClient& http,
+  OrphanCleanup(Loop& loop, const Settings& settings, RecordCache& cache, HttpClient& http,
                 PeerNetwork& peer_network, const CancellationGossip& cancellations,
                 const StateContact& contact, MachineListReader& machine_list, int most_sockets);
 
@@ -27,7 +27,7 @@
  private:
   struct OrphanHost {
     std::string id, address;
-    std::vector<std::pair<TaskName, uint64_t>> tasks;
+    std::vector<std::pair<TaskId, uint64_t>> tasks;
     bool out_of_reach = false;
   };
   bool no_shard_leader_reachable() const;
@@ -38,7 +38,7 @@
 
   Loop& loop_;
   const Settings& settings_;
-  Cache& cache_;
+  RecordCache& cache_;
   HttpClient& http_;
   PeerNetwork& peer_network_;
   const CancellationGossip& cancellations_;
--- a/src/coordination/reconcile.cpp
+++ b/src/coordination/reconcile.cpp
@@ -9,7 +9,7 @@
   // our records are current a start of theirs may be unknown to us.
   const bool proof = m.fencing_token >= own_fencing_token && records_current;
   if (!proof) return out;
-  std::map<TaskName, const Expected*> by_task;
+  std::map<TaskId, const Expected*> by_task;
   for (auto& e : expected) by_task[e.task] = &e;
 
   size_t as_expected = 0;
--- a/src/coordination/reconcile.hpp
+++ b/src/coordination/reconcile.hpp
@@ -9,14 +9,14 @@
 
 // What the records say of a task, as far as one machine is concerned.
 struct Expected {
-  TaskName task;
+  TaskId task;
   uint64_t attempt = 0;
   bool cancelled = false;      // its job is cancelled
   std::optional<double> stop;  // to be stopped, with this grace
 };
 
 struct Exit {
-  TaskName task;
+  TaskId task;
   uint64_t attempt = 0;
   ExitCause cause = ExitCause::none;
   bool saved = false;
--- a/src/coordination/record_division.cpp
+++ b/src/coordination/record_division.cpp
@@ -10,12 +10,12 @@
 constexpr double pause_after_refusal_s = 0.2;
 }  // namespace
 
-void RecordDivision::clear() {
+void Rechunker::clear() {
   to_divide_.clear();
   dividing_ = {};
 }
 
-bool RecordDivision::must_wait(const Job& job, const ChunkRecord& record) {
+bool Rechunker::must_wait(const Job& job, const TaskChunk& record) {
   if (to_divide_.contains(job.spec.id)) return true;
   if (job.chunk_size <= chunk_size(limits().value_kb)) return false;
   if (chunk_fits(record, limits().value_kb)) return false;
@@ -23,18 +23,18 @@
   return true;
 }
 
-bool RecordDivision::exit_must_wait(const Job& job, uint32_t chunk) {
+bool Rechunker::exit_must_wait(const Job& job, uint32_t chunk) {
   // Before all are upgraded the present limits hold, and an end has to be written.
   return must_wait(job, job.chunks.at(chunk).record) && to_divide_.contains(job.spec.id);
 }
 
-bool RecordDivision::gang_must_wait(const Job& gang) {
+bool Rechunker::gang_must_wait(const Job& gang) {
   const uint32_t most = chunk_size(limits().value_kb);
   if (gang.chunk_size > most && gang.size_of(0) > most) to_divide_.insert(gang.spec.id);
   return to_divide_.contains(gang.spec.id);
 }
 
-void RecordDivision::note_refused(const std::vector<Write>& writes) {
+void Rechunker::note_refused(const std::vector<Write>& writes) {
   for (auto& write : writes) {
     if (!write.key.starts_with(keys::chunks)) continue;
     const auto name = parse_chunk_name(std::string_view(write.key).substr(keys::chunks.size()));
@@ -43,7 +43,7 @@
   }
 }
 
-Task<bool> RecordDivision::commit_next(std::stop_token stop_token) {
+Task<bool> Rechunker::commit_next(std::stop_token stop_token) {
   if (to_divide_.empty()) co_return false;
   const std::string id = *to_divide_.begin();
   Job* job = cache_.job(id);
@@ -52,7 +52,7 @@
     co_return false;
   }
   if (dividing_.job != id || dividing_.job_version != job->version)
-    dividing_ = {id, job->version, divide_anew(*job, chunk_size(limits().value_kb))};
+    dividing_ = {id, job->version, rechunk(*job, chunk_size(limits().value_kb))};
   const bool done = dividing_.to_write.empty() ? co_await commit_new_layout(id, stop_token)
                                                : co_await commit_divided_chunks(id, stop_token);
   if (!done) {
@@ -62,36 +62,36 @@
   co_return true;
 }
 
-Task<bool> RecordDivision::commit_divided_chunks(std::string id, std::stop_token stop_token) {
+Task<bool> Rechunker::commit_divided_chunks(std::string id, std::stop_token stop_token) {
   const Job& job = *cache_.job(id);
-  Txn txn;
-  txn.conditions[keys::shard_table] = cache_.shard_table_version();
-  txn.conditions[keys::job(id)] = job.version;
+  Transaction transaction;
+  transaction.preconditions[keys::shard_table] = cache_.shard_table_version();
+  transaction.preconditions[keys::job(id)] = job.version;
   std::vector<uint32_t> written;
   for (auto& [n, record] : dividing_.to_write) {
     if (static_cast<int>(written.size()) >= limits().txn_writes) break;
-    const auto key = keys::chunk(id, n, job.layout + 1);
-    txn.conditions[key] = cache_.loose_version(key);
-    txn.writes.push_back({key, encode_chunk(record), 0});
+    const auto key = keys::chunk(id, n, job.chunk_layout + 1);
+    transaction.preconditions[key] = cache_.unattached_version(key);
+    transaction.writes.push_back({key, encode_chunk(record), 0});
     written.push_back(n);
   }
-  if (!co_await commit_(std::move(txn), stop_token)) co_return false;
+  if (!co_await commit_(std::move(transaction), stop_token)) co_return false;
   for (uint32_t n : written) dividing_.to_write.erase(n);
   co_return true;
 }
 
-Task<bool> RecordDivision::commit_new_layout(std::string id, std::stop_token stop_token) {
-  auto read = co_await state_.read(keys::job(id), Importance::placing);
+Task<bool> Rechunker::commit_new_layout(std::string id, std::stop_token stop_token) {
+  auto read = co_await store_.get(keys::job(id), Importance::placing);
   Job* job = cache_.job(id);
-  if (!read.ok || !read.found || !job || read.item.version != dividing_.job_version)
+  if (!read.ok || !read.found || !job || read.key_value.version != dividing_.job_version)
     co_return false;
-  Txn txn;
-  txn.conditions[keys::shard_table] = cache_.shard_table_version();
-  txn.conditions[keys::job(id)] = read.item.version;
-  read.item.value[fields::chunk_size] = chunk_size(limits().value_kb);
-  read.item.value[fields::layout] = job->layout + 1;
-  txn.writes.push_back({keys::job(id), std::move(read.item.value), 0});
-  if (!co_await commit_(std::move(txn), stop_token)) co_return false;
+  Transaction transaction;
+  transaction.preconditions[keys::shard_table] = cache_.shard_table_version();
+  transaction.preconditions[keys::job(id)] = read.key_value.version;
+  read.key_value.value[fields::chunk_size] = chunk_size(limits().value_kb);
+  read.key_value.value[fields::chunk_layout] = job->chunk_layout + 1;
+  transaction.writes.push_back({keys::job(id), std::move(read.key_value.value), 0});
+  if (!co_await commit_(std::move(transaction), stop_token)) co_return false;
   spdlog::info("the tasks of {} are divided into records of {}", id, chunk_size(limits().value_kb));
   to_divide_.erase(id);
   dividing_ = {};
--- a/src/coordination/record_division.hpp
+++ b/src/coordination/record_division.hpp
@@ -16,22 +16,22 @@
 
 namespace damsonport {
 
-class RecordDivision {
+class Rechunker {
  public:
   // Commits surely and applies; false: nothing of it was written.
-  using Commit = std::function<Task<bool>(Txn, std::stop_token)>;
-  RecordDivision(Loop& loop, const Settings& settings, Cache& cache, StateClient& state,
-                 const VersionRegistry& versions, Commit commit)
+  using Commit = std::function<Task<bool>(Transaction, std::stop_token)>;
+  Rechunker(Loop& loop, const Settings& settings, RecordCache& cache, KeyValueClient& store,
+            const VersionRegistry& versions, Commit commit)
       : loop_(loop),
         settings_(settings),
         cache_(cache),
-        state_(state),
+        store_(store),
         versions_(versions),
         commit_(std::move(commit)) {}
   void clear();
 
   // The record must not grow, or not be written at all, before its job's tasks are divided anew.
-  bool must_wait(const Job& job, const ChunkRecord& record);
+  bool must_wait(const Job& job, const TaskChunk& record);
   // Likewise for an exit, which under the present limits has to be written.
   bool exit_must_wait(const Job& job, uint32_t chunk);
   bool gang_must_wait(const Job& gang);
@@ -44,7 +44,7 @@
   struct Dividing {
     std::string job;
     uint64_t job_version = 0;
-    std::map<uint32_t, ChunkRecord> to_write;
+    std::map<uint32_t, TaskChunk> to_write;
   };
   const StateLimits& limits() const { return settings_.state_limits.always(); }
   Task<bool> commit_divided_chunks(std::string id, std::stop_token stop_token);
@@ -52,8 +52,8 @@
 
   Loop& loop_;
   const Settings& settings_;
-  Cache& cache_;
-  StateClient& state_;
+  RecordCache& cache_;
+  KeyValueClient& store_;
   const VersionRegistry& versions_;
   const Commit commit_;
   std::set<std::string> to_divide_;  // jobs
--- a/src/coordination/rentals.cpp
+++ b/src/coordination/rentals.cpp
@@ -26,11 +26,11 @@
 }
 }  // namespace
 
-Rentals::Rentals(Loop& loop, const Settings& settings, StateClient& state, Cache& cache,
+Rentals::Rentals(Loop& loop, const Settings& settings, KeyValueClient& store, RecordCache& cache,
                  HttpClient& http, uint64_t incarnation)
     : loop_(loop),
       settings_(settings),
-      state_(state),
+      store_(store),
       cache_(cache),
       http_(http),
       incarnation_(incarnation) {}
@@ -102,18 +102,18 @@
 }
 
 Task<bool> Rentals::commit_request(const RentalRequest& request) {
-  Txn txn;
-  txn.conditions[keys::shard_table] = cache_.shard_table_version();
-  txn.conditions[keys::rental(request.id)] = 0;
-  txn.writes.push_back({keys::rental(request.id),
-                        {{"type", request.type},
-                         {"zone", request.zone},
-                         {"spot", request.spot},
-                         {"count", request.count}},
-                        0});
-  auto writes = txn.writes;
-  auto reply = co_await state_.commit(std::move(txn), Importance::placing);
-  if (reply.outcome != Outcome::committed) co_return false;
+  Transaction transaction;
+  transaction.preconditions[keys::shard_table] = cache_.shard_table_version();
+  transaction.preconditions[keys::rental(request.id)] = 0;
+  transaction.writes.push_back({keys::rental(request.id),
+                                {{"type", request.type},
+                                 {"zone", request.zone},
+                                 {"spot", request.spot},
+                                 {"count", request.count}},
+                                0});
+  auto writes = transaction.writes;
+  auto reply = co_await store_.compare_and_swap(std::move(transaction), Importance::placing);
+  if (reply.outcome != TransactionOutcome::committed) co_return false;
   cache_.apply_writes(writes, reply.revision);
   co_return true;
 }
@@ -155,11 +155,11 @@
 }
 
 Task<void> Rentals::forget_request(std::string id) {
-  Txn txn;
-  txn.writes.push_back({keys::rental(id), Json(), 0});
-  auto writes = txn.writes;
-  auto removed = co_await state_.commit(std::move(txn), Importance::placing);
-  if (removed.outcome != Outcome::committed) co_return;
+  Transaction transaction;
+  transaction.writes.push_back({keys::rental(id), Json(), 0});
+  auto writes = transaction.writes;
+  auto removed = co_await store_.compare_and_swap(std::move(transaction), Importance::placing);
+  if (removed.outcome != TransactionOutcome::committed) co_return;
   cache_.apply_writes(writes, removed.revision);
   answered_.erase(id);
 }
--- a/src/coordination/rentals.hpp
+++ b/src/coordination/rentals.hpp
@@ -22,8 +22,8 @@
 
 class Rentals {
  public:
-  Rentals(Loop& loop, const Settings& settings, StateClient& state, Cache& cache, HttpClient& http,
-          uint64_t incarnation);
+  Rentals(Loop& loop, const Settings& settings, KeyValueClient& store, RecordCache& cache,
+          HttpClient& http, uint64_t incarnation);
   // Called with the machines that the cloud says it has rented.
   std::function<void(const std::vector<std::string>& machines, const MachineKind&)> on_rented;
 
@@ -55,8 +55,8 @@
 
   Loop& loop_;
   const Settings& settings_;
-  StateClient& state_;
-  Cache& cache_;
+  KeyValueClient& store_;
+  RecordCache& cache_;
   HttpClient& http_;
   const uint64_t incarnation_;
   uint64_t fencing_token_ = 0;
--- a/src/coordination/replicas/replica_manager.hpp
+++ b/src/coordination/replicas/replica_manager.hpp
@@ -29,7 +29,7 @@
     TaskRange parts;
   };
 
-  ReplicaManager(Loop& loop, const Settings& settings, Cache& cache, const TaskFacts& facts,
+  ReplicaManager(Loop& loop, const Settings& settings, RecordCache& cache, const TaskFacts& facts,
                  GangTracker& gangs)
       : loop_(loop), settings_(settings), cache_(cache), facts_(facts), gangs_(gangs) {}
 
@@ -90,7 +90,7 @@
 
   Loop& loop_;
   const Settings& settings_;
-  Cache& cache_;
+  RecordCache& cache_;
   const TaskFacts& facts_;
   GangTracker& gangs_;
   std::map<Key, History> replicas_;
--- a/src/coordination/start_edits.cpp
+++ b/src/coordination/start_edits.cpp
@@ -5,11 +5,11 @@
 namespace damsonport {
 
 StartableTask find_startable(const Job& job, ChunkEdits& edits,
-                             const std::function<bool(const ChunkRecord&)>& must_wait) {
+                             const std::function<bool(const TaskChunk&)>& must_wait) {
   StartableTask found;
   for (; found.chunk < job.chunk_count(); ++found.chunk) {
     if (job.all_started(found.chunk)) continue;
-    ChunkRecord* record = edits.edit(job, found.chunk);
+    TaskChunk* record = edits.edit(job, found.chunk);
     found.full = record == nullptr;
     if (found.full) return found;
     const uint32_t size = job.size_of(found.chunk);
--- a/src/coordination/start_edits.hpp
+++ b/src/coordination/start_edits.hpp
@@ -20,7 +20,7 @@
 };
 // Committed, and not ordered yet.
 struct CommittedStart {
-  TaskName task;
+  TaskId task;
   uint64_t attempt;
   std::string machine;
   bool image_cached;
@@ -28,14 +28,14 @@
 
 // The next task of a job to be started, in a record among the edits.
 struct StartableTask {
-  ChunkRecord* record = nullptr;  // null: there is none
+  TaskChunk* record = nullptr;    // null: there is none
   uint32_t chunk = 0, index = 0;  // `index`: within the chunk
   uint64_t attempt = 0;
   bool full = false;  // the transaction has no room for another record
 };
 // `must_wait`: the record may not be written now.
 StartableTask find_startable(const Job& job, ChunkEdits& edits,
-                             const std::function<bool(const ChunkRecord&)>& must_wait);
+                             const std::function<bool(const TaskChunk&)>& must_wait);
 
 // Takes as many of the gang's starts, but for the first `committed`, as the transaction has room
 // for.
--- a/src/coordination/state_contact.hpp
+++ b/src/coordination/state_contact.hpp
@@ -7,9 +7,9 @@
 
 class StateContact {
  public:
-  StateContact(Loop& loop, const Settings& settings, const StateClient& state)
-      : loop_(loop), settings_(settings), state_(state) {}
-  double age_s() const { return loop_.now() - state_.last_contact(); }
+  StateContact(Loop& loop, const Settings& settings, const KeyValueClient& store)
+      : loop_(loop), settings_(settings), store_(store) {}
+  double age_s() const { return loop_.now() - store_.last_contact(); }
   // The state service counts as reached for so long.
   double limit_s() const { return settings_.lease_s * lease_share; }
   bool in_contact() const { return age_s() < limit_s(); }
@@ -18,7 +18,7 @@
   static constexpr double lease_share = 0.25;
   Loop& loop_;
   const Settings& settings_;
-  const StateClient& state_;
+  const KeyValueClient& store_;
 };
 
 }  // namespace damsonport
--- a/src/coordination/user_api.cpp
+++ b/src/coordination/user_api.cpp
@@ -33,11 +33,11 @@
   void await_resume() const {}
 };
 
-UserApi::UserApi(Loop& loop, const Settings& settings, StateClient& state, Cache& cache,
+UserApi::UserApi(Loop& loop, const Settings& settings, KeyValueClient& store, RecordCache& cache,
                  Catalog& catalog, const VersionRegistry& versions)
     : loop_(loop),
       settings_(settings),
-      state_(state),
+      store_(store),
       cache_(cache),
       catalog_(catalog),
       versions_(versions),
@@ -105,23 +105,23 @@
 
 // After a comparison that failed: reads begun after the question. Nothing: to be looked up again.
 Task<std::optional<HttpResponse>> UserApi::read_state(std::string id) {
-  auto final_record = co_await state_.read(keys::final_state(id), Importance::polling);
+  auto final_record = co_await store_.get(keys::final_state(id), Importance::polling);
   if (!final_record.ok) co_return busy();
   if (final_record.found) {
-    bool done = final_record.item.value.value("s", std::string()) == "done";
+    bool done = final_record.key_value.value.value("s", std::string()) == "done";
     cache_.remember_final(id, done ? FinalState::done : FinalState::cancelled);
     co_return std::nullopt;
   }
-  auto record = co_await state_.read(keys::job(id), Importance::polling);
+  auto record = co_await store_.get(keys::job(id), Importance::polling);
   if (!record.ok) co_return busy();
   if (!record.found) co_return std::nullopt;  // ended in between
   // Read just now, so no older than any answer given before the question. The cache itself only
   // takes changes in their order, from the watch.
-  auto spec = decode_job(record.item.value);
+  auto spec = decode_job(record.key_value.value);
   if (!spec) co_return busy();
-  if (record.item.value.value(fields::cancelled, 0) != 0) {
+  if (record.key_value.value.value(fields::cancelled, 0) != 0) {
     // Known here from before anybody is told: the other controllers rely on it.
-    cache_.apply(record.item);
+    cache_.apply(record.key_value);
     co_return HttpResponse{200, encode_job_status(id, "aborted"), 0};
   }
   Job* cached = cache_.job(id);
@@ -146,29 +146,29 @@
       if (!co_await Sleep(loop_, 0.02, stop_token)) break;
       if (questions_.empty()) continue;
     }
-    Txn txn;
+    Transaction transaction;
     std::vector<Question*> batch;
     std::vector<Question*> again;
-    while (!questions_.empty() && txn.conditions.size() + 2 <= max_conditions) {
+    while (!questions_.empty() && transaction.preconditions.size() + 2 <= max_conditions) {
       auto* q = questions_.front();
       questions_.pop_front();
       // Of one job only one version can be confirmed at a time: the cache moved on between the two.
-      auto [condition, fresh] = txn.conditions.try_emplace(keys::job(q->id), q->version);
+      auto [condition, fresh] = transaction.preconditions.try_emplace(keys::job(q->id), q->version);
       if (!fresh && condition->second != q->version) {
         again.push_back(q);
         continue;
       }
       batch.push_back(q);
-      if (q->version == 0) txn.conditions[keys::final_state(q->id)] = 0;
+      if (q->version == 0) transaction.preconditions[keys::final_state(q->id)] = 0;
     }
-    auto reply = co_await state_.commit(std::move(txn), Importance::polling);
+    auto reply = co_await store_.compare_and_swap(std::move(transaction), Importance::polling);
     auto failed = [&](const std::string& key) {
       return std::find(reply.failed.begin(), reply.failed.end(), key) != reply.failed.end();
     };
     for (auto* q : batch) {
-      if (reply.outcome == Outcome::committed) {
+      if (reply.outcome == TransactionOutcome::committed) {
         q->result = Confirmed::yes;
-      } else if (reply.outcome == Outcome::conflict) {
+      } else if (reply.outcome == TransactionOutcome::conflict) {
         // A refusal need not name every condition that failed: of those it leaves out nothing is
         // known, and they are asked again. Each round answers one at least.
         if (!failed(keys::job(q->id)) && !failed(keys::final_state(q->id)) &&
@@ -212,7 +212,7 @@
   if (spec->replicated() && !versions_.all_have(VersionRegistry::replicas)) co_return busy();
   write_arrivals_.note(loop_.now());
   // Nobody is held beyond what can be written soon; whoever comes later is told when to come back.
-  const double rate = state_.limit().writes_per_s();
+  const double rate = store_.limit().writes_per_s();
   if (static_cast<double>(submissions_.size()) >= std::max(rate * longest_wait_s, 1.0)) {
     ++refused_lately_;
     const double ahead = static_cast<double>(submissions_.size() + refused_ + refused_lately_);
@@ -272,15 +272,15 @@
 Task<void> UserApi::accept(std::vector<Submission*> batch) {
   const uint32_t chunk = chunk_size(settings_.state_limits.always().value_kb);
   while (!batch.empty()) {
-    Txn txn;
+    Transaction transaction;
     for (auto* s : batch) {
-      txn.conditions[keys::job(s->spec.id)] = 0;
-      txn.conditions[keys::final_state(s->spec.id)] = 0;
-      txn.writes.push_back({keys::job(s->spec.id), encode_job_record(s->spec, chunk), 0});
+      transaction.preconditions[keys::job(s->spec.id)] = 0;
+      transaction.preconditions[keys::final_state(s->spec.id)] = 0;
+      transaction.writes.push_back({keys::job(s->spec.id), encode_job_record(s->spec, chunk), 0});
     }
-    auto writes = txn.writes;
-    auto reply = co_await state_.commit(std::move(txn), Importance::accepting);
-    if (reply.outcome == Outcome::conflict && !reply.failed.empty()) {
+    auto writes = transaction.writes;
+    auto reply = co_await store_.compare_and_swap(std::move(transaction), Importance::accepting);
+    if (reply.outcome == TransactionOutcome::conflict && !reply.failed.empty()) {
       // Those are known already; the rest goes again.
       std::vector<Submission*> rest, known;
       for (auto* s : batch) {
@@ -295,7 +295,7 @@
       continue;
     }
     // Without a definite answer nobody is kept waiting: the same id may be sent again.
-    const bool fresh = reply.outcome == Outcome::committed;
+    const bool fresh = reply.outcome == TransactionOutcome::committed;
     if (fresh) {
       cache_.apply_writes(writes, reply.revision);
       for (auto* s : batch)
@@ -314,10 +314,10 @@
     if (auto* f = cache_.final_state(id))
       co_return HttpResponse{200,
                              encode_job_status(id, *f == FinalState::done ? "done" : "aborted"), 0};
-    auto record = co_await state_.read(keys::job(id), Importance::accepting);
+    auto record = co_await store_.get(keys::job(id), Importance::accepting);
     if (!record.ok) co_return busy();
     if (!record.found) {
-      auto final_record = co_await state_.read(keys::final_state(id), Importance::accepting);
+      auto final_record = co_await store_.get(keys::final_state(id), Importance::accepting);
       if (!final_record.ok) co_return busy();
       if (!final_record.found) {
         // Accepted between the two reads, or never: the confirmed answer tells.
@@ -325,30 +325,30 @@
         if (state.status != 200) co_return state;
         continue;
       }
-      bool done = final_record.item.value.value("s", std::string()) == "done";
+      bool done = final_record.key_value.value.value("s", std::string()) == "done";
       cache_.remember_final(id, done ? FinalState::done : FinalState::cancelled);
       continue;
     }
-    if (record.item.value.value(fields::cancelled, 0) != 0) {
-      cache_.apply(record.item);
+    if (record.key_value.value.value(fields::cancelled, 0) != 0) {
+      cache_.apply(record.key_value);
       co_return HttpResponse{200, encode_job_status(id, "aborted"), 0};
     }
     write_arrivals_.note(loop_.now());
-    Txn txn;
-    txn.conditions[keys::job(id)] = record.item.version;
-    record.item.value[fields::cancelled] = 1;
-    record.item.value[fields::cancelled_at] = loop_.wall();
-    txn.writes.push_back({keys::job(id), std::move(record.item.value), 0});
-    auto writes = txn.writes;
-    auto reply = co_await state_.commit(std::move(txn), Importance::accepting);
-    if (reply.outcome == Outcome::committed) {
+    Transaction transaction;
+    transaction.preconditions[keys::job(id)] = record.key_value.version;
+    record.key_value.value[fields::cancelled] = 1;
+    record.key_value.value[fields::cancelled_at] = loop_.wall();
+    transaction.writes.push_back({keys::job(id), std::move(record.key_value.value), 0});
+    auto writes = transaction.writes;
+    auto reply = co_await store_.compare_and_swap(std::move(transaction), Importance::accepting);
+    if (reply.outcome == TransactionOutcome::committed) {
       // Known here before the user is told, without waiting for the watch; that starts before it
       // may still be unknown is minded where ends are committed.
       cache_.apply_writes(writes, reply.revision);
       spdlog::info("job {} is cancelled by its user", id);
       co_return HttpResponse{200, encode_job_status(id, "aborted"), 0};
     }
-    if (reply.outcome == Outcome::refused) co_return busy();
+    if (reply.outcome == TransactionOutcome::refused) co_return busy();
   }
   co_return busy();
 }
--- a/src/coordination/user_api.hpp
+++ b/src/coordination/user_api.hpp
@@ -16,8 +16,8 @@
 
 class UserApi {
  public:
-  UserApi(Loop& loop, const Settings& settings, StateClient& state, Cache& cache, Catalog& catalog,
-          const VersionRegistry& versions);
+  UserApi(Loop& loop, const Settings& settings, KeyValueClient& store, RecordCache& cache,
+          Catalog& catalog, const VersionRegistry& versions);
   Task<void> run_accept_loop(std::stop_token stop_token);
   Task<void> run_confirm_loop(std::stop_token stop_token);
   // Writes that users ask for: those that wait, those told to come back a moment ago, and what is
@@ -55,8 +55,8 @@
 
   Loop& loop_;
   const Settings& settings_;
-  StateClient& state_;
-  Cache& cache_;
+  KeyValueClient& store_;
+  RecordCache& cache_;
   Catalog& catalog_;
   const VersionRegistry& versions_;
   Notification submitted_, asked_;
--- a/src/coordination/version_registry.cpp
+++ b/src/coordination/version_registry.cpp
@@ -25,12 +25,12 @@
   while (!stop_token.stop_requested()) {
     if (cache_.loaded()) {
       if (has(settings_.node_name, current)) co_return;
-      Txn txn;
+      Transaction transaction;
       // Only this controller writes the key, and always the same value: a late copy does no harm.
-      txn.writes.push_back({keys::version(settings_.node_name), {{"v", current}}, 0});
-      const auto writes = txn.writes;
-      auto reply = co_await state_.commit(std::move(txn), Importance::accepting);
-      if (reply.outcome == Outcome::committed) {
+      transaction.writes.push_back({keys::version(settings_.node_name), {{"v", current}}, 0});
+      const auto writes = transaction.writes;
+      auto reply = co_await store_.compare_and_swap(std::move(transaction), Importance::accepting);
+      if (reply.outcome == TransactionOutcome::committed) {
         cache_.apply_writes(writes, reply.revision);
         spdlog::info("recorded version {} of this controller", current);
         co_return;
--- a/src/coordination/version_registry.hpp
+++ b/src/coordination/version_registry.hpp
@@ -20,8 +20,8 @@
   static constexpr uint64_t replicas = 3;
   static constexpr uint64_t current = replicas;
 
-  VersionRegistry(Loop& loop, const Settings& settings, StateClient& state, Cache& cache)
-      : loop_(loop), settings_(settings), state_(state), cache_(cache) {}
+  VersionRegistry(Loop& loop, const Settings& settings, KeyValueClient& store, RecordCache& cache)
+      : loop_(loop), settings_(settings), store_(store), cache_(cache) {}
 
   // Records this controller's version; ends when that is done.
   Task<void> announce(std::stop_token stop_token);
@@ -33,8 +33,8 @@
 
   Loop& loop_;
   const Settings& settings_;
-  StateClient& state_;
-  Cache& cache_;
+  KeyValueClient& store_;
+  RecordCache& cache_;
 };
 
 }  // namespace damsonport
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -106,7 +106,7 @@
   return true;
 }
 
-bool parse_task_name(std::string_view text, TaskName& out) {
+bool parse_task_id(std::string_view text, TaskId& out) {
   auto slash = text.rfind('/');
   if (slash == std::string_view::npos) return false;
   auto tail = text.substr(slash + 1);
@@ -223,7 +223,7 @@
   for (auto& t : *tasks) {
     TaskReport out;
     std::string text;
-    if (!t.is_object() || !get(t, "hand", text) || !parse_task_name(text, out.task) ||
+    if (!t.is_object() || !get(t, "hand", text) || !parse_task_id(text, out.task) ||
         !get(t, "launch", out.attempt) || !get(t, "status", text))
       return Error{"a task of " + r.machine + " lacks a field"};
     // An unknown state still holds room on the machine: read it as running.
--- a/src/protocol/messages.hpp
+++ b/src/protocol/messages.hpp
@@ -62,16 +62,16 @@
 enum class ExitCause : uint8_t { none, done, stopped, error, no_room, busy, unknown, peers, alone };
 
 // A task is named by its job and index.
-struct TaskName {
+struct TaskId {
   std::string job;
   uint32_t index = 0;
   std::string text() const { return job + "/" + std::to_string(index); }
-  auto operator<=>(const TaskName&) const = default;
+  auto operator<=>(const TaskId&) const = default;
 };
-bool parse_task_name(std::string_view text, TaskName& out);
+bool parse_task_id(std::string_view text, TaskId& out);
 
 struct TaskReport {
-  TaskName task;
+  TaskId task;
   uint64_t attempt = 0;
   TaskState state = TaskState::running;
   ExitCause cause = ExitCause::none;
@@ -94,7 +94,7 @@
 
 struct Command {
   enum class Op : uint8_t { start, stop, forget } op = Op::start;
-  TaskName task;
+  TaskId task;
   uint64_t attempt = 0;
   double grace_s = 0;
 };
--- a/src/storage/cache.cpp
+++ b/src/storage/cache.cpp
@@ -19,7 +19,7 @@
 bool Job::all_started(uint32_t chunk) const {
   auto it = chunks.find(chunk);
   if (it == chunks.end()) return false;
-  const ChunkRecord& record = it->second.record;
+  const TaskChunk& record = it->second.record;
   return record.next == size_of(chunk) && record.waiting.empty();
 }
 
@@ -48,7 +48,7 @@
 
 std::vector<PlacedTask> Job::live_tasks(TaskRange range) const {
   std::vector<PlacedTask> out;
-  for_each_chunk(*this, range, [&](const ChunkRecord& record, uint32_t n, TaskRange within) {
+  for_each_chunk(*this, range, [&](const TaskChunk& record, uint32_t n, TaskRange within) {
     for (auto& task : entries_within(record.live, within.first, within.end()))
       out.push_back({{spec.id, n * chunk_size + task.index}, task.attempt, task.machine});
   });
@@ -57,7 +57,7 @@
 
 RangeRecord Job::record_of(TaskRange range) const {
   RangeRecord out;
-  for_each_chunk(*this, range, [&](const ChunkRecord& record, uint32_t, TaskRange within) {
+  for_each_chunk(*this, range, [&](const TaskChunk& record, uint32_t, TaskRange within) {
     const auto running = entries_within(record.live, within.first, within.end());
     const auto waiting = entries_within(record.waiting, within.first, within.end());
     for (auto& task : running) {
@@ -74,26 +74,26 @@
   return out;
 }
 
-Cache::Cache(Loop& loop, StateClient& state, double min_watch_gap_s, double clock_off_s,
-             double writes_per_s)
+RecordCache::RecordCache(Loop& loop, KeyValueClient& store, double min_watch_gap_s,
+                         double clock_off_s, double writes_per_s)
     : loop_(loop),
-      state_(state),
+      store_(store),
       min_watch_gap_s_(min_watch_gap_s),
       clock_off_s_(clock_off_s),
       max_removed_(
           std::max(least_removals_kept, static_cast<size_t>(writes_per_s * removals_kept_s))) {}
 
-Job* Cache::job(const std::string& id) {
+Job* RecordCache::job(const std::string& id) {
   auto it = jobs_.find(id);
   return it == jobs_.end() ? nullptr : it->second.get();
 }
 
-const FinalState* Cache::final_state(const std::string& id) const {
+const FinalState* RecordCache::final_state(const std::string& id) const {
   auto it = finals_.find(id);
   return it == finals_.end() ? nullptr : &it->second;
 }
 
-void Cache::remember_final(const std::string& id, FinalState state) {
+void RecordCache::remember_final(const std::string& id, FinalState state) {
   if (!finals_.emplace(id, state).second) return;
   if (final_order_.size() < max_finals) {
     final_order_.push_back(id);
@@ -104,12 +104,12 @@
   final_next_ = (final_next_ + 1) % max_finals;
 }
 
-const std::map<Assignment, uint64_t>& Cache::assigned(const std::string& machine) const {
+const std::map<Assignment, uint64_t>& RecordCache::assigned(const std::string& machine) const {
   auto it = assigned_.find(machine);
   return it == assigned_.end() ? no_assignments : it->second;
 }
 
-bool Cache::places(const TaskName& task, uint64_t attempt, const std::string& machine) {
+bool RecordCache::places(const TaskId& task, uint64_t attempt, const std::string& machine) {
   Job* placed = job(task.job);
   if (!placed) return false;
   auto& tasks = assigned(machine);
@@ -117,106 +117,107 @@
   return it != tasks.end() && it->second == attempt;
 }
 
-uint64_t Cache::chunk_version(const std::string& id, uint32_t chunk) const {
+uint64_t RecordCache::chunk_version(const std::string& id, uint32_t chunk) const {
   auto it = jobs_.find(id);
   if (it == jobs_.end()) return 0;
   auto c = it->second->chunks.find(chunk);
   return c == it->second->chunks.end() ? 0 : c->second.version;
 }
 
-uint64_t Cache::loose_version(const std::string& key) const {
-  auto it = loose_chunks_.find(key);
-  return it == loose_chunks_.end() ? 0 : it->second.version;
+uint64_t RecordCache::unattached_version(const std::string& key) const {
+  auto it = unattached_chunks_.find(key);
+  return it == unattached_chunks_.end() ? 0 : it->second.version;
 }
 
-void Cache::apply_writes(const std::vector<Write>& writes, uint64_t revision) {
+void RecordCache::apply_writes(const std::vector<Write>& writes, uint64_t revision) {
   for (auto& w : writes)
     if (w.key.starts_with(keys::cached)) apply({w.key, w.value, revision, w.lease});
 }
 
-void Cache::apply(const Item& item) {
-  const std::string& key = item.key;
-  if (outlived(item)) return;
+void RecordCache::apply(const KeyValue& key_value) {
+  const std::string& key = key_value.key;
+  if (is_stale_write(key_value)) return;
   auto tail = [&](const std::string& prefix) { return key.substr(prefix.size()); };
   if (key.starts_with(keys::jobs)) {
-    apply_job(tail(keys::jobs), item);
+    apply_job(tail(keys::jobs), key_value);
   } else if (key.starts_with(keys::chunks)) {
-    apply_chunk(tail(keys::chunks), item);
+    apply_chunk(tail(keys::chunks), key_value);
   } else if (key == keys::shard_table) {
-    if (item.version <= shard_table_version_) return;
-    shard_table_ = item.value.is_null() ? ShardTable{} : decode_shard_table(item.value);
-    shard_table_version_ = item.version;
+    if (key_value.version <= shard_table_version_) return;
+    shard_table_ = key_value.value.is_null() ? ShardTable{} : decode_shard_table(key_value.value);
+    shard_table_version_ = key_value.version;
   } else if (key == keys::leader) {
-    if (item.version <= leader_version_) return;
-    has_leader_ = !item.value.is_null();
-    if (has_leader_) leader_ = decode_leader(item.value);
-    leader_version_ = item.version;
+    if (key_value.version <= leader_version_) return;
+    has_leader_ = !key_value.value.is_null();
+    if (has_leader_) leader_ = decode_leader(key_value.value);
+    leader_version_ = key_value.version;
   } else if (key.starts_with(keys::machines)) {
-    std::erase_if(leaving_, [&](auto& mark) { return mark.second == key; });
-    if (item.value.is_object())
-      for (auto& id : item.value.value("machines", std::vector<std::string>())) leaving_[id] = key;
+    std::erase_if(tombstones_, [&](auto& mark) { return mark.second == key; });
+    if (key_value.value.is_object())
+      for (auto& id : key_value.value.value("machines", std::vector<std::string>()))
+        tombstones_[id] = key;
   } else if (key.starts_with(keys::rentals)) {
     auto id = tail(keys::rentals);
-    if (item.value.is_null()) {
+    if (key_value.value.is_null()) {
       rentals_.erase(id);
     } else {
-      auto& v = item.value;
+      auto& v = key_value.value;
       rentals_[id] = {{id, v.value("type", std::string()), v.value("zone", std::string()),
                        v.value("spot", false), v.value("count", 0)},
-                      item.version};
+                      key_value.version};
     }
   } else if (key.starts_with(keys::exits)) {
-    if (item.value.is_object()) {
-      forwarded_exits_[tail(keys::exits)] = decode_forwarded_exits(item.value);
+    if (key_value.value.is_object()) {
+      forwarded_exits_[tail(keys::exits)] = decode_forwarded_exits(key_value.value);
     } else {
       forwarded_exits_.erase(tail(keys::exits));
     }
   } else if (key.starts_with(keys::budgets)) {
-    apply_budget(tail(keys::budgets), item);
+    apply_budget(tail(keys::budgets), key_value);
   } else if (key.starts_with(keys::versions)) {
-    if (item.value.is_object())
-      versions_[tail(keys::versions)] = item.value.value("v", uint64_t{0});
+    if (key_value.value.is_object())
+      versions_[tail(keys::versions)] = key_value.value.value("v", uint64_t{0});
   }
-  if (item.value.is_null() && item.version) {
+  if (key_value.value.is_null() && key_value.version) {
     // Never all at once: a read under way just now may bring what was removed a moment ago.
     if (removed_.size() >= max_removed_) removed_before_ = std::exchange(removed_, {});
-    removed_[key] = item.version;
+    removed_[key] = key_value.version;
   }
 }
 
-bool Cache::outlived(const Item& item) {
+bool RecordCache::is_stale_write(const KeyValue& key_value) {
   for (auto* removed : {&removed_, &removed_before_}) {
-    auto it = removed->find(item.key);
+    auto it = removed->find(key_value.key);
     if (it == removed->end()) continue;
-    if (item.version <= it->second) return true;
+    if (key_value.version <= it->second) return true;
     removed->erase(it);
   }
   return false;
 }
 
 // Never removed: without it the team's limit would count as undivided.
-void Cache::apply_budget(const std::string& team, const Item& item) {
+void RecordCache::apply_budget(const std::string& team, const KeyValue& key_value) {
   auto& budget = budgets_[team];
-  if (item.value.is_object() && item.version > budget.version)
-    budget = {decode_budget(item.value), item.version};
+  if (key_value.value.is_object() && key_value.version > budget.version)
+    budget = {decode_budget(key_value.value), key_value.version};
 }
 
-void Cache::apply_job(const std::string& id, const Item& item) {
-  if (item.value.is_null()) {
+void RecordCache::apply_job(const std::string& id, const KeyValue& key_value) {
+  if (key_value.value.is_null()) {
     // A job's record goes only when it is over. That it is done is not inferred from that: a
     // cancellation may have been missed between two loads. The final state is read on demand.
-    if (auto* gone = job(id); gone && item.version > gone->version) {
+    if (auto* gone = job(id); gone && key_value.version > gone->version) {
       if (gone->cancelled) remember_final(id, FinalState::cancelled);
       drop_job(id);
     }
     return;
   }
   auto& slot = jobs_[id];
-  if (slot && item.version <= slot->version) return;
-  const uint32_t chunk_size = std::max(1u, item.value.value(fields::chunk_size, 1u));
-  const uint32_t layout = item.value.value(fields::layout, 0u);
+  if (slot && key_value.version <= slot->version) return;
+  const uint32_t chunk_size = std::max(1u, key_value.value.value(fields::chunk_size, 1u));
+  const uint32_t chunk_layout = key_value.value.value(fields::chunk_layout, 0u);
   if (!slot) {
-    auto spec = decode_job(item.value);
+    auto spec = decode_job(key_value.value);
     if (!spec) {
       spdlog::error("the record of {} can't be read: {}", id, spec.error());
       jobs_.erase(id);
@@ -226,56 +227,56 @@
     slot->spec = std::move(*spec);
   }
   // Divided anew: the chunks of the new layout were all written before the job's record.
-  if (slot->layout != layout) release_chunks(*slot);
+  if (slot->chunk_layout != chunk_layout) detach_chunks(*slot);
   slot->chunk_size = chunk_size;
-  slot->layout = layout;
-  slot->version = item.version;
-  slot->cancelled = item.value.value(fields::cancelled, 0) != 0;
+  slot->chunk_layout = chunk_layout;
+  slot->version = key_value.version;
+  slot->cancelled = key_value.value.value(fields::cancelled, 0) != 0;
   if (slot->cancelled) {
     // The age outlives holders, by the time of day, whose error counts against us twice.
-    const double at = item.value.value(fields::cancelled_at, 0.0);
+    const double at = key_value.value.value(fields::cancelled_at, 0.0);
     slot->cancelled_since =
         at > 0 ? loop_.now() - std::max(loop_.wall() - at, 0.0) - 2 * clock_off_s_ : -1e9;
   }
   Job* added = slot.get();
-  adopt_loose_chunks(*added);
+  attach_chunks(*added);
   if (on_change) on_change(added);
 }
 
-void Cache::adopt_loose_chunks(Job& job) {
-  for (uint32_t n = 0; n < job.chunk_count() && !loose_chunks_.empty(); ++n) {
-    auto loose = loose_chunks_.find(job.chunk_key(n));
-    if (loose == loose_chunks_.end()) continue;
-    orphans_.erase(loose->first);
+void RecordCache::attach_chunks(Job& job) {
+  for (uint32_t n = 0; n < job.chunk_count() && !unattached_chunks_.empty(); ++n) {
+    auto loose = unattached_chunks_.find(job.chunk_key(n));
+    if (loose == unattached_chunks_.end()) continue;
+    orphaned_chunks_.erase(loose->first);
     set_chunk(job, n, decode_chunk(loose->second.value), loose->second.version);
-    loose_chunks_.erase(loose);
+    unattached_chunks_.erase(loose);
   }
 }
 
-void Cache::apply_chunk(const std::string& rest, const Item& item) {
+void RecordCache::apply_chunk(const std::string& rest, const KeyValue& key_value) {
   const auto name = parse_chunk_name(rest);
   if (!name) return;
   auto* owner = job(name->job);
-  if (!owner || owner->layout != name->layout) {
-    if (item.value.is_null()) {
-      loose_chunks_.erase(item.key);
-      orphans_.erase(item.key);
+  if (!owner || owner->chunk_layout != name->chunk_layout) {
+    if (key_value.value.is_null()) {
+      unattached_chunks_.erase(key_value.key);
+      orphaned_chunks_.erase(key_value.key);
       return;
     }
-    loose_chunks_[item.key] = item;
+    unattached_chunks_[key_value.key] = key_value;
     // One of a later layout waits for its job to take it.
-    if (!owner || name->layout < owner->layout) orphans_.insert(item.key);
+    if (!owner || name->chunk_layout < owner->chunk_layout) orphaned_chunks_.insert(key_value.key);
     return;
   }
   auto it = owner->chunks.find(name->number);
-  if (it != owner->chunks.end() && item.version <= it->second.version) return;
+  if (it != owner->chunks.end() && key_value.version <= it->second.version) return;
   // A chunk is removed only together with or after its job.
-  if (item.value.is_null()) return;
-  set_chunk(*owner, name->number, decode_chunk(item.value), item.version);
+  if (key_value.value.is_null()) return;
+  set_chunk(*owner, name->number, decode_chunk(key_value.value), key_value.version);
   if (on_change) on_change(owner);
 }
 
-void Cache::assign(Job& job, uint32_t index, const LiveTask& task, bool add) {
+void RecordCache::assign(Job& job, uint32_t index, const LiveTask& task, bool add) {
   auto& on = assigned_[task.machine];
   const Assignment key{&job, index};
   if (add) {
@@ -288,10 +289,10 @@
 }
 
 // Only what differs is touched: a change of one task must not cost as much as the whole chunk.
-void Cache::set_chunk(Job& job, uint32_t n, ChunkRecord record, uint64_t version) {
+void RecordCache::set_chunk(Job& job, uint32_t n, TaskChunk record, uint64_t version) {
   auto& chunk = job.chunks[n];
   const uint32_t base = n * job.chunk_size;
-  ChunkRecord before = std::exchange(chunk.record, std::move(record));
+  TaskChunk before = std::exchange(chunk.record, std::move(record));
   chunk.version = version;
   job.live += chunk.record.live.size() - before.live.size();
   job.done += chunk.record.done_count() - before.done_count();
@@ -304,39 +305,39 @@
     if (!same(before.find_live(t.index), t)) assign(job, base + t.index, t, true);
 }
 
-void Cache::release_chunks(Job& job) {
+void RecordCache::detach_chunks(Job& job) {
   for (auto& [n, chunk] : job.chunks) {
     const uint64_t version = chunk.version;
-    const ChunkRecord left = chunk.record;
+    const TaskChunk left = chunk.record;
     set_chunk(job, n, {}, version);
-    loose_chunks_[job.chunk_key(n)] = {job.chunk_key(n), encode_chunk(left), version, 0};
-    orphans_.insert(job.chunk_key(n));
+    unattached_chunks_[job.chunk_key(n)] = {job.chunk_key(n), encode_chunk(left), version, 0};
+    orphaned_chunks_.insert(job.chunk_key(n));
   }
   job.chunks.clear();
 }
 
-void Cache::drop_job(const std::string& id) {
+void RecordCache::drop_job(const std::string& id) {
   auto it = jobs_.find(id);
   Job& job = *it->second;
-  release_chunks(job);
+  detach_chunks(job);
   // Those of a layout that it never took go as well.
   const auto prefix = keys::chunks + id + "/";
-  for (auto loose = loose_chunks_.lower_bound(prefix);
-       loose != loose_chunks_.end() && loose->first.starts_with(prefix); ++loose)
-    orphans_.insert(loose->first);
+  for (auto loose = unattached_chunks_.lower_bound(prefix);
+       loose != unattached_chunks_.end() && loose->first.starts_with(prefix); ++loose)
+    orphaned_chunks_.insert(loose->first);
   if (on_job_gone) on_job_gone(&job);
   jobs_.erase(it);
   if (on_change) on_change(nullptr);
 }
 
-Task<bool> Cache::load(std::stop_token stop_token) {
+Task<bool> RecordCache::load(std::stop_token stop_token) {
   std::string after;
   uint64_t first = 0;
   double begun = 0;
   std::set<std::string> seen;
   for (;;) {
     if (!first) begun = loop_.now();
-    auto page = co_await state_.list(keys::cached, after, Importance::placing);
+    auto page = co_await store_.range(keys::cached, after, Importance::placing);
     if (!page.ok) {
       if (auto times = warning_.note("unreadable", loop_.now()))
         spdlog::warn("the state service can't be read yet ({} times)", *times);
@@ -345,12 +346,12 @@
     }
     // The watch starts from the first page: what changes while the others are read comes again.
     if (!first) first = page.revision;
-    for (auto& item : page.items) {
-      seen.insert(item.key);
-      apply(item);
-      after = item.key;
+    for (auto& key_value : page.key_values) {
+      seen.insert(key_value.key);
+      apply(key_value);
+      after = key_value.key;
     }
-    if (!page.more || page.items.empty()) break;
+    if (!page.more || page.key_values.empty()) break;
   }
   // After a gap in the watch, what is gone from the listing was removed meanwhile.
   std::vector<std::string> gone;
@@ -359,7 +360,7 @@
   for (auto& [id, rental] : rentals_)
     if (!seen.contains(keys::rental(id)) && rental.version <= first)
       gone.push_back(keys::rental(id));
-  for (auto& key : orphans_)
+  for (auto& key : orphaned_chunks_)
     if (!seen.contains(key)) gone.push_back(key);
   for (auto& [node, exits] : forwarded_exits_)
     if (!seen.contains(keys::forwarded_exits(node))) gone.push_back(keys::forwarded_exits(node));
@@ -371,7 +372,7 @@
   co_return true;
 }
 
-Task<void> Cache::follow(std::stop_token stop_token) {
+Task<void> RecordCache::follow(std::stop_token stop_token) {
   while (!stop_token.stop_requested()) {
     if (!loaded_) {
       if (!co_await load(stop_token)) co_return;
@@ -380,16 +381,16 @@
       if (on_change) on_change(nullptr);
     }
     double opened = loop_.now();
-    auto news = co_await state_.watch(keys::cached, revision_, 10.0);
+    auto news = co_await store_.watch(keys::cached, revision_, 10.0);
     if (stop_token.stop_requested()) co_return;
     if (news.ok) {
-      for (auto& item : news.items) {
+      for (auto& key_value : news.key_values) {
         // All the changes of one transaction share a revision; none may be skipped half-way.
-        apply(item);
+        apply(key_value);
       }
       revision_ = std::max(revision_, news.revision);
       as_of_ = opened;
-      if (!news.items.empty() && on_change) on_change(nullptr);
+      if (!news.key_values.empty() && on_change) on_change(nullptr);
     } else if (news.too_old) {
       spdlog::info("the watch fell behind at revision {}: loading anew", revision_);
       loaded_ = false;
--- a/src/storage/cache.hpp
+++ b/src/storage/cache.hpp
@@ -18,7 +18,7 @@
 
 // A task that the records place on a machine.
 struct PlacedTask {
-  TaskName name;
+  TaskId name;
   uint64_t attempt = 0;
   std::string machine;
 };
@@ -38,16 +38,16 @@
   // Steady time of the cancellation, or earlier; long ago where the record doesn't say.
   double cancelled_since = 0;
   uint32_t chunk_size = 1;
-  uint32_t layout = 0;  // how often the tasks were divided anew
+  uint32_t chunk_layout = 0;  // how often the tasks were divided anew
   struct Chunk {
-    ChunkRecord record;
+    TaskChunk record;
     uint64_t version = 0;
   };
   std::map<uint32_t, Chunk> chunks;  // those that were written
   uint64_t live = 0, done = 0;       // sums over the chunks
 
   uint32_t chunk_count() const { return (spec.tasks + chunk_size - 1) / chunk_size; }
-  std::string chunk_key(uint32_t n) const { return keys::chunk(spec.id, n, layout); }
+  std::string chunk_key(uint32_t n) const { return keys::chunk(spec.id, n, chunk_layout); }
   uint32_t size_of(uint32_t chunk) const {
     return std::min(chunk_size, spec.tasks - chunk * chunk_size);
   }
@@ -73,11 +73,11 @@
 
 enum class FinalState : uint8_t { done, cancelled };
 
-class Cache {
+class RecordCache {
  public:
   // `writes_per_s`: the most that the state service takes.
-  Cache(Loop& loop, StateClient& state, double min_watch_gap_s, double clock_off_s,
-        double writes_per_s);
+  RecordCache(Loop& loop, KeyValueClient& store, double min_watch_gap_s, double clock_off_s,
+              double writes_per_s);
 
   // The long-lived duty: loads everything, then follows the watch.
   Task<void> follow(std::stop_token stop_token);
@@ -89,7 +89,7 @@
   double as_of() const { return as_of_; }
 
   // Applies one key as read or written by us; older versions are ignored.
-  void apply(const Item& item);
+  void apply(const KeyValue& key_value);
   // Our own committed writes, all at one revision.
   void apply_writes(const std::vector<Write>& writes, uint64_t revision);
 
@@ -99,16 +99,16 @@
   void remember_final(const std::string& id, FinalState state);
   const std::map<Assignment, uint64_t>& assigned(const std::string& machine) const;
   // Whether the records place this attempt of the task on the machine.
-  bool places(const TaskName& task, uint64_t attempt, const std::string& machine);
+  bool places(const TaskId& task, uint64_t attempt, const std::string& machine);
   // Machines that some record names.
   const std::unordered_map<std::string, std::map<Assignment, uint64_t>>& assignments() const {
     return assigned_;
   }
   uint64_t chunk_version(const std::string& id, uint32_t chunk) const;
   // Of a chunk's key that belongs to no layout in use; 0: none is stored.
-  uint64_t loose_version(const std::string& key) const;
+  uint64_t unattached_version(const std::string& key) const;
   // Chunks whose job is gone: left over after a job's end, to be removed.
-  const std::set<std::string>& orphans() const { return orphans_; }
+  const std::set<std::string>& orphaned_chunks() const { return orphaned_chunks_; }
 
   const ShardTable& shard_table() const { return shard_table_; }
   uint64_t shard_table_version() const { return shard_table_version_; }
@@ -116,9 +116,9 @@
   uint64_t leader_version() const { return leader_version_; }
   bool has_leader() const { return has_leader_; }
   // Machines being returned, or returned: never used again.
-  bool leaving(const std::string& machine) const { return leaving_.contains(machine); }
+  bool has_tombstone(const std::string& machine) const { return tombstones_.contains(machine); }
   // Machine -> the record that marks it.
-  const std::map<std::string, std::string>& leaving_marks() const { return leaving_; }
+  const std::map<std::string, std::string>& tombstones() const { return tombstones_; }
   struct Rental {
     RentalRequest request;
     uint64_t version = 0;
@@ -147,20 +147,20 @@
 
  private:
   Task<bool> load(std::stop_token stop_token);
-  bool outlived(const Item& item);
-  void apply_job(const std::string& id, const Item& item);
-  void apply_budget(const std::string& team, const Item& item);
-  void apply_chunk(const std::string& rest, const Item& item);
-  void set_chunk(Job& job, uint32_t n, ChunkRecord record, uint64_t version);
+  bool is_stale_write(const KeyValue& key_value);
+  void apply_job(const std::string& id, const KeyValue& key_value);
+  void apply_budget(const std::string& team, const KeyValue& key_value);
+  void apply_chunk(const std::string& rest, const KeyValue& key_value);
+  void set_chunk(Job& job, uint32_t n, TaskChunk record, uint64_t version);
   void assign(Job& job, uint32_t index, const LiveTask& task, bool add);
   void drop_job(const std::string& id);
   // The job's chunks are no longer its own: kept as orphans, to be removed.
-  void release_chunks(Job& job);
+  void detach_chunks(Job& job);
   // Those that were read before the job's record, or before it took their layout.
-  void adopt_loose_chunks(Job& job);
+  void attach_chunks(Job& job);
 
   Loop& loop_;
-  StateClient& state_;
+  KeyValueClient& store_;
   double min_watch_gap_s_, clock_off_s_;
   size_t max_removed_;
   WarningLimiter warning_;
@@ -170,8 +170,8 @@
   std::unordered_map<std::string, std::unique_ptr<Job>> jobs_;
   // Chunks read before their job, or of a layout that it doesn't have (yet): a listing comes in
   // order of keys, a watch in order of changes.
-  std::map<std::string, Item> loose_chunks_;
-  std::set<std::string> orphans_;
+  std::map<std::string, KeyValue> unattached_chunks_;
+  std::set<std::string> orphaned_chunks_;
   std::unordered_map<std::string, std::map<Assignment, uint64_t>> assigned_;
   std::unordered_map<std::string, FinalState> finals_;
   std::vector<std::string> final_order_;
@@ -184,7 +184,7 @@
   LeaderRecord leader_;
   uint64_t leader_version_ = 0;
   bool has_leader_ = false;
-  std::map<std::string, std::string> leaving_;
+  std::map<std::string, std::string> tombstones_;
   std::map<std::string, Rental> rentals_;
   std::map<std::string, uint64_t> versions_;
   std::map<std::string, ForwardedExits> forwarded_exits_;
--- a/src/storage/layout.cpp
+++ b/src/storage/layout.cpp
@@ -26,8 +26,8 @@
   return tasks;
 }
 
-ChunkRecord record_of(const TaskEntry* tasks, uint32_t size) {
-  ChunkRecord record;
+TaskChunk record_of(const TaskEntry* tasks, uint32_t size) {
+  TaskChunk record;
   for (uint32_t i = 0; i < size; ++i)
     if (tasks[i].phase != TaskPhase::untouched) record.next = i + 1;
   for (uint32_t i = 0; i < record.next; ++i) {
@@ -41,9 +41,9 @@
 }
 }  // namespace
 
-std::map<uint32_t, ChunkRecord> divide_anew(const Job& job, uint32_t chunk_size) {
+std::map<uint32_t, TaskChunk> rechunk(const Job& job, uint32_t chunk_size) {
   const auto tasks = entries_of(job);
-  std::map<uint32_t, ChunkRecord> out;
+  std::map<uint32_t, TaskChunk> out;
   for (uint32_t first = 0; first < job.spec.tasks; first += chunk_size) {
     const uint32_t size = std::min(chunk_size, job.spec.tasks - first);
     auto record = record_of(tasks.data() + first, size);
--- a/src/storage/layout.hpp
+++ b/src/storage/layout.hpp
@@ -7,6 +7,6 @@
 namespace damsonport {
 
 // The chunk records of the same tasks in chunks of `chunk_size`; those never touched are left out.
-std::map<uint32_t, ChunkRecord> divide_anew(const Job& job, uint32_t chunk_size);
+std::map<uint32_t, TaskChunk> rechunk(const Job& job, uint32_t chunk_size);
 
 }  // namespace damsonport
--- a/src/storage/records.cpp
+++ b/src/storage/records.cpp
@@ -9,13 +9,13 @@
   return value.dump(-1, ' ', false, Json::error_handler_t::replace).size();
 }
 
-LiveTask* ChunkRecord::find_live(uint32_t index) {
+LiveTask* TaskChunk::find_live(uint32_t index) {
   auto it = first_from(live, index);
   return it != live.end() && it->index == index ? &*it : nullptr;
 }
 
-bool ChunkRecord::peek_startable(uint32_t size, uint32_t skip, uint32_t& index,
-                                 uint64_t& attempt) const {
+bool TaskChunk::peek_startable(uint32_t size, uint32_t skip, uint32_t& index,
+                               uint64_t& attempt) const {
   if (skip < waiting.size()) {
     index = waiting[skip].index;
     attempt = waiting[skip].attempt + 1;
@@ -28,13 +28,13 @@
   return true;
 }
 
-bool ChunkRecord::startable(uint32_t index) const {
+bool TaskChunk::startable(uint32_t index) const {
   if (index >= next) return true;
   auto at = first_from(waiting, index);
   return at != waiting.end() && at->index == index;
 }
 
-void ChunkRecord::start(uint32_t index, uint64_t attempt, const std::string& machine) {
+void TaskChunk::start(uint32_t index, uint64_t attempt, const std::string& machine) {
   std::erase_if(waiting, [&](const WaitingTask& w) { return w.index == index; });
   // Untouched tasks that are passed over become waiting ones that never ran.
   while (next <= index) {
@@ -47,7 +47,7 @@
   live.insert(at, {index, attempt, machine});
 }
 
-void ChunkRecord::end(uint32_t index, bool done) {
+void TaskChunk::end(uint32_t index, bool done) {
   auto* task = find_live(index);
   if (!task) return;
   uint64_t attempt = task->attempt;
@@ -57,14 +57,14 @@
   waiting.insert(at, {index, attempt});
 }
 
-uint64_t ChunkRecord::last_attempt() const {
+uint64_t TaskChunk::last_attempt() const {
   uint64_t last = 0;
   for (auto& t : live) last = std::max(last, t.attempt);
   for (auto& t : waiting) last = std::max(last, t.attempt);
   return last;
 }
 
-Json encode_chunk(const ChunkRecord& c) {
+Json encode_chunk(const TaskChunk& c) {
   Json m = {{"n", c.next}};
   if (!c.live.empty()) {
     auto& list = m["l"] = Json::array();
@@ -77,8 +77,8 @@
   return m;
 }
 
-ChunkRecord decode_chunk(const Json& m) {
-  ChunkRecord c;
+TaskChunk decode_chunk(const Json& m) {
+  TaskChunk c;
   c.next = m.value("n", 0u);
   if (m.contains("l"))
     for (auto& t : m["l"])
@@ -118,14 +118,14 @@
   name.job = std::string(text.substr(0, first));
   auto rest = text.substr(first + 1);
   if (const auto second = rest.find('/'); second != std::string_view::npos) {
-    if (!parse_number(rest.substr(0, second), name.layout)) return std::nullopt;
+    if (!parse_number(rest.substr(0, second), name.chunk_layout)) return std::nullopt;
     rest = rest.substr(second + 1);
   }
   if (!parse_number(rest, name.number)) return std::nullopt;
   return name;
 }
 
-bool chunk_fits(const ChunkRecord& record, double value_kb) {
+bool chunk_fits(const TaskChunk& record, double value_kb) {
   const double limit = value_kb * 1024 - entry_bytes;
   const auto entries = static_cast<double>(record.live.size() + record.waiting.size());
   // Most are far below, and need not be written out to be measured.
@@ -138,7 +138,7 @@
   return static_cast<uint32_t>(std::clamp(fits, 1.0, 1024.0));
 }
 
-size_t machines_in_a_mark(double value_kb) {
+size_t machines_per_tombstone(double value_kb) {
   constexpr double longest_name_bytes = 24, head_bytes = 64, most = 100;
   const double fits = (value_kb * 1024 - head_bytes) / longest_name_bytes;
   return static_cast<size_t>(std::clamp(fits, 1.0, most));
--- a/src/storage/records.hpp
+++ b/src/storage/records.hpp
@@ -25,11 +25,11 @@
 inline const std::string budgets = "d/q/";
 inline std::string job(const std::string& id) { return jobs + id; }
 // `layout`: how often the job's tasks were divided anew. The first one's keys have no number of it.
-inline std::string chunk(const std::string& id, uint32_t n, uint32_t layout = 0) {
-  const std::string division = layout == 0 ? "" : std::to_string(layout) + "/";
+inline std::string chunk(const std::string& id, uint32_t n, uint32_t chunk_layout = 0) {
+  const std::string division = chunk_layout == 0 ? "" : std::to_string(chunk_layout) + "/";
   return chunks + id + "/" + division + std::to_string(n);
 }
-inline std::string leaving(const std::string& batch) { return machines + batch; }
+inline std::string tombstone(const std::string& batch) { return machines + batch; }
 inline std::string rental(const std::string& id) { return rentals + id; }
 inline std::string version(const std::string& node) { return versions + node; }
 inline std::string forwarded_exits(const std::string& node) { return exits + node; }
@@ -42,7 +42,7 @@
 inline constexpr const char* cancelled = "x";
 inline constexpr const char* cancelled_at = "x_at";  // time of day
 inline constexpr const char* chunk_size = "chunk";
-inline constexpr const char* layout = "layout";
+inline constexpr const char* chunk_layout = "layout";
 }  // namespace fields
 
 // A value's size as the state service counts it: in the JSON form.
@@ -67,7 +67,7 @@
                           [](const auto& entry, uint32_t i) { return entry.index < i; });
 }
 
-struct ChunkRecord {
+struct TaskChunk {
   uint32_t next = 0;                 // relative to the chunk
   std::vector<LiveTask> live;        // by index
   std::vector<WaitingTask> waiting;  // by index
@@ -87,16 +87,16 @@
 };
 // What stays of a job that is over.
 Json encode_final_state(bool cancelled, uint64_t done);
-Json encode_chunk(const ChunkRecord& c);
-ChunkRecord decode_chunk(const Json& m);
+Json encode_chunk(const TaskChunk& c);
+TaskChunk decode_chunk(const Json& m);
 // The job, layout and number that a chunk's key names after its prefix.
 struct ChunkName {
   std::string job;
-  uint32_t layout = 0, number = 0;
+  uint32_t chunk_layout = 0, number = 0;
 };
 std::optional<ChunkName> parse_chunk_name(std::string_view text);
 // Whether the record may be written where values are bounded so, also with one more task live.
-bool chunk_fits(const ChunkRecord& record, double value_kb);
+bool chunk_fits(const TaskChunk& record, double value_kb);
 
 // A job's record, and whether it stays below `value_kb` for as long as the job exists.
 Json encode_job_record(const JobSpec& spec, uint32_t chunk_size);
@@ -120,12 +120,12 @@
 ShardTable decode_shard_table(const Json& m);
 
 // Machines whose marks fit into one value.
-size_t machines_in_a_mark(double value_kb);
+size_t machines_per_tombstone(double value_kb);
 
 // An exit that a controller other than the holder was told of by the machine.
 struct ForwardedExit {
   std::string machine;
-  TaskName task;
+  TaskId task;
   uint64_t attempt = 0;
   ExitCause cause = ExitCause::none;  // stored as its number
   auto operator<=>(const ForwardedExit&) const = default;
--- a/src/storage/state_client.cpp
+++ b/src/storage/state_client.cpp
@@ -13,22 +13,22 @@
 }
 
 // Takes the value out of the message: copying it was most of the work of reading all records.
-Item decode_item(Json& m, const char* key_field) {
-  Item item;
-  if (auto it = m.find(key_field); it != m.end() && it->is_string()) item.key = *it;
-  if (auto it = m.find("data"); it != m.end()) item.value = std::move(*it);
-  item.version = number(m, "stamp");
-  item.lease = number(m, "permit");
-  return item;
+KeyValue decode_item(Json& m, const char* key_field) {
+  KeyValue key_value;
+  if (auto it = m.find(key_field); it != m.end() && it->is_string()) key_value.key = *it;
+  if (auto it = m.find("data"); it != m.end()) key_value.value = std::move(*it);
+  key_value.version = number(m, "stamp");
+  key_value.lease = number(m, "permit");
+  return key_value;
 }
 }  // namespace
 
-StateClient::StateClient(Loop& loop, HttpClient& http, Endpoint endpoint,
-                         const StateLimitSettings& limits)
+KeyValueClient::KeyValueClient(Loop& loop, HttpClient& http, Endpoint endpoint,
+                               const StateLimitSettings& limits)
     : loop_(loop), http_(http), endpoint_(std::move(endpoint)), limit_(loop, limits) {}
 
-Task<HttpReply> StateClient::call(Method method, std::string target, std::string body,
-                                  Importance importance, int writes, double timeout_s) {
+Task<HttpReply> KeyValueClient::call(Method method, std::string target, std::string body,
+                                     Importance importance, int writes, double timeout_s) {
   co_await limit_.take(importance, writes);
   auto reply =
       co_await http_.request(endpoint_, method, std::move(target), std::move(body), timeout_s);
@@ -37,11 +37,12 @@
   co_return reply;
 }
 
-Task<TxnReply> StateClient::commit(Txn txn, Importance importance) {
-  Json conditions = Json::array(), writes = Json::array();
-  for (auto& [key, version] : txn.conditions)
-    conditions.push_back({{"path", key}, {"stamp", version}});
-  for (auto& w : txn.writes) {
+Task<TransactionResult> KeyValueClient::compare_and_swap(Transaction transaction,
+                                                         Importance importance) {
+  Json preconditions = Json::array(), writes = Json::array();
+  for (auto& [key, version] : transaction.preconditions)
+    preconditions.push_back({{"path", key}, {"stamp", version}});
+  for (auto& w : transaction.writes) {
     if (w.value.is_null()) {
       writes.push_back({{"remove", w.key}});
     } else {
@@ -51,21 +52,21 @@
     }
   }
   int count = static_cast<int>(writes.size());
-  Json message = {{"if", std::move(conditions)}};
+  Json message = {{"if", std::move(preconditions)}};
   if (count) message["writes"] = std::move(writes);
   std::string body = encode(message);
   message = Json();
   auto reply =
       co_await call(Method::post, "/txn", std::move(body), importance, count, answer_timeout_s);
-  TxnReply out;
+  TransactionResult out;
   auto m = decode_map(reply.body);
   switch (reply.status) {
     case 200:
-      out.outcome = Outcome::committed;
+      out.outcome = TransactionOutcome::committed;
       out.revision = number(m, "ledger");
       break;
     case 409:
-      out.outcome = Outcome::conflict;
+      out.outcome = TransactionOutcome::conflict;
       out.revision = number(m, "ledger");
       if (m.contains("failed") && m["failed"].is_array())
         for (auto& key : m["failed"])
@@ -73,14 +74,14 @@
       break;
     case 429:
     case 503:
-      out.outcome = Outcome::refused;
+      out.outcome = TransactionOutcome::refused;
       break;
     case 400:
-      out.outcome = Outcome::invalid;
+      out.outcome = TransactionOutcome::invalid;
       spdlog::warn("the state service refused a transaction as malformed: {}", m.dump());
       break;
     default:
-      out.outcome = Outcome::unknown;
+      out.outcome = TransactionOutcome::unknown;
   }
   co_return out;
 }
@@ -90,59 +91,62 @@
 // repeat conflicts, either the first copy was applied or somebody else changed a key, and either
 // way no copy can be applied any more. The caller reads the keys again after a conflict. This
 // holds only for transactions that write at least one of the keys they are conditional on.
-Task<TxnReply> StateClient::commit_surely(Txn txn, Importance importance,
-                                          std::stop_token stop_token) {
+Task<TransactionResult> KeyValueClient::commit_until_resolved(Transaction transaction,
+                                                              Importance importance,
+                                                              std::stop_token stop_token) {
   bool in_doubt = false;
   double pause = 0.02;
   for (;;) {
-    auto reply = co_await commit(txn, importance);
-    if (reply.outcome == Outcome::unknown) in_doubt = true;
-    bool definite = reply.outcome == Outcome::committed || reply.outcome == Outcome::conflict ||
-                    (reply.outcome == Outcome::invalid && !in_doubt);
+    auto reply = co_await compare_and_swap(transaction, importance);
+    if (reply.outcome == TransactionOutcome::unknown) in_doubt = true;
+    bool definite = reply.outcome == TransactionOutcome::committed ||
+                    reply.outcome == TransactionOutcome::conflict ||
+                    (reply.outcome == TransactionOutcome::invalid && !in_doubt);
     if (definite) co_return reply;
     if (!co_await Sleep(loop_, pause * loop_.uniform(0.5, 1.5), stop_token)) co_return reply;
     pause = std::min(pause * 2, 1.0);
   }
 }
 
-Task<ReadReply> StateClient::read(std::string key, Importance importance) {
+Task<GetResult> KeyValueClient::get(std::string key, Importance importance) {
   auto reply = co_await call(Method::get, "/keys/" + key, {}, importance, 0, answer_timeout_s);
-  ReadReply out;
+  GetResult out;
   out.ok = reply.status == 200 || reply.status == 404;
   out.found = reply.status == 200;
   if (out.found) {
     auto m = decode_map(reply.body);
-    out.item = decode_item(m, "path");
+    out.key_value = decode_item(m, "path");
   } else if (auto m = decode_map(reply.body); m.is_object()) {
-    out.item.version = number(m, "ledger");  // it is absent at this revision
+    out.key_value.version = number(m, "ledger");  // it is absent at this revision
   }
-  out.item.key = std::move(key);
+  out.key_value.key = std::move(key);
   co_return out;
 }
 
-Task<ListReply> StateClient::list(std::string prefix, std::string after, Importance importance) {
+Task<RangeResult> KeyValueClient::range(std::string prefix, std::string after,
+                                        Importance importance) {
   std::string target = "/keys?starts=" + prefix;
   if (!after.empty()) target += "&since=" + after;
   target += "&limit=250";
   auto reply =
       co_await call(Method::get, std::move(target), {}, importance, 0, answer_timeout_s * 2);
-  ListReply out;
+  RangeResult out;
   if (reply.status != 200) co_return out;
   auto m = decode_map(reply.body);
   if (!m.is_object() || !m.contains("pairs")) co_return out;
   out.ok = true;
   out.more = m.value("more", false);
   out.revision = number(m, "ledger");
-  for (auto& pair : m["pairs"]) out.items.push_back(decode_item(pair, "path"));
+  for (auto& pair : m["pairs"]) out.key_values.push_back(decode_item(pair, "path"));
   co_return out;
 }
 
-Task<ListReply> StateClient::watch(std::string prefix, uint64_t after, double wait_s) {
+Task<RangeResult> KeyValueClient::watch(std::string prefix, uint64_t after, double wait_s) {
   std::string target = "/watch?starts=" + prefix + "&since=" + std::to_string(after) +
                        "&block_ms=" + std::to_string(static_cast<int>(wait_s * 1000));
   auto reply = co_await call(Method::get, std::move(target), {}, Importance::watching, 0,
                              wait_s + answer_timeout_s);
-  ListReply out;
+  RangeResult out;
   out.too_old = reply.status == 410;
   if (reply.status != 200) co_return out;
   auto m = decode_map(reply.body);
@@ -151,13 +155,13 @@
   out.revision = number(m, "ledger");
   for (auto& event : m["news"]) {
     bool removed = event.contains("remove");
-    out.items.push_back(decode_item(event, removed ? "remove" : "set"));
-    if (removed) out.items.back().value = Json();
+    out.key_values.push_back(decode_item(event, removed ? "remove" : "set"));
+    if (removed) out.key_values.back().value = Json();
   }
   co_return out;
 }
 
-Task<uint64_t> StateClient::new_lease(double ttl_s) {
+Task<uint64_t> KeyValueClient::new_lease(double ttl_s) {
   Json message = Json::object();
   message["life_ms"] = static_cast<int>(ttl_s * 1000);
   auto reply = co_await call(Method::post, "/grants", encode(message), Importance::lease, 0,
@@ -167,14 +171,14 @@
   co_return m.is_object() ? number(m, "permit") : 0;
 }
 
-Task<StateClient::Renewal> StateClient::renew(uint64_t lease) {
+Task<KeyValueClient::Renewal> KeyValueClient::renew(uint64_t lease) {
   auto reply = co_await call(Method::post, "/grants/" + std::to_string(lease) + "/touch",
                              encode(Json::object()), Importance::lease, 0, answer_timeout_s);
   if (reply.status == 200) co_return Renewal::renewed;
   co_return reply.status == 404 ? Renewal::ended : Renewal::unknown;
 }
 
-Task<void> StateClient::end(uint64_t lease) {
+Task<void> KeyValueClient::end(uint64_t lease) {
   co_await call(Method::del, "/grants/" + std::to_string(lease), {}, Importance::lease, 0,
                 answer_timeout_s);
 }
--- a/src/storage/state_client.hpp
+++ b/src/storage/state_client.hpp
@@ -16,12 +16,12 @@
   uint64_t lease = 0;
 };
 
-struct Txn {
-  std::map<std::string, uint64_t> conditions;  // key -> version, 0: absent
+struct Transaction {
+  std::map<std::string, uint64_t> preconditions;  // key -> version, 0: absent
   std::vector<Write> writes;
 };
 
-enum class Outcome : uint8_t {
+enum class TransactionOutcome : uint8_t {
   committed,
   conflict,  // definite: not applied
   refused,   // definite: not executed (429, 503)
@@ -29,42 +29,43 @@
   unknown,   // may have been, or may yet be, applied
 };
 
-struct TxnReply {
-  Outcome outcome = Outcome::unknown;
+struct TransactionResult {
+  TransactionOutcome outcome = TransactionOutcome::unknown;
   uint64_t revision = 0;
   std::vector<std::string> failed;
 };
 
-struct Item {
+struct KeyValue {
   std::string key;
   Json value;  // null: deleted
   uint64_t version = 0;
   uint64_t lease = 0;
 };
 
-struct ReadReply {
+struct GetResult {
   bool ok = false;
   bool found = false;
-  Item item;
+  KeyValue key_value;
 };
 
-struct ListReply {
+struct RangeResult {
   bool ok = false;
   bool more = false;
   bool too_old = false;  // watches only
   uint64_t revision = 0;
-  std::vector<Item> items;
+  std::vector<KeyValue> key_values;
 };
 
-class StateClient {
+class KeyValueClient {
  public:
-  StateClient(Loop& loop, HttpClient& http, Endpoint endpoint, const StateLimitSettings& limits);
-  Task<TxnReply> commit(Txn txn, Importance importance);
+  KeyValueClient(Loop& loop, HttpClient& http, Endpoint endpoint, const StateLimitSettings& limits);
+  Task<TransactionResult> compare_and_swap(Transaction transaction, Importance importance);
   // Repeats until the outcome is definite: see the reasoning at its definition.
-  Task<TxnReply> commit_surely(Txn txn, Importance importance, std::stop_token stop_token);
-  Task<ReadReply> read(std::string key, Importance importance);
-  Task<ListReply> list(std::string prefix, std::string after, Importance importance);
-  Task<ListReply> watch(std::string prefix, uint64_t after, double wait_s);
+  Task<TransactionResult> commit_until_resolved(Transaction transaction, Importance importance,
+                                                std::stop_token stop_token);
+  Task<GetResult> get(std::string key, Importance importance);
+  Task<RangeResult> range(std::string prefix, std::string after, Importance importance);
+  Task<RangeResult> watch(std::string prefix, uint64_t after, double wait_s);
   // 0: none could be had.
   Task<uint64_t> new_lease(double ttl_s);
   enum class Renewal : uint8_t { renewed, ended, unknown };
--- a/tests/mixed_versions_test.cpp
+++ b/tests/mixed_versions_test.cpp
@@ -56,11 +56,11 @@
   EXPECT_EQ(keys::chunk("run-1", 3, 2), "d/t/run-1/2/3");
   auto first = parse_chunk_name("run-1/3");
   ASSERT_TRUE(first);
-  EXPECT_EQ(first->layout, 0u);
+  EXPECT_EQ(first->chunk_layout, 0u);
   EXPECT_EQ(first->number, 3u);
   auto later = parse_chunk_name("run-1/2/3");
   ASSERT_TRUE(later);
-  EXPECT_EQ(later->layout, 2u);
+  EXPECT_EQ(later->chunk_layout, 2u);
   EXPECT_EQ(later->number, 3u);
   for (const char* bad : {"run-1", "run-1/", "run-1/x", "run-1/1/", "run-1/1/2/3", "run-1/-1"})
     EXPECT_FALSE(parse_chunk_name(bad)) << bad;
@@ -81,7 +81,7 @@
   constexpr double kb = 2;
   const uint32_t size = chunk_size(kb);
   EXPECT_FALSE(chunk_fits(job.chunks.at(0).record, kb));
-  const auto divided = divide_anew(job, size);
+  const auto divided = rechunk(job, size);
   uint64_t live = 0, done = 0, waiting = 0;
   for (auto& [n, record] : divided) {
     EXPECT_TRUE(chunk_fits(record, kb));
@@ -89,7 +89,7 @@
     done += record.done_count();
     waiting += record.waiting.size();
     for (auto& task : record.live) {
-      ChunkRecord before = job.chunks.at(0).record;
+      TaskChunk before = job.chunks.at(0).record;
       auto* same = before.find_live(n * size + task.index);
       ASSERT_NE(same, nullptr);
       EXPECT_EQ(same->attempt, task.attempt);
@@ -108,7 +108,7 @@
   job.chunk_size = 4;
   job.chunks[0].record.start(0, 1, "i-1");
   job.chunks[1].record.start(1, 3, "i-2");  // task 5
-  const auto divided = divide_anew(job, 3);
+  const auto divided = rechunk(job, 3);
   ASSERT_EQ(divided.size(), 2u);
   EXPECT_EQ(divided.at(0).next, 1u);
   EXPECT_EQ(divided.at(1).next, 3u);  // tasks 3 and 4 wait, 5 is live
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -13,7 +13,7 @@
 TEST(Chunk, RecordsStayBelowTheValueLimitInAnyState) {
   for (double kb : {1.0, 16.0, 64.0}) {
     uint32_t size = chunk_size(kb);
-    ChunkRecord c;
+    TaskChunk c;
     for (uint32_t i = 0; i < size; ++i) {
       c.start(i, 999999999, "i-0000000000");
     }
@@ -36,13 +36,13 @@
   shard_table.leases.push_back({long_name(64), UINT64_MAX, UINT64_MAX, {}, true});
   shard_table.renewals = UINT64_MAX;
   EXPECT_TRUE(fits(encode_shard_table(shard_table)));
-  std::vector<std::string> machines(machines_in_a_mark(kb), "i-000000000000000000");
+  std::vector<std::string> machines(machines_per_tombstone(kb), "i-000000000000000000");
   EXPECT_TRUE(fits({{"machines", machines}}));
   EXPECT_TRUE(
       fits({{"type", long_name(200)}, {"zone", long_name(200)}, {"spot", false}, {"count", 50}}));
   EXPECT_TRUE(fits({{"s", "aborted"}, {"n", UINT64_MAX}}));
   EXPECT_TRUE(fits({{"v", UINT64_MAX}}));
-  EXPECT_LE(machines_in_a_mark(1000), 100u);
+  EXPECT_LE(machines_per_tombstone(1000), 100u);
 }
 
 TEST(Records, AJobWhoseRecordCanNeverFitIsTold) {
@@ -59,7 +59,7 @@
 }
 
 TEST(Chunk, AttemptsOnlyGrowAndDoneTasksLeaveNoTrace) {
-  ChunkRecord c;
+  TaskChunk c;
   uint32_t index = 9;
   uint64_t attempt = 9;
   ASSERT_TRUE(c.peek_startable(2, 0, index, attempt));
@@ -81,7 +81,7 @@
 }
 
 TEST(Chunk, ComesBackFromItsValue) {
-  ChunkRecord c;
+  TaskChunk c;
   c.start(0, 3, "i-1");
   c.start(2, 1, "i-2");  // passes over 1, which waits
   auto back = decode_chunk(encode_chunk(c));
@@ -167,8 +167,8 @@
 TEST(VersionRegistry, CountsEveryControllerOfTheSettings) {
   EventLoop loop;
   EventHttpClient http(loop);
-  StateClient state(loop, http, {"127.0.0.1", 1}, limits);
-  Cache cache(loop, state, 1, 0, 50);
+  KeyValueClient state(loop, http, {"127.0.0.1", 1}, limits);
+  RecordCache cache(loop, state, 1, 0, 50);
   Settings settings;
   settings.node_name = "n0";
   settings.peers = {{"n1", "a", {}}, {"n2", "a", {}}};
@@ -187,12 +187,13 @@
 TEST(Marks, OneRecordMarksManyMachines) {
   EventLoop loop;
   EventHttpClient http(loop);
-  StateClient state(loop, http, {"127.0.0.1", 1}, limits);
-  Cache cache(loop, state, 1, 0, 50);
-  cache.apply({keys::leaving("a"), {{"machines", {"i-1", "i-2"}}}, 5, 0});
-  cache.apply({keys::leaving("b"), {{"machines", {"i-3"}}}, 6, 0});
-  EXPECT_TRUE(cache.leaving("i-1") && cache.leaving("i-2") && cache.leaving("i-3"));
-  EXPECT_FALSE(cache.leaving("i-4"));
+  KeyValueClient state(loop, http, {"127.0.0.1", 1}, limits);
+  RecordCache cache(loop, state, 1, 0, 50);
+  cache.apply({keys::tombstone("a"), {{"machines", {"i-1", "i-2"}}}, 5, 0});
+  cache.apply({keys::tombstone("b"), {{"machines", {"i-3"}}}, 6, 0});
+  EXPECT_TRUE(cache.has_tombstone("i-1") && cache.has_tombstone("i-2") &&
+              cache.has_tombstone("i-3"));
+  EXPECT_FALSE(cache.has_tombstone("i-4"));
 }
 
 JobSpec two_tasks() {
@@ -205,9 +206,9 @@
 TEST(Removals, ALateCopyDoesNotBringBackWhatWasJustRemoved) {
   EventLoop loop;
   EventHttpClient http(loop);
-  StateClient state(loop, http, {"127.0.0.1", 1}, limits);
-  Cache cache(loop, state, 1, 0, 50);
-  const Item copy{keys::job("run-1"), encode_job(two_tasks()), 1, 0};
+  KeyValueClient state(loop, http, {"127.0.0.1", 1}, limits);
+  RecordCache cache(loop, state, 1, 0, 50);
+  const KeyValue copy{keys::job("run-1"), encode_job(two_tasks()), 1, 0};
   cache.apply(copy);
   ASSERT_NE(cache.job("run-1"), nullptr);
   for (uint64_t i = 0; i < 4095; ++i)
@@ -222,8 +223,8 @@
 TEST(Assignments, AChangeTouchesOnlyWhatDiffers) {
   EventLoop loop;
   EventHttpClient http(loop);
-  StateClient state(loop, http, {"127.0.0.1", 1}, limits);
-  Cache cache(loop, state, 1, 0, 50);
+  KeyValueClient state(loop, http, {"127.0.0.1", 1}, limits);
+  RecordCache cache(loop, state, 1, 0, 50);
   std::string told;
   cache.on_assignment = [&](const std::string& machine, const Job&, bool added) {
     told += (added ? "+" : "-") + machine + " ";
@@ -231,7 +232,7 @@
   auto value = encode_job(two_tasks());
   value["chunk"] = 10;
   cache.apply({keys::job("run-1"), value, 1, 0});
-  ChunkRecord c;
+  TaskChunk c;
   c.start(0, 1, "i-1");
   cache.apply({keys::chunk("run-1", 0), encode_chunk(c), 2, 0});
   c.start(1, 1, "i-2");
--- a/tests/regions/region_cluster.cpp
+++ b/tests/regions/region_cluster.cpp
@@ -77,7 +77,7 @@
   region.fleet = std::make_unique<Fleet>(world_, s, std::vector<MachineType>{machine_type(plan_)},
                                          nodes, fmt::format("10.{}.", 100 + index));
   region.fleet->set_capacity(plan_.machines);
-  region.fleet->rules().on_start = [this](const TaskName&) { check_use(); };
+  region.fleet->rules().on_start = [this](const TaskId&) { check_use(); };
   for (int i = 0; i < plan_.machines; ++i) region.fleet->add_up("g", region.zone, false);
   auto with_elsewhere = s;
   const auto regions = region_settings(index);
--- a/tests/replicas/gang_tracker_test.cpp
+++ b/tests/replicas/gang_tracker_test.cpp
@@ -37,7 +37,7 @@
     job.chunk_size = 2;
     for (const char* id : {"i-1", "i-2", "i-3"}) facts.machines[id].session = 1;
   }
-  ChunkRecord& record() { return job.chunks[0].record; }
+  TaskChunk& record() { return job.chunks[0].record; }
   // By this holder, or by an earlier one.
   void start_both(uint64_t attempt, bool begun_here) {
     if (begun_here) tracker.note_begun(job, replica, attempt);
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -136,7 +136,7 @@
       for (auto& item : list(w, "tasks")) {  // JOB/INDEX:ATTEMPT:STATE
         TaskReport t;
         auto a = item.find(':'), b = item.rfind(':');
-        ASSERT_TRUE(parse_task_name(item.substr(0, a), t.task));
+        ASSERT_TRUE(parse_task_id(item.substr(0, a), t.task));
         t.attempt = std::stoull(item.substr(a + 1, b - a - 1));
         auto state = item.substr(b + 1);
         t.state = state == "running"    ? TaskState::running
@@ -150,14 +150,14 @@
         actual_.push_back("ignored " + std::to_string(r.seq));
     } else if (verb == "record") {  // record TASK attempt=N [cancelled] [stop=S]
       Expected e;
-      ASSERT_TRUE(parse_task_name(name, e.task));
+      ASSERT_TRUE(parse_task_id(name, e.task));
       e.attempt = static_cast<uint64_t>(num(w, "attempt", 1));
       e.cancelled = w.contains("cancelled");
       if (w.contains("stop")) e.stop = num(w, "stop");
       records_.push_back(e);
     } else if (verb == "sent") {  // sent TASK attempt=N how=flight|limbo|answer
       AttemptKey key;
-      ASSERT_TRUE(parse_task_name(name, key.first));
+      ASSERT_TRUE(parse_task_id(name, key.first));
       key.second = static_cast<uint64_t>(num(w, "attempt", 1));
       auto how = str(w, "how");
       (how == "flight"  ? machine_.in_flight
--- a/tools/fleet/site_process.cpp
+++ b/tools/fleet/site_process.cpp
@@ -35,7 +35,7 @@
     fleet_->set_capacity(plan.workers[region]);
     users_ = std::make_unique<Users>(plan, region, world_, *fleet_);
     auto& rules = fleet_->rules();
-    rules.on_start = [this](const TaskName& task) { users_->started(task); };
+    rules.on_start = [this](const TaskId& task) { users_->started(task); };
     rules.on_use = [this](const std::string& team, double cpus, double gpus) {
       count_use(team, cpus, gpus);
     };
--- a/tools/fleet/users.cpp
+++ b/tools/fleet/users.cpp
@@ -139,7 +139,7 @@
              });
 }
 
-void Users::started(const TaskName& task) {
+void Users::started(const TaskId& task) {
   ++starts_;
   auto it = jobs_.find(task.job);
   if (it == jobs_.end() || it->second.started[task.index]) return;
--- a/tools/fleet/users.hpp
+++ b/tools/fleet/users.hpp
@@ -21,7 +21,7 @@
   // Calls off so many services that run, the oldest first, within a second.
   void cancel_services(size_t count);
   // Called when a task is on its machine.
-  void started(const TaskName& task);
+  void started(const TaskId& task);
 
   uint64_t starts() const { return starts_; }
   uint64_t submitted() const { return next_job_; }
