--- a/simulation/fleet.cpp
+++ b/simulation/fleet.cpp
@@ -94,7 +94,7 @@
   }
   return {{"vessel", id},        {"address", address},
           {"hull", type},        {"dock", zone},
-          {"tender", spot},      {"watch", session_},
+          {"tender", spot},      {"watch", agent_epoch_},
           {"tally", ++seq_},     {"helm", fencing_token_},
           {"recall_s", nullptr}, {"hands", std::move(hands)}};
 }
@@ -113,30 +113,30 @@
   in_flight_ = true;
   const auto flight = ++flight_;
   const double sent = last_report_ = world_.now();
-  const auto session = session_;
+  const auto agent_epoch = agent_epoch_;
   auto give_up = world_.in(worker_patience_s, [this, flight] {
     if (gone || flight != flight_ || !in_flight_) return;
-    answered(0, Json(), session_, 0);
+    answered(0, Json(), agent_epoch_, 0);
   });
   auto body = encode(report());
   if (mute) return;
   world_.ask(connection(), fleet_.nodes[node_].second, Method::post, "/hello", std::move(body),
-             [this, flight, session, sent, give_up](const HttpReply& reply) {
+             [this, flight, agent_epoch, sent, give_up](const HttpReply& reply) {
                if (gone || deaf || hung() || flight != flight_ || !in_flight_) return;
                world_.cancel(give_up);
-               answered(reply.status, decode_map(reply.body), session, sent);
+               answered(reply.status, decode_map(reply.body), agent_epoch, sent);
              });
 }
 
-void Worker::answered(int status, const Json& body, uint64_t session, double sent) {
+void Worker::answered(int status, const Json& body, uint64_t agent_epoch, double sent) {
   in_flight_ = false;
   if (status == 0) ++connection_;  // closed: what is late on it is not read any more
-  double next = fleet_.settings.report_s * world_.uniform(0.75, 1.25);
+  double next = fleet_.settings.heartbeat_interval_s * world_.uniform(0.75, 1.25);
   if (status == 200) {
     const bool has = body.is_object() && body.contains("helm");
     const uint64_t fencing_token = has ? body["helm"].get<uint64_t>() : 0;
     // One that is dropped holds the worker at that node all the same.
-    if (has && fencing_token >= fencing_token_ && session == session_) {
+    if (has && fencing_token >= fencing_token_ && agent_epoch == agent_epoch_) {
       learn(fencing_token);
       acknowledged_ = sent;
       watch_lease();
@@ -173,8 +173,9 @@
   auto m = decode_map(body);
   if (target != "/commands" || !m.is_object() || !m.contains("helm") || !m.contains("watch"))
     return answer({400, {}});
-  const uint64_t fencing_token = m["helm"], session = m["watch"];
-  if (fencing_token < fencing_token_ || session != session_) return answer({409, encode(report())});
+  const uint64_t fencing_token = m["helm"], agent_epoch = m["watch"];
+  if (fencing_token < fencing_token_ || agent_epoch != agent_epoch_)
+    return answer({409, encode(report())});
   learn(fencing_token);
   execute(m.value("orders", Json::array()));
   answer({200, encode(report())});
@@ -344,7 +345,7 @@
   if (gone || hung()) return;
   leave_gangs();
   drop_tasks();
-  ++session_;
+  ++agent_epoch_;
   acknowledged_ = world_.now();
   watch_lease();
   changed();
--- a/simulation/fleet.hpp
+++ b/simulation/fleet.hpp
@@ -14,7 +14,7 @@
 class Fleet;
 
 // On its machine, also while it saves or waits for the rest of its gang.
-bool on_machine(const TaskReport& task);
+bool on_machine(const TaskStatus& task);
 
 // What users were told, and which rules are broken.
 class RuleChecker {
@@ -82,14 +82,14 @@
   void vanish();  // its machine is gone
 
   struct Running {
-    TaskReport report;
+    TaskStatus report;
     double progress = 0, since = 0;
     World::Key next{};
     bool timed = false;
   };
   using Attempt = std::pair<TaskId, uint64_t>;
   const std::map<Attempt, Running>& tasks() const { return tasks_; }
-  uint64_t session() const { return session_; }
+  uint64_t agent_epoch() const { return agent_epoch_; }
 
   // A gang's task that has its image, on a machine that goes on, and waits for the others.
   bool ready_for_gang(const TaskId& task, uint64_t attempt) const;
@@ -113,7 +113,7 @@
   }
   void schedule(double seconds);
   void changed();
-  void answered(int status, const Json& body, uint64_t session, double sent);
+  void answered(int status, const Json& body, uint64_t agent_epoch, double sent);
   void execute(const Json& orders);
   void learn(uint64_t fencing_token);
   void serve(Method method, const std::string& target, const std::string& body,
@@ -133,7 +133,7 @@
 
   World& world_;
   Fleet& fleet_;
-  uint64_t session_ = 1, seq_ = 0, fencing_token_ = 0;
+  uint64_t agent_epoch_ = 1, seq_ = 0, fencing_token_ = 0;
   double acknowledged_ = 0, last_report_ = -1e9, hung_until_ = -1;
   size_t node_ = 0;
   uint64_t connection_ = 0;
--- a/simulation/rule_checker.cpp
+++ b/simulation/rule_checker.cpp
@@ -6,7 +6,7 @@
 
 namespace damsonport::simulation {
 
-bool on_machine(const TaskReport& task) {
+bool on_machine(const TaskStatus& task) {
   return task.state == TaskState::running || task.state == TaskState::saving ||
          task.state == TaskState::waiting;
 }
--- a/src/coordination/budgets/region_network.cpp
+++ b/src/coordination/budgets/region_network.cpp
@@ -72,8 +72,9 @@
   while (!stop_token.stop_requested()) {
     note_silence();
     if (const uint64_t held = fencing_token(); held != 0) tell_all(held);
-    if (!co_await Sleep(loop_, settings_.report_s * news_pause_reports, stop_token)) co_return;
-    co_await wake_.wait(settings_.report_s * period_reports * loop_.uniform(0.85, 1.05),
+    if (!co_await Sleep(loop_, settings_.heartbeat_interval_s * news_pause_reports, stop_token))
+      co_return;
+    co_await wake_.wait(settings_.heartbeat_interval_s * period_reports * loop_.uniform(0.85, 1.05),
                         stop_token);
   }
 }
--- a/src/coordination/budgets/team_budgets.cpp
+++ b/src/coordination/budgets/team_budgets.cpp
@@ -111,7 +111,8 @@
 
 bool TeamBudgets::fresh(size_t region, double now) const {
   auto it = received_.find(regions_->regions[region].name);
-  return it != received_.end() && now - it->second.at < settings_.report_s * fresh_reports;
+  return it != received_.end() &&
+         now - it->second.at < settings_.heartbeat_interval_s * fresh_reports;
 }
 
 // --- changes of records
--- a/src/coordination/cancellations.cpp
+++ b/src/coordination/cancellations.cpp
@@ -39,7 +39,8 @@
   return out;
 }
 
-void CancellationGossip::add_to(Heartbeat& heartbeat, const std::string& peer, double now) const {
+void CancellationGossip::add_to(PeerHeartbeat& heartbeat, const std::string& peer,
+                                double now) const {
   heartbeat.sent_ms = to_ms(now);
   heartbeat.last = heartbeat.upto = last_;
   auto it = peers_.find(peer);
@@ -62,7 +63,7 @@
   }
 }
 
-CancellationGossip::Merged CancellationGossip::merge(const Heartbeat& heartbeat, double now) {
+CancellationGossip::Merged CancellationGossip::merge(const PeerHeartbeat& heartbeat, double now) {
   Merged merged;
   auto it = peers_.find(heartbeat.node);
   if (it == peers_.end()) return merged;
--- a/src/coordination/cancellations.hpp
+++ b/src/coordination/cancellations.hpp
@@ -26,14 +26,14 @@
   std::vector<std::pair<std::string, double>> known() const;
 
   // What a heartbeat to this peer says beside the rest.
-  void add_to(Heartbeat& heartbeat, const std::string& peer, double now) const;
+  void add_to(PeerHeartbeat& heartbeat, const std::string& peer, double now) const;
   struct Merged {
     std::vector<std::string> fresh;  // jobs heard of for the first time
     // A part of a longer list has come, or was taken by the peer: the next one follows the next
     // heartbeat, so that should not wait for its time.
     bool answer_at_once = false;
   };
-  Merged merge(const Heartbeat& heartbeat, double now);
+  Merged merge(const PeerHeartbeat& heartbeat, double now);
 
   // When the job was cancelled, as others say, or earlier.
   std::optional<double> received(const std::string& job) const;
--- a/src/coordination/election.cpp
+++ b/src/coordination/election.cpp
@@ -16,7 +16,7 @@
       changed_(changed),
       // Well inside the workers' lease, so that a dead leader costs no tasks, and long enough for a
       // slow answer or two. Rare reports are no reason to wait longer for its successor.
-      ttl_s_(std::max(std::min(settings.report_s * 1.5, settings.lease_s / 6),
+      ttl_s_(std::max(std::min(settings.heartbeat_interval_s * 1.5, settings.lease_s / 6),
                       settings.lease_s / 8)) {}
 
 Task<void> Election::run(std::stop_token stop_token) {
--- a/src/coordination/exit_relay.cpp
+++ b/src/coordination/exit_relay.cpp
@@ -55,7 +55,7 @@
 
 Task<void> ExitForwarder::run(std::stop_token stop_token) {
   while (!stop_token.stop_requested()) {
-    co_await changed_.wait(settings_.report_s * look_share, stop_token);
+    co_await changed_.wait(settings_.heartbeat_interval_s * look_share, stop_token);
     if (!cache_.loaded()) continue;
     forget_what_is_committed();
     auto record = next_record();
@@ -64,7 +64,8 @@
                             ? record.exits.empty()
                             : written->second.exits == record.exits;
     if (!stands) co_await write(std::move(record));
-    if (!co_await Sleep(loop_, settings_.report_s * write_pause_share, stop_token)) co_return;
+    if (!co_await Sleep(loop_, settings_.heartbeat_interval_s * write_pause_share, stop_token))
+      co_return;
   }
 }
 
--- a/src/coordination/failure_evidence.hpp
+++ b/src/coordination/failure_evidence.hpp
@@ -10,7 +10,7 @@
 // elsewhere, or that have failed nowhere else yet; a job is at fault that has failed on several
 // machines and worked on none. What is learned of a job later changes what its failures say of the
 // machines, so every verdict is worked out when it is asked for.
-class FailureEvidence {
+class FaultAttribution {
  public:
   void failed(const std::string& job, const std::string& machine, double now);
   // A task of the job, running since `started`, was done there or ran for longer than a failing one
@@ -19,8 +19,8 @@
   // Known from the records of an earlier holder: started often, and nothing came of it.
   void suspect(const std::string& job);
 
-  bool job_at_fault(const std::string& job) const;
-  bool machine_at_fault(const std::string& machine) const;
+  bool is_job_faulty(const std::string& job) const;
+  bool is_machine_faulty(const std::string& machine) const;
 
   // Something has failed that is still remembered.
   bool any() const { return !jobs_.empty() || !machines_.empty(); }
@@ -38,7 +38,7 @@
     std::set<std::string> failed_on;
     bool worked = false, suspected = false;
   };
-  bool blames_machine(const std::string& job) const;
+  bool attributes_to_machine(const std::string& job) const;
   std::map<std::string, JobRecord> jobs_;
   // Since something last worked there.
   struct MachineRecord {
--- a/src/coordination/fleet.cpp
+++ b/src/coordination/fleet.cpp
@@ -17,27 +17,27 @@
   }
 }
 
-bool take_report(Machine& m, const Report& r, double now, bool direct, double as_of) {
+bool apply_heartbeat(Machine& m, const Heartbeat& r, double now, bool direct, double as_of) {
   // Late copies, from seconds to more than a lease, prove nothing.
-  if (!r.newer_than(m.session, m.seq)) return false;
-  if (r.session != m.session) {
+  if (!r.newer_than(m.agent_epoch, m.sequence)) return false;
+  if (r.agent_epoch != m.agent_epoch) {
     // Everything of the older session is gone and none of its orders can arrive any more.
-    if (m.session != 0) ++m.lost_sessions;
+    if (m.agent_epoch != 0) ++m.lost_epochs;
     m.in_flight.clear();
     m.in_limbo.clear();
     m.in_answer.clear();
     m.outbox.clear();
   }
-  m.session = r.session;
-  m.seq = r.seq;
+  m.agent_epoch = r.agent_epoch;
+  m.sequence = r.sequence;
   m.fencing_token = std::max(m.fencing_token, r.fencing_token);
   m.address = r.address;
   m.type = r.type;
   m.zone = r.zone;
   m.spot = r.spot;
-  (direct ? m.last_direct : m.last_heard) = now;
+  (direct ? m.last_direct : m.last_heartbeat_at) = now;
   m.state_as_of = std::max(m.state_as_of, as_of);
-  if (m.first_heard == 0) m.first_heard = now;
+  if (m.first_heartbeat_at == 0) m.first_heartbeat_at = now;
   if (r.notice_s) {
     m.notice_at = now + *r.notice_s;
   } else {
--- a/src/coordination/fleet.hpp
+++ b/src/coordination/fleet.hpp
@@ -36,12 +36,12 @@
   bool spot = false;
   std::optional<size_t> slot;  // its place in what placement sees
   // Newest message taken from the worker.
-  uint64_t session = 0, seq = 0, fencing_token = 0;
-  double first_heard = 0;
-  double last_heard = 0;            // the last report
+  uint64_t agent_epoch = 0, sequence = 0, fencing_token = 0;
+  double first_heartbeat_at = 0;
+  double last_heartbeat_at = 0;     // the last report
   double last_direct = 0;           // the last answer to a direct message, which renews no lease
   std::optional<double> notice_at;  // steady time when the cloud takes it
-  std::map<TaskId, TaskReport> tasks;
+  std::map<TaskId, TaskStatus> tasks;
 
   // Start orders that may yet reach the worker in this session under our term.
   std::set<AttemptKey> in_flight;  // in a direct message that is not answered yet
@@ -61,7 +61,7 @@
   bool draining = false;                      // takes no new tasks
   double failing_since = 0;                   // drained because tasks failed here; 0: not for that
   std::string drain_why;
-  int lost_sessions = 0;
+  int lost_epochs = 0;
   // `tasks` was so at this time or later; 0: it isn't known how late the messages came.
   double state_as_of = 0;
   double idle_since = 0;
@@ -77,6 +77,6 @@
 // `direct`: it came as the answer to a message of ours.
 // `as_of`: it was made at this time or later, as its connection or our own question says; 0: it may
 // have been held up for any time.
-bool take_report(Machine& m, const Report& r, double now, bool direct, double as_of = 0);
+bool apply_heartbeat(Machine& m, const Heartbeat& r, double now, bool direct, double as_of = 0);
 
 }  // namespace damsonport
--- a/src/coordination/gang_tracker.cpp
+++ b/src/coordination/gang_tracker.cpp
@@ -86,7 +86,7 @@
   const auto live = job.live_tasks(gang);
   const bool all_heard = std::all_of(live.begin(), live.end(), [&](const PlacedTask& task) {
     const Machine* machine = facts_.find_machine(task.machine);
-    return machine && machine->session != 0;
+    return machine && machine->agent_epoch != 0;
   });
   return all_heard ? GangAction::complete : GangAction::none;
 }
--- a/src/coordination/holder.cpp
+++ b/src/coordination/holder.cpp
@@ -60,12 +60,12 @@
   auto* g = own_lease();
   fencing_token_ = g->fencing_token;
   required_revision_ = cache_.shard_table_version();
-  lease_acquired_at_ = quiet_base_ = last_tick_ = loop_.now();
+  lease_acquired_at_ = liveness_base_ = last_tick_ = loop_.now();
   lease_renewal_.clear();
   unreachable_since_ = 0;
-  silence_timeout_ = {};
+  dead_machine_timeout_ = {};
   machines_.clear();
-  repeated_reports_.clear();
+  deduplicator_.clear();
   attempts_.clear();
   exits_.clear();
   stopping_.clear();
@@ -74,7 +74,7 @@
   awaiting_tombstone_.clear();
   to_return_.clear();
   returned_.clear();
-  given_up_.clear();
+  declared_dead_.clear();
   lost_.clear();
   rechunker_.clear();
   uncommitted_starts_ = 0;
@@ -86,12 +86,12 @@
   hints_.clear();
   gangs_.clear();
   replicas_.clear();
-  failures_.clear();
+  faults_.clear();
   place_again_ = true;
   next_list_ = 0;
   // Machines that an earlier holder rented are heard first. The first one of all has none.
   const bool first_of_all = cache_.shard_table().renewals <= 1;
-  next_sizing_ = lease_acquired_at_ + (first_of_all ? 0 : 2 * settings_.report_s);
+  next_sizing_ = lease_acquired_at_ + (first_of_all ? 0 : 2 * settings_.heartbeat_interval_s);
   deps_.budgets.begin_lease();
   budget_news_ = true;
   reset_view();
@@ -103,7 +103,7 @@
   for (auto& [id, job] : cache_.jobs()) {
     if (is_cancelled(*job)) cancelled_.insert(id);
     if (is_over(*job)) over_.insert(id);
-    if (failed_before(*job)) failures_.suspect(id);
+    if (failed_before(*job)) faults_.suspect(id);
     replicas_.add_job(*job);
     dirty_jobs_.insert(job.get());
   }
@@ -185,7 +185,7 @@
   hints_.erase(job->spec.id);
   gangs_.forget_job(job->spec.id);
   replicas_.forget_job(job->spec.id);
-  failures_.forget_job(job->spec.id);
+  faults_.forget_job(job->spec.id);
   held_back_.erase(job->spec.id);
   over_.erase(job->spec.id);
   cancelled_.erase(job->spec.id);
@@ -212,7 +212,7 @@
       if (is_leading()) busy = co_await commit_starts(stop_token) || busy;
     }
     if (busy) continue;
-    double pause = std::min(0.25, settings_.report_s / 6);
+    double pause = std::min(0.25, settings_.heartbeat_interval_s / 6);
     co_await deps_.changed.wait(pause, stop_token);
     // Events that come close together are decided together.
     if (!co_await Sleep(loop_, 0.01, stop_token)) co_return;
@@ -220,7 +220,7 @@
 }
 
 Task<void> ShardLeader::run_maintenance(std::stop_token stop_token) {
-  const double tick = settings_.report_s / 4;
+  const double tick = settings_.heartbeat_interval_s / 4;
   while (!stop_token.stop_requested()) {
     if (!co_await Sleep(loop_, tick, stop_token)) co_return;
     lease_renewal_.forget_old_visits();
@@ -232,22 +232,22 @@
     double now = loop_.now();
     // A process that was held up, or that the state service left, heard nobody; that is no
     // machine's fault.
-    if (now - last_tick_ > 3 * tick) quiet_base_ = now;
+    if (now - last_tick_ > 3 * tick) liveness_base_ = now;
     last_tick_ = now;
     if (!records_current() || !deps_.catalog.known()) continue;
     step_down_if_unreachable();
-    watch_silence();
-    watch_cancelled();
-    watch_stragglers();
-    review_failures();
-    watch_drains();
+    detect_dead_machines();
+    check_cancelled_tasks();
+    check_stragglers();
+    review_faults();
+    check_drains();
     review_gangs();
     // What changes with time alone: pauses that are over, machines in doubt.
     if (waiting_tasks_ > 0 || !held_back_.empty()) place_again_ = true;
     if (deps_.election.is_leading()) {
       co_await return_machines(false, stop_token);
       if (is_leading() && loop_.now() >= next_sizing_) {
-        next_sizing_ = loop_.now() + settings_.report_s / 2;
+        next_sizing_ = loop_.now() + settings_.heartbeat_interval_s / 2;
         rent(stop_token);
       }
     } else if (!overdue_.empty()) {
@@ -266,12 +266,13 @@
   // A report period and a half, over which a healthy machine reports at least once.
   constexpr double heard_within_reports = 1.5, deaf_lease_share = 0.125;
   const double now = loop_.now();
-  const double heard_within = heard_within_reports * settings_.report_s;
+  const double heard_within = heard_within_reports * settings_.heartbeat_interval_s;
   size_t received = 0;
-  for (auto& [id, m] : machines_) received += now - m.last_heard < heard_within && m.session != 0;
+  for (auto& [id, m] : machines_)
+    received += now - m.last_heartbeat_at < heard_within && m.agent_epoch != 0;
   // After a takeover they come here by way of the others.
-  const bool settled = now - lease_acquired_at_ > 3 * settings_.report_s;
-  const bool deaf = settled && deps_.peer_network.misrouted_machines() > received;
+  const bool acknowledged = now - lease_acquired_at_ > 3 * settings_.heartbeat_interval_s;
+  const bool deaf = acknowledged && deps_.peer_network.misrouted_machines() > received;
   if (!deaf || !deps_.election.is_leading()) {
     unreachable_since_ = 0;
     return;
@@ -287,7 +288,7 @@
 std::optional<HttpResponse> ShardLeader::refusal(const std::string& machine,
                                                  uint64_t fencing_token) {
   // A newer holder exists: a 200 would only hold the worker here while its lease runs out.
-  if (fencing_token > fencing_token_) return HttpResponse{421, encode_report_to({}), 0};
+  if (fencing_token > fencing_token_) return HttpResponse{421, encode_redirect({}), 0};
   const bool lost = deps_.peer_network.alone() && !contact_.in_contact();
   if (!lease_renewal_.may_renew(lost && lease_renewal_.note_visit(machine)))
     return HttpResponse{503, {}, 0};
@@ -298,48 +299,48 @@
   return is_leading() ? replicas_.statuses() : std::vector<replicas::ReplicaStatus>{};
 }
 
-HttpResponse ShardLeader::on_report(const HttpRequest& request) {
-  if (auto answer = answer_repeated(request)) return *answer;
-  const auto report = decode_report(decode_map(request.body));
-  if (!report) return {400, encode({{"error", report.error()}}), 0};
-  return on_decoded_report(*report, request);
+HttpResponse ShardLeader::on_heartbeat(const HttpRequest& request) {
+  if (auto answer = answer_repeated_heartbeat(request)) return *answer;
+  const auto heartbeat = decode_heartbeat(decode_map(request.body));
+  if (!heartbeat) return {400, encode({{"error", heartbeat.error()}}), 0};
+  return on_decoded_heartbeat(*heartbeat, request);
 }
 
 // Only what the holder itself took last is remembered, so its token is known to be ours.
-std::optional<HttpResponse> ShardLeader::answer_repeated(const HttpRequest& request) {
+std::optional<HttpResponse> ShardLeader::answer_repeated_heartbeat(const HttpRequest& request) {
   if (!is_leading() || is_deposed()) return std::nullopt;
-  const auto repeat = repeated_reports_.find(request.body);
-  if (!repeat || failures_.any() || given_up_.contains(repeat->machine)) return std::nullopt;
+  const auto repeat = deduplicator_.find(request.body);
+  if (!repeat || faults_.any() || declared_dead_.contains(repeat->machine)) return std::nullopt;
   auto it = machines_.find(repeat->machine);
-  if (it == machines_.end() || repeat->sequence <= it->second.seq) return std::nullopt;
+  if (it == machines_.end() || repeat->sequence <= it->second.sequence) return std::nullopt;
   Machine& m = it->second;
   if (auto no = refusal(m.id, m.fencing_token)) return no;
   const double now = loop_.now();
-  m.seq = repeat->sequence;
-  m.last_heard = m.repeated_at = now;
+  m.sequence = repeat->sequence;
+  m.last_heartbeat_at = m.repeated_at = now;
   m.state_as_of = std::max(m.state_as_of, request.previous_answer_at);
   if (!m.tasks.empty()) m.idle_since = now;
   m.in_answer.clear();
-  return HttpResponse{200, encode_report_answer(fencing_token_, {}), 0};
+  return HttpResponse{200, encode_heartbeat_response(fencing_token_, {}), 0};
 }
 
-HttpResponse ShardLeader::on_decoded_report(const Report& r, const HttpRequest& request) {
+HttpResponse ShardLeader::on_decoded_heartbeat(const Heartbeat& r, const HttpRequest& request) {
   // Gone, as the cloud said: this is a late copy.
-  if (returned_.contains(r.machine)) return {421, encode_report_to({}), 0};
+  if (returned_.contains(r.machine)) return {421, encode_redirect({}), 0};
   if (!is_leading() || is_deposed()) return lease_renewal_.answer(r);
   if (auto no = refusal(r.machine, r.fencing_token)) return *no;
   std::vector<Command> commands;
   Machine& m = machine(r.machine);
-  if (r.newer_than(m.session, m.seq)) {
+  if (r.newer_than(m.agent_epoch, m.sequence)) {
     // One report is in flight at a time, so the answer to the one before was taken or dropped.
     m.in_answer.clear();
-    if (process_report(m, r, false, request.previous_answer_at, commands))
-      repeated_reports_.remember(m.id, request.body, r.seq);
+    if (process_heartbeat(m, r, false, request.previous_answer_at, commands))
+      deduplicator_.remember(m.id, request.body, r.sequence);
     std::erase_if(commands, [&](const Command& c) { return !still_wanted(m, c); });
     for (auto& c : commands)
       if (c.op == Command::Op::start) m.in_answer.insert({c.task, c.attempt});
   }
-  return {200, encode_report_answer(fencing_token_, commands), 0};
+  return {200, encode_heartbeat_response(fencing_token_, commands), 0};
 }
 
 }  // namespace damsonport
--- a/src/coordination/holder.hpp
+++ b/src/coordination/holder.hpp
@@ -63,7 +63,7 @@
   Task<void> follow_machine_list(std::stop_token stop_token);
 
   // The answer to a report in the form in which it came.
-  HttpResponse on_report(const HttpRequest& request);
+  HttpResponse on_heartbeat(const HttpRequest& request);
   bool is_leading() const;
   // Of the grant held; 0: none.
   uint64_t fencing_token() const { return is_leading() ? fencing_token_ : 0; }
@@ -138,7 +138,7 @@
   Task<bool> commit_exits(std::stop_token stop_token);
   Task<bool> commit_finals(std::stop_token stop_token);
   Task<bool> commit_starts(std::stop_token stop_token);
-  void order_stops(const placing::Decisions& decided);
+  void dispatch_preemptions(const placing::Decisions& decided);
   void note_unplaced(const placing::Decisions& decided);
   DecidedStart by_name(size_t job, size_t machine) const;
   DecidedGang gang_by_name(const placing::GangStart& decided) const;
@@ -147,7 +147,7 @@
   Task<bool> commit_single_starts(std::vector<DecidedStart> decided, std::stop_token stop_token);
   // How long the starts of one pass may be committed before the next pass.
   double starts_may_take_s() const;
-  void order_starts(const std::vector<CommittedStart>& starts);
+  void dispatch_starts(const std::vector<CommittedStart>& starts);
   // `committed` is called between the commit and its taking effect here.
   Task<bool> commit_and_apply(Transaction transaction, std::stop_token stop_token,
                               bool starts = false, std::function<void()> committed = {});
@@ -191,19 +191,19 @@
 
   // --- machines (holder_machines.cpp)
   Machine& machine(const std::string& id);
-  HttpResponse on_decoded_report(const Report& r, const HttpRequest& request);
+  HttpResponse on_decoded_heartbeat(const Heartbeat& r, const HttpRequest& request);
   // Why a machine that has seen this token isn't answered now; nothing: it is.
   std::optional<HttpResponse> refusal(const std::string& machine, uint64_t fencing_token);
   // Answers a report that repeats the last one, without looking into it; nothing: it doesn't.
-  std::optional<HttpResponse> answer_repeated(const HttpRequest& request);
+  std::optional<HttpResponse> answer_repeated_heartbeat(const HttpRequest& request);
   // True: a report that says the same again need not be looked into.
-  // `as_of`: see take_report().
-  bool process_report(Machine& m, const Report& r, bool direct, double as_of,
-                      std::vector<Command>& commands);
-  bool may_repeat(const Machine& m, const Report& r, const Reconciled& outcome) const;
+  // `as_of`: see apply_heartbeat().
+  bool process_heartbeat(Machine& m, const Heartbeat& r, bool direct, double as_of,
+                         std::vector<Command>& commands);
+  bool may_deduplicate(const Machine& m, const Heartbeat& r, const ReconcileResult& outcome) const;
   // What placement sees of the machine, or what is expected of it, has changed.
   void mark_changed(const std::string& machine);
-  std::vector<Expected> expected_on(const Machine& m) const;
+  std::vector<DesiredTask> desired_tasks_on(const Machine& m) const;
   void note_states(Machine& m);
   // Parts of replicas that the records place on the machine and that it doesn't have.
   void note_absent_parts(const Machine& m);
@@ -215,28 +215,28 @@
   void note_error(Machine& m, const JobSpec& spec);
   // Drains the machines at fault, a bounded share of the fleet at a time, and takes back those for
   // which the blame has gone to a job.
-  void review_failures();
+  void review_faults();
   // A job whose tasks were started again and again by earlier holders and of which nothing is done.
   static bool failed_before(const Job& job);
-  bool open_for_work(const Machine& m) const;
+  bool is_schedulable(const Machine& m) const;
   // Zones none of whose machines was heard for a time in which several should have been: cut off,
   // most likely, long before each machine alone is in doubt.
-  std::set<std::string> silent_zones() const;
-  double silence(const Machine& m) const;
-  bool in_doubt(const Machine& m) const;  // too silent for new tasks
-  double doubt_s() const;
-  double give_up_s() const;
+  std::set<std::string> unreachable_zones() const;
+  double since_last_heartbeat_s(const Machine& m) const;
+  bool is_suspected(const Machine& m) const;  // too silent for new tasks
+  double suspect_after_s() const;
+  double dead_after_s() const;
   placing::Amounts total_of(const Machine& m) const;
   // Enough for a task that saves, with some room for the message; 0 for one that never does.
   double stop_grace(const JobSpec& s) const;
   placing::Amounts free_of(const Machine& m) const;
 
   // --- orders (holder_orders.cpp)
-  void order(Machine& m, Command command);
+  void dispatch(Machine& m, Command command);
   void flush(const std::string& id);
   void start_sends();
   Task<void> send(std::string id);
-  Task<void> send_orders(std::string id);
+  Task<void> send_commands(std::string id);
   bool still_wanted(const Machine& m, const Command& c) const;
   Task<void> probe(std::string id);
   // Unless it is being asked already, or too many are.
@@ -247,10 +247,10 @@
   bool leads_cluster_and_shard() const;
   void note_listed(const ListedMachine& listed);
   void note_starting(const ListedMachine& listed);
-  void watch_silence();
-  void watch_cancelled();
-  void watch_drains();
-  void watch_stragglers();
+  void detect_dead_machines();
+  void check_cancelled_tasks();
+  void check_drains();
+  void check_stragglers();
   const MachineType* coming_type(const std::string& id, const Booting& b) const;
   Task<void> return_machines(bool overdue_only, std::stop_token stop_token);
   void sort_most_urgent_first(std::vector<std::string>& machines) const;
@@ -276,32 +276,32 @@
   uint64_t required_revision_ = 0;  // records must be complete up to here before anything is placed
   double next_renewal_ = 0;
   double lease_acquired_at_ = 0;
-  double quiet_base_ = 0;  // silence is counted from here at the earliest
+  double liveness_base_ = 0;  // silence is counted from here at the earliest
   double last_tick_ = 0;
 
   StateContact contact_;
   LeaseRenewal lease_renewal_;
   MachineListReader machine_list_;
   OrphanCleanup orphan_cleanup_;
-  SilenceTimeout silence_timeout_;
+  DeadMachineTimeout dead_machine_timeout_;
   double unreachable_since_ = 0;  // 0: the machines are heard
   // Which images the records put on which machine and when, seen by every node from the changes it
   // follows, so that a new holder knows most of what the last one knew.
   std::unordered_map<std::string, ImageCache> images_seen_;
 
   std::map<std::string, Machine> machines_;
-  RepeatedReports repeated_reports_;
+  HeartbeatDeduplicator deduplicator_;
   std::unordered_map<std::string, JobHints> hints_;
   GangTracker gangs_;
   replicas::ReplicaManager replicas_;
-  FailureEvidence failures_;
+  FaultAttribution faults_;
   std::map<TaskId, std::map<uint64_t, Attempt>> attempts_;
   std::map<TaskId, PendingExit> exits_;
   std::map<TaskId, Stopping> stopping_;
   std::set<std::string> cancelled_;               // jobs, whose tasks may still be there
   std::map<std::string, std::string> to_return_;  // machine -> why
   std::vector<sizing::Offer> lost_;               // kinds of machines given up, to be replaced
-  std::set<std::string> given_up_;                // to be returned for their silence alone
+  std::set<std::string> declared_dead_;           // to be returned for their silence alone
   std::set<std::string> overdue_;                 // to be returned with a cancelled task on them
   std::set<std::string> awaiting_tombstone_;      // returned in an outage, to be marked after it
   std::set<std::string> returned_;                // the cloud has confirmed it
--- a/src/coordination/holder_budgets.cpp
+++ b/src/coordination/holder_budgets.cpp
@@ -20,7 +20,7 @@
   const double now = loop_.now();
   if (!budget_news_ && now < next_budgets_) co_return false;
   budget_news_ = false;
-  next_budgets_ = now + settings_.report_s * measure_reports;
+  next_budgets_ = now + settings_.heartbeat_interval_s * measure_reports;
   deps_.budgets.measure(now);
   // One put fewer than the service takes at once.
   Transaction transaction = deps_.budgets.next_changes(limits().txn_writes - 1);
--- a/src/coordination/holder_cancelled.cpp
+++ b/src/coordination/holder_cancelled.cpp
@@ -31,7 +31,7 @@
     mark_changed(task.machine);
     auto it = machines_.find(task.machine);
     if (it != machines_.end() && it->second.tasks.contains(task.name))
-      order(it->second, {Command::Op::stop, task.name, task.attempt, 0});
+      dispatch(it->second, {Command::Op::stop, task.name, task.attempt, 0});
   }
 }
 
@@ -39,9 +39,9 @@
 // run elsewhere, but no reason to return the machine either, while its messages keep saying so.
 bool ShardLeader::has_released(const std::string& id, const TaskId& task, uint64_t attempt) const {
   auto it = machines_.find(id);
-  if (it == machines_.end() || it->second.session == 0) return false;
+  if (it == machines_.end() || it->second.agent_epoch == 0) return false;
   auto& m = it->second;
-  if (loop_.now() - std::max(m.last_heard, m.last_direct) > doubt_s()) return false;
+  if (loop_.now() - std::max(m.last_heartbeat_at, m.last_direct) > suspect_after_s()) return false;
   if (m.start_outstanding({task, attempt})) return false;
   auto t = m.tasks.find(task);
   return t == m.tasks.end() || t->second.state == TaskState::exited;
@@ -49,19 +49,19 @@
 
 // A cancelled task that a machine does not let go in time goes with the machine. The age of the
 // cancellation is that of the record or what others say, so it outlives any number of holders.
-void ShardLeader::watch_cancelled() {
+void ShardLeader::check_cancelled_tasks() {
   const double now = loop_.now();
   const double limit = settings_.cancel_s * tuning_.cancel_return_share;
   // A new holder has not heard yet what its machines did meanwhile. It waits for that, but not past
   // the time at which the task must be gone; what is older was long stopped, or is too late.
-  const bool settled = now - lease_acquired_at_ > 2 * settings_.report_s;
+  const bool acknowledged = now - lease_acquired_at_ > 2 * settings_.heartbeat_interval_s;
   const double latest = settings_.cancel_s * 0.9;
   const double too_late = settings_.cancel_s * 1.1;
   for (auto& id : cancelled_) {
     Job* job = cache_.job(id);
     if (!job) continue;
     const double age = now - cancelled_since(*job);
-    if (age < limit || (!settled && (age < latest || age > too_late))) continue;
+    if (age < limit || (!acknowledged && (age < latest || age > too_late))) continue;
     for (auto& task : job->live_tasks()) {
       if (exits_.contains(task.name) || has_released(task.machine, task.name, task.attempt))
         continue;
--- a/src/coordination/holder_cloud.cpp
+++ b/src/coordination/holder_cloud.cpp
@@ -22,7 +22,7 @@
 
 // A duty of its own: a long list takes seconds, in which silence must be watched all the same.
 Task<void> ShardLeader::follow_machine_list(std::stop_token stop_token) {
-  const double tick_s = settings_.report_s / 4;
+  const double tick_s = settings_.heartbeat_interval_s / 4;
   while (!stop_token.stop_requested()) {
     if (!co_await Sleep(loop_, tick_s, stop_token)) co_return;
     const bool due = loop_.now() >= next_list_;
@@ -54,7 +54,7 @@
     note_starting(listed);
   } else if (listed.state == "running") {
     Machine& m = machine(listed.id);
-    if (m.session != 0) return;
+    if (m.agent_epoch != 0) return;
     m.address = listed.address;
     m.type = listed.type;
     m.zone = listed.zone;
@@ -71,7 +71,7 @@
   auto [b, fresh] = booting_.try_emplace(
       listed.id, Booting{listed.type, listed.zone, listed.spot, now - listed.age_s});
   // Older than it can be: up and not yet listed as such, or never coming.
-  if (machines_.contains(listed.id) && machines_.at(listed.id).session != 0) {
+  if (machines_.contains(listed.id) && machines_.at(listed.id).agent_epoch != 0) {
     booting_.erase(b);
   } else if (now - b->second.since > boot_s * never_boots) {
     want_return(listed.id, "it does not boot");
@@ -95,39 +95,39 @@
   spdlog::info("returning {}: {}", id, why);
 }
 
-void ShardLeader::watch_silence() {
-  const double report = settings_.report_s;
-  const double give_up = give_up_s();
+void ShardLeader::detect_dead_machines() {
+  const double report = settings_.heartbeat_interval_s;
+  const double dead_after = dead_after_s();
   size_t known = 0, silent = 0;
   for (auto& [id, m] : machines_) {
     if (cache_.has_tombstone(id)) continue;
     ++known;
-    silent += in_doubt(m);
+    silent += is_suspected(m);
   }
   const double patience =
-      silence_timeout_.limit(loop_.now(), known, silent, give_up, settings_.lease_s);
+      dead_machine_timeout_.limit(loop_.now(), known, silent, dead_after, settings_.lease_s);
   for (auto& [id, m] : machines_) {
     if (cache_.has_tombstone(id) || to_return_.contains(id)) continue;
-    double quiet = silence(m);
-    if (!in_doubt(m)) continue;
+    double silent_s = since_last_heartbeat_s(m);
+    if (!is_suspected(m)) continue;
     place_again_ = true;
     start_probe(id);
-    double direct = loop_.now() - std::max(m.last_direct, quiet_base_);
+    double direct = loop_.now() - std::max(m.last_direct, liveness_base_);
     double limit = patience;
     // Never heard at all: it may be booting, or still be looking for the new holder, past
     // controllers that don't answer.
-    if (m.session == 0)
+    if (m.agent_epoch == 0)
       limit += cache_.assigned(id).empty()
                    ? report * 2
                    : worker_retry_s * (1 + deps_.peer_network.silent_peers());
-    if (quiet > limit && direct > give_up) {
-      want_return(id, "silent for " + std::to_string(static_cast<int>(quiet)) + " s");
-      given_up_.insert(id);
+    if (silent_s > limit && direct > dead_after) {
+      want_return(id, "silent for " + std::to_string(static_cast<int>(silent_s)) + " s");
+      declared_dead_.insert(id);
     }
   }
 }
 
-void ShardLeader::watch_drains() {
+void ShardLeader::check_drains() {
   const double now = loop_.now();
   for (auto& [id, m] : machines_) {
     // Not for good: where few machines fit, a job that failed once on each would never run again.
@@ -144,7 +144,8 @@
         double grace = stop_grace(s);
         if (stopping_.contains(name)) continue;
         bool saves = s.checkpoint_s > 0;
-        if (saves ? left < grace + 2 * settings_.report_s : left < settings_.report_s / 2) {
+        if (saves ? left < grace + 2 * settings_.heartbeat_interval_s
+                  : left < settings_.heartbeat_interval_s / 2) {
           if (s.gang_size() > 0) {
             stop_gang(*a.job, gang_with(s, a.index), grace);
           } else {
@@ -155,17 +156,17 @@
     }
     // The jobs that failed here are tried elsewhere first, which may take the blame back.
     const bool in_dispute = m.failing_since > 0 && now - m.failing_since < settings_.lease_s;
-    const bool empty = cache_.assigned(id).empty() && m.tasks.empty() && m.session != 0;
+    const bool empty = cache_.assigned(id).empty() && m.tasks.empty() && m.agent_epoch != 0;
     if (m.draining && empty && !in_dispute)
       want_return(id, "empty and drained (" + m.drain_why + ")");
     // Its answers don't reach it: sessions end though we answer every report.
-    if (m.failed_sends >= 3 && m.lost_sessions >= 1) want_return(id, "it can't be answered");
+    if (m.failed_sends >= 3 && m.lost_epochs >= 1) want_return(id, "it can't be answered");
   }
 }
 
 // First a replacement, then no new tasks. Where the cloud has none, giving the slow machine back is
 // what makes room for one, so it is drained at once; and one that does not come is not waited for.
-void ShardLeader::watch_stragglers() {
+void ShardLeader::check_stragglers() {
   const double now = loop_.now();
   std::vector<Machine*> waiting, newcomers;
   double first_flagged = std::numeric_limits<double>::infinity();
@@ -176,12 +177,13 @@
   }
   if (waiting.empty()) return;
   for (auto& [id, m] : machines_)
-    if (!m.replaces && m.first_heard > first_flagged) newcomers.push_back(&m);
+    if (!m.replaces && m.first_heartbeat_at > first_flagged) newcomers.push_back(&m);
   for (Machine* straggler : waiting) {
     Machine& m = *straggler;
     auto* type = deps_.catalog.type(m.type);
     for (Machine* other : newcomers) {
-      if (other->replaces || other->type != m.type || other->first_heard <= m.replacing_since)
+      if (other->replaces || other->type != m.type ||
+          other->first_heartbeat_at <= m.replacing_since)
         continue;
       other->replaces = true;
       drain(m, "straggler, replaced by " + other->id);
@@ -273,7 +275,7 @@
       rentals_.forget_refusal({m->second.type, m->second.zone, m->second.spot});
       // What ran on it shows as demand only when its exits are committed, and boots take longer
       // still.
-      if (given_up_.contains(id))
+      if (declared_dead_.contains(id))
         lost_.push_back({m->second.type, m->second.zone, m->second.spot, false});
     }
     to_return_.erase(id);
@@ -341,7 +343,7 @@
   expect_arrivals(in);
   for (auto& [id, job] : cache_.jobs()) {
     auto& spec = job->spec;
-    if (job->cancelled || failures_.job_at_fault(id)) continue;
+    if (job->cancelled || faults_.is_job_faulty(id)) continue;
     const auto tasks =
         static_cast<uint32_t>(std::min<uint64_t>(spec.tasks - job->done, team_limit(spec)));
     (spec.gpus > 0 ? in.gpu_work : in.cpu_work) += need_of(spec) * tasks;
@@ -368,14 +370,15 @@
     s.type = m.type;
     s.zone = m.zone;
     s.spot = m.spot;
-    s.open = open_for_work(m);
+    s.open = is_schedulable(m);
     s.total = total_of(m);
     s.free = free_of(m);
     s.empty = cache_.assigned(id).empty() && m.tasks.empty();
     s.idle_s = now - m.idle_since;
     for (auto& [image, use] : m.images.images()) s.images_gb += use.second;
     // Up but not heard yet counts as on its way.
-    s.booting = m.session == 0 && silence(m) < 4 * settings_.report_s;
+    s.booting =
+        m.agent_epoch == 0 && since_last_heartbeat_s(m) < 4 * settings_.heartbeat_interval_s;
     in.machines.push_back(s);
     for (auto& [a, attempt] : cache_.assigned(id)) {
       auto& spec = a.job->spec;
--- a/src/coordination/holder_commit.cpp
+++ b/src/coordination/holder_commit.cpp
@@ -91,7 +91,7 @@
     exits_.erase(it);
   }
   // Once for all of them: it looks through the whole fleet.
-  if (any_failed) review_failures();
+  if (any_failed) review_faults();
 }
 
 Task<bool> ShardLeader::commit_exits(std::stop_token stop_token) {
@@ -198,13 +198,13 @@
     co_return false;
   uncommitted_starts_ = 0;
   // One pass serves all that came meanwhile; passes are spaced so that bursts share them.
-  next_place_ = now + std::min(0.05, settings_.report_s / 30);
+  next_place_ = now + std::min(0.05, settings_.heartbeat_interval_s / 30);
   place_again_ = false;
 
   refresh_view();
   const auto decided = placing::place(view_);
   note_unplaced(decided);
-  order_stops(decided);
+  dispatch_preemptions(decided);
   // A pass over a large fleet that a new holder hears for the first time takes long: half of the
   // time is left to reports and users.
   last_pass_s_ = loop_.now() - now;
@@ -241,7 +241,7 @@
   }
 }
 
-void ShardLeader::order_stops(const placing::Decisions& decided) {
+void ShardLeader::dispatch_preemptions(const placing::Decisions& decided) {
   for (auto& s : decided.stops) {
     auto& live = view_.machines[s.machine].live[s.live];
     const std::string& machine_id = view_.machines[s.machine].id;
@@ -293,13 +293,13 @@
     if (!co_await commit_and_apply(edits.finish(), stop_token, true, std::move(begun))) break;
     committed.insert(committed.end(), started.begin(), started.end());
   }
-  order_starts(committed);
+  dispatch_starts(committed);
   co_return committed.size() == gang.starts.size();
 }
 
 // What a long pass has decided is committed for as long as it took, rather than decided again.
 double ShardLeader::starts_may_take_s() const {
-  return std::max(settings_.report_s * starts_share, last_pass_s_);
+  return std::max(settings_.heartbeat_interval_s * starts_share, last_pass_s_);
 }
 
 Task<bool> ShardLeader::commit_gang_starts(std::vector<DecidedGang> gangs,
@@ -352,12 +352,12 @@
       place_again_ = true;
       break;
     }
-    order_starts(started);
+    dispatch_starts(started);
   }
   co_return any;
 }
 
-void ShardLeader::order_starts(const std::vector<CommittedStart>& starts) {
+void ShardLeader::dispatch_starts(const std::vector<CommittedStart>& starts) {
   const double at = loop_.now();
   for (auto& s : starts) {
     attempts_[s.task] = {{s.attempt, {at, 0, s.image_cached}}};
@@ -373,7 +373,7 @@
     it->second.idle_since = at;
     // Cancelled while it was committed: never ordered, it is gone by the next report.
     if (Job* job = cache_.job(s.task.job); !job || is_cancelled(*job)) continue;
-    order(it->second, {Command::Op::start, s.task, s.attempt, 0});
+    dispatch(it->second, {Command::Op::start, s.task, s.attempt, 0});
   }
 }
 
--- a/src/coordination/holder_gangs.cpp
+++ b/src/coordination/holder_gangs.cpp
@@ -94,7 +94,7 @@
   auto reported = m.tasks.find(task.name);
   // One that is not reported yet is stopped by the next report.
   if (reported != m.tasks.end() && reported->second.attempt == task.attempt)
-    order(m, {Command::Op::stop, task.name, task.attempt, grace_s});
+    dispatch(m, {Command::Op::stop, task.name, task.attempt, grace_s});
 }
 
 }  // namespace damsonport
--- a/src/coordination/holder_machines.cpp
+++ b/src/coordination/holder_machines.cpp
@@ -15,7 +15,7 @@
   auto [it, fresh] = machines_.try_emplace(id);
   if (fresh) {
     it->second.id = id;
-    it->second.last_heard = loop_.now();
+    it->second.last_heartbeat_at = loop_.now();
     it->second.idle_since = loop_.now();
     mark_changed(id);
   }
@@ -28,7 +28,7 @@
 }
 
 double ShardLeader::stop_grace(const JobSpec& s) const {
-  return s.checkpoint_s > 0 ? s.save_s * 1.2 + settings_.report_s / 10 : 0;
+  return s.checkpoint_s > 0 ? s.save_s * 1.2 + settings_.heartbeat_interval_s / 10 : 0;
 }
 
 // Everything that is or may be there counts: what the records place, and whatever else is reported.
@@ -49,60 +49,62 @@
   return room;
 }
 
-double ShardLeader::silence(const Machine& m) const {
-  return loop_.now() - std::max(m.last_heard, quiet_base_);
+double ShardLeader::since_last_heartbeat_s(const Machine& m) const {
+  return loop_.now() - std::max(m.last_heartbeat_at, liveness_base_);
 }
 
-bool ShardLeader::open_for_work(const Machine& m) const {
-  return m.session != 0 && !m.draining && !m.notice_at && !cache_.has_tombstone(m.id) &&
+bool ShardLeader::is_schedulable(const Machine& m) const {
+  return m.agent_epoch != 0 && !m.draining && !m.notice_at && !cache_.has_tombstone(m.id) &&
          !to_return_.contains(m.id) && !returned_.contains(m.id) && m.failed_sends < 2 &&
-         !in_doubt(m);
+         !is_suspected(m);
 }
 
-std::set<std::string> ShardLeader::silent_zones() const {
+std::set<std::string> ShardLeader::unreachable_zones() const {
   // Reports that are missing before a zone counts as silent, and the shortest time for it.
   constexpr double missing_reports = 10, least_report_share = 0.25;
   struct Zone {
     double received = 0;  // machines
-    double last_heard = -1e9;
+    double last_heartbeat_at = -1e9;
   };
   std::map<std::string, Zone> zones;
   for (auto& [id, m] : machines_) {
-    if (m.session == 0) continue;
+    if (m.agent_epoch == 0) continue;
     auto& zone = zones[m.zone];
     ++zone.received;
-    zone.last_heard = std::max({zone.last_heard, m.last_heard, m.last_direct});
+    zone.last_heartbeat_at = std::max({zone.last_heartbeat_at, m.last_heartbeat_at, m.last_direct});
   }
   std::set<std::string> silent;
   for (auto& [name, zone] : zones) {
-    const double patience =
-        settings_.report_s * std::max(missing_reports / zone.received, least_report_share);
-    const double quiet = loop_.now() - std::max(zone.last_heard, quiet_base_);
-    if (quiet > std::min(patience, doubt_s())) silent.insert(name);
+    const double patience = settings_.heartbeat_interval_s *
+                            std::max(missing_reports / zone.received, least_report_share);
+    const double silent_s = loop_.now() - std::max(zone.last_heartbeat_at, liveness_base_);
+    if (silent_s > std::min(patience, suspect_after_s())) silent.insert(name);
   }
   return silent;
 }
 
-double ShardLeader::doubt_s() const {
-  return std::min(tuning_.doubt_reports * settings_.report_s,
-                  tuning_.doubt_lease_share * settings_.lease_s);
+double ShardLeader::suspect_after_s() const {
+  return std::min(tuning_.suspect_after_heartbeats * settings_.heartbeat_interval_s,
+                  tuning_.suspect_lease_share * settings_.lease_s);
 }
 
-double ShardLeader::give_up_s() const {
+double ShardLeader::dead_after_s() const {
   const double lease = settings_.lease_s;
-  return std::max(
-      std::min(tuning_.return_reports * settings_.report_s, tuning_.return_lease_most * lease),
-      tuning_.return_lease_share * lease);
+  return std::max(std::min(tuning_.dead_after_heartbeats * settings_.heartbeat_interval_s,
+                           tuning_.dead_lease_max * lease),
+                  tuning_.dead_lease_share * lease);
 }
 
-bool ShardLeader::in_doubt(const Machine& m) const { return silence(m) >= doubt_s(); }
+bool ShardLeader::is_suspected(const Machine& m) const {
+  return since_last_heartbeat_s(m) >= suspect_after_s();
+}
 
-std::vector<Expected> ShardLeader::expected_on(const Machine& m) const {
-  std::vector<Expected> out;
+std::vector<DesiredTask> ShardLeader::desired_tasks_on(const Machine& m) const {
+  std::vector<DesiredTask> out;
   for (auto& [a, attempt] : cache_.assigned(m.id)) {
     TaskId name{a.job->spec.id, a.index};
     if (exits_.contains(name)) continue;  // proven gone, about to be committed
-    Expected e{name, attempt, is_cancelled(*a.job), {}};
+    DesiredTask e{name, attempt, is_cancelled(*a.job), {}};
     if (auto s = stopping_.find(name); s != stopping_.end() && s->second.attempt == attempt)
       e.stop = s->second.grace_s;
     out.push_back(std::move(e));
@@ -112,10 +114,11 @@
 
 void ShardLeader::mark_changed(const std::string& machine) {
   dirty_machines_.insert(machine);
-  repeated_reports_.forget(machine);
+  deduplicator_.forget(machine);
 }
 
-bool ShardLeader::may_repeat(const Machine& m, const Report& r, const Reconciled& outcome) const {
+bool ShardLeader::may_deduplicate(const Machine& m, const Heartbeat& r,
+                                  const ReconcileResult& outcome) const {
   // Notices grow shorter, and a gang's tasks are followed from report to report.
   const bool any_gang = std::any_of(m.tasks.begin(), m.tasks.end(), [&](auto& task) {
     const Job* job = cache_.job(task.first.job);
@@ -125,27 +128,27 @@
          deps_.catalog.type(m.type);
 }
 
-bool ShardLeader::process_report(Machine& m, const Report& r, bool direct, double as_of,
-                                 std::vector<Command>& commands) {
-  const auto session_before = m.session;
+bool ShardLeader::process_heartbeat(Machine& m, const Heartbeat& r, bool direct, double as_of,
+                                    std::vector<Command>& commands) {
+  const auto epoch_before = m.agent_epoch;
   // What ran until the last repetition of the report before this one used its images until then.
   const double repeated_at = std::exchange(m.repeated_at, 0);
   if (repeated_at > 0) note_images(m, repeated_at);
-  if (!take_report(m, r, loop_.now(), direct, as_of)) return false;
+  if (!apply_heartbeat(m, r, loop_.now(), direct, as_of)) return false;
   mark_changed(m.id);
   // Back before the return was marked: what runs there is kept.
-  if (given_up_.erase(m.id) && !cache_.has_tombstone(m.id) && to_return_.erase(m.id))
+  if (declared_dead_.erase(m.id) && !cache_.has_tombstone(m.id) && to_return_.erase(m.id))
     spdlog::info("{} is heard again and kept", m.id);
   booting_.erase(m.id);
-  if (session_before != 0 && session_before != m.session)
-    spdlog::info("{} began session {}: what ran there is gone", m.id, m.session);
-  if (session_before == 0) {
+  if (epoch_before != 0 && epoch_before != m.agent_epoch)
+    spdlog::info("{} began session {}: what ran there is gone", m.id, m.agent_epoch);
+  if (epoch_before == 0) {
     place_again_ = true;
     recall_images(m);
   }
   note_states(m);
   note_absent_parts(m);
-  auto todo = reconcile(m, expected_on(m), fencing_token_, records_current());
+  auto todo = reconcile(m, desired_tasks_on(m), fencing_token_, records_current());
   for (auto& e : todo.exits) {
     if (exits_.contains(e.task)) continue;
     spdlog::debug("{} attempt {} ended on {}: cause {}", e.task.text(), e.attempt, m.id,
@@ -158,7 +161,7 @@
     auto it = exits_.find(c.task);
     return it != exits_.end() && it->second.attempt == c.attempt;
   });
-  const bool repeatable = may_repeat(m, r, todo);
+  const bool repeatable = may_deduplicate(m, r, todo);
   commands = std::move(todo.commands);
   return repeatable;
 }
@@ -179,10 +182,10 @@
   auto seen = images_seen_.find(m.id);
   if (!type || seen == images_seen_.end()) return;
   // From the oldest to the newest, as the machine used them: so the newest stay.
-  std::vector<std::pair<double, const std::string*>> order;
-  for (auto& [image, use] : seen->second.images()) order.emplace_back(use.first, &image);
-  std::sort(order.begin(), order.end());
-  for (auto& [at, image] : order)
+  std::vector<std::pair<double, const std::string*>> dispatch;
+  for (auto& [image, use] : seen->second.images()) dispatch.emplace_back(use.first, &image);
+  std::sort(dispatch.begin(), dispatch.end());
+  for (auto& [at, image] : dispatch)
     m.images.used(*image, seen->second.images().at(*image).second, at, type->cache_gb);
 }
 
@@ -248,9 +251,9 @@
   if (running_at == 0) {
     running_at = now;
     spdlog::debug("{} attempt {} runs on {}", task.text(), attempt, m.id);
-  } else if (now - running_at > settings_.report_s && failures_.any()) {
+  } else if (now - running_at > settings_.heartbeat_interval_s && faults_.any()) {
     // What is at fault fails at its start.
-    failures_.worked(task.job, m.id, running_at);
+    faults_.worked(task.job, m.id, running_at);
   }
 }
 
@@ -272,15 +275,15 @@
   if (auto t = m.tasks.find(task); t != m.tasks.end() && t->second.attempt == exit.attempt &&
                                    t->second.state == TaskState::exited &&
                                    !m.start_outstanding({task, exit.attempt}))
-    order(m, {Command::Op::forget, task, exit.attempt, 0});
+    dispatch(m, {Command::Op::remove, task, exit.attempt, 0});
   auto& hints = hints_[task.job];
   switch (exit.cause) {
     case ExitCause::done: {
-      failures_.worked(task.job, m.id, seen.running_at);
+      faults_.worked(task.job, m.id, seen.running_at);
       if (!seen.image_cached || seen.ordered_at == 0) break;
       // A gang's tasks all take the time of its slowest machine: their median says nothing of any.
       if (job->spec.kind == Kind::gang) break;
-      double run = std::max(now - seen.ordered_at, settings_.report_s);
+      double run = std::max(now - seen.ordered_at, settings_.heartbeat_interval_s);
       auto fraction = hints.run_times.add(run, tuning_.straggler_min_successes);
       if (fraction && fold(m.straggler, *fraction, tuning_)) {
         spdlog::warn("{} is a straggler: its average is {:.2f} of its jobs' medians", m.id,
@@ -296,7 +299,7 @@
     case ExitCause::busy:
     case ExitCause::unknown:
       spdlog::info("{} was refused by {}", task.text(), m.id);
-      hints.backoff_until = now + settings_.report_s / 2;
+      hints.backoff_until = now + settings_.heartbeat_interval_s / 2;
       // Its place in the gang is filled elsewhere, under the attempt that this machine has refused.
       if (job->spec.gang_size() > 0) m.failed_jobs[task.job] = now;
       break;
@@ -308,27 +311,28 @@
 void ShardLeader::note_error(Machine& m, const JobSpec& spec) {
   auto& hints = hints_[spec.id];
   ++hints.errors;
-  failures_.failed(spec.id, m.id, loop_.now());
-  const bool job_at_fault = failures_.job_at_fault(spec.id);
+  faults_.failed(spec.id, m.id, loop_.now());
+  const bool is_job_faulty = faults_.is_job_faulty(spec.id);
   spdlog::info("a task of {} failed on {}{}", spec.id, m.id,
-               job_at_fault ? "; it fails everywhere" : "");
-  if (!job_at_fault) {
+               is_job_faulty ? "; it fails everywhere" : "");
+  if (!is_job_faulty) {
     m.failed_jobs[spec.id] = loop_.now();
     return;
   }
   constexpr int most_doublings = 6;
   constexpr double longest_backoff_leases = 2;
-  const double backoff_s = settings_.report_s * (1 << std::min(hints.errors, most_doublings));
+  const double backoff_s =
+      settings_.heartbeat_interval_s * (1 << std::min(hints.errors, most_doublings));
   hints.backoff_until =
       loop_.now() + std::min(backoff_s, settings_.lease_s * longest_backoff_leases);
 }
 
-void ShardLeader::review_failures() {
+void ShardLeader::review_faults() {
   constexpr double most_drained_share = 0.25, remembered_leases = 5;
-  failures_.forget_failures_before(loop_.now() - settings_.lease_s * remembered_leases);
+  faults_.forget_failures_before(loop_.now() - settings_.lease_s * remembered_leases);
   size_t drained = 0;
   for (auto& [id, m] : machines_) {
-    if (m.failing_since > 0 && !to_return_.contains(id) && !failures_.machine_at_fault(id)) {
+    if (m.failing_since > 0 && !to_return_.contains(id) && !faults_.is_machine_faulty(id)) {
       spdlog::info("{} takes tasks again: the jobs that failed on it are at fault", id);
       m.draining = false;
       m.failing_since = 0;
@@ -340,7 +344,7 @@
       std::max(1.0, most_drained_share * static_cast<double>(machines_.size())));
   for (auto& [id, m] : machines_) {
     if (drained >= most) return;
-    if (m.draining || !failures_.machine_at_fault(id)) continue;
+    if (m.draining || !faults_.is_machine_faulty(id)) continue;
     spdlog::warn("{} fails the tasks of different jobs: it takes no more", id);
     m.failing_since = loop_.now();
     drain(m, "sick");
--- a/src/coordination/holder_orders.cpp
+++ b/src/coordination/holder_orders.cpp
@@ -7,17 +7,17 @@
 
 namespace damsonport {
 
-void ShardLeader::order(Machine& m, Command command) {
+void ShardLeader::dispatch(Machine& m, Command command) {
   m.outbox.push_back(std::move(command));
   flush(m.id);
 }
 
 void ShardLeader::flush(const std::string& id) {
   auto& m = machines_.at(id);
-  if (m.sending || m.session == 0 || m.outbox.empty()) return;
+  if (m.sending || m.agent_epoch == 0 || m.outbox.empty()) return;
   // One that should have reported is likely out of reach: its next report is answered with what is
   // still wanted, and no socket hangs on it.
-  if (in_doubt(m)) return m.outbox.clear();
+  if (is_suspected(m)) return m.outbox.clear();
   m.sending = true;
   send_queue_.push_back(id);
   start_sends();
@@ -35,7 +35,7 @@
 Task<void> ShardLeader::send(std::string id) {
   // Lets the other orders of this turn join the message.
   co_await Sleep(loop_, 0, {});
-  co_await send_orders(std::move(id));
+  co_await send_commands(std::move(id));
   --sends_;
   start_sends();
 }
@@ -46,7 +46,7 @@
   return !exits_.contains(c.task) && cache_.places(c.task, c.attempt, m.id);
 }
 
-Task<void> ShardLeader::send_orders(std::string id) {
+Task<void> ShardLeader::send_commands(std::string id) {
   for (;;) {
     auto it = machines_.find(id);
     if (it == machines_.end()) co_return;
@@ -66,18 +66,19 @@
     for (auto& c : commands)
       if (c.op == Command::Op::start) starts.insert({c.task, c.attempt});
     m.in_flight.insert(starts.begin(), starts.end());
-    const auto session = m.session, fencing_token = fencing_token_;
+    const auto agent_epoch = m.agent_epoch, fencing_token = fencing_token_;
     Endpoint to;
     HttpReply reply;
     const double asked_at = loop_.now();
     if (parse_endpoint(m.address, to))
-      reply = co_await deps_.http.request(to, Method::post, "/commands",
-                                          encode_direct(fencing_token, session, commands),
-                                          std::max(1.0, settings_.report_s));
+      reply =
+          co_await deps_.http.request(to, Method::post, "/commands",
+                                      encode_direct_commands(fencing_token, agent_epoch, commands),
+                                      std::max(1.0, settings_.heartbeat_interval_s));
     auto again = machines_.find(id);
     if (again == machines_.end() || fencing_token != fencing_token_) co_return;
     Machine& now = again->second;
-    if (now.session == session) {
+    if (now.agent_epoch == agent_epoch) {
       for (auto& s : starts) {
         now.in_flight.erase(s);
         // Not answered: it may be carried out any time later in this session.
@@ -93,12 +94,13 @@
       co_return;
     }
     now.failed_sends = 0;
-    if (auto report = decode_report(decode_map(reply.body)); report && report->machine == id) {
+    if (auto heartbeat = decode_heartbeat(decode_map(reply.body));
+        heartbeat && heartbeat->machine == id) {
       std::vector<Command> more;
-      process_report(now, *report, true, asked_at, more);
+      process_heartbeat(now, *heartbeat, true, asked_at, more);
       // A stop whose answer still shows the task saving, and the like, wait for the next report.
       for (auto& c : more)
-        if (reply.status == 200 && c.op == Command::Op::forget) now.outbox.push_back(c);
+        if (reply.status == 200 && c.op == Command::Op::remove) now.outbox.push_back(c);
     }
   }
 }
@@ -115,13 +117,15 @@
   auto fencing_token = fencing_token_;
   const double asked_at = loop_.now();
   probing_.insert(id);
-  auto reply = co_await deps_.http.request(to, Method::get, "/show", {}, settings_.report_s);
+  auto reply =
+      co_await deps_.http.request(to, Method::get, "/show", {}, settings_.heartbeat_interval_s);
   probing_.erase(id);
   it = machines_.find(id);
   if (reply.status != 200 || it == machines_.end() || fencing_token != fencing_token_) co_return;
-  if (auto report = decode_report(decode_map(reply.body)); report && report->machine == id) {
+  if (auto heartbeat = decode_heartbeat(decode_map(reply.body));
+      heartbeat && heartbeat->machine == id) {
     std::vector<Command> more;
-    process_report(it->second, *report, true, asked_at, more);
+    process_heartbeat(it->second, *heartbeat, true, asked_at, more);
   }
 }
 
--- a/src/coordination/holder_view.cpp
+++ b/src/coordination/holder_view.cpp
@@ -54,7 +54,7 @@
 uint32_t ShardLeader::startable_tasks(const Job& job, uint32_t gang) {
   if (job.spec.gang_size() > 0) return startable_gang_tasks(job, gang_range(job.spec, gang));
   const auto unstarted = static_cast<uint32_t>(job.unstarted());
-  if (!failures_.job_at_fault(job.spec.id)) return unstarted;
+  if (!faults_.is_job_faulty(job.spec.id)) return unstarted;
   // One task finds out whether it still fails.
   return job.live == 0 ? std::min(unstarted, 1U) : 0;
 }
@@ -66,9 +66,9 @@
   const bool cancelled = is_cancelled(job);
   auto hint = hints_.find(s.id);
   const bool held_back = hint != hints_.end() && hint->second.backoff_until > loop_.now();
-  const bool at_fault = failures_.job_at_fault(s.id);
+  const bool faulty = faults_.is_job_faulty(s.id);
   // Looked at again until it works.
-  if (held_back || at_fault) held_back_.insert(s.id);
+  if (held_back || faulty) held_back_.insert(s.id);
   for (uint32_t n = 0; n < slots.size(); ++n) {
     auto& v = view_.jobs[slots[n]];
     if (fresh) {
@@ -79,7 +79,7 @@
     v.cancelled = cancelled;
     // What is left over is hardly ever enough for a whole replica, and its tries are spaced out and
     // bounded by its class.
-    v.at_fault = at_fault && !s.replicated();
+    v.faulty = faulty && !s.replicated();
     v.unfinished = static_cast<uint32_t>(s.tasks - job.done);
     v.begun = job.live + job.done > 0;
     if (s.replicated()) {
@@ -133,9 +133,9 @@
 }
 
 void ShardLeader::forget_machine(const std::string& id) {
-  given_up_.erase(id);
-  failures_.forget_machine(id);
-  repeated_reports_.forget(id);
+  declared_dead_.erase(id);
+  faults_.forget_machine(id);
+  deduplicator_.forget(id);
   auto it = machines_.find(id);
   if (it == machines_.end()) return;
   if (it->second.slot) {
@@ -162,9 +162,9 @@
   for (auto& id : dirty_machines_)
     if (auto it = machines_.find(id); it != machines_.end()) refresh_machine(it->second);
   dirty_machines_.clear();
-  const auto cut_off = silent_zones();
+  const auto cut_off = unreachable_zones();
   for (auto& [id, m] : machines_)
-    if (m.slot) view_.machines[*m.slot].open = open_for_work(m) && !cut_off.contains(m.zone);
+    if (m.slot) view_.machines[*m.slot].open = is_schedulable(m) && !cut_off.contains(m.zone);
   view_.booting.clear();
   for (auto& [id, b] : booting_)
     if (auto* type = coming_type(id, b))
--- a/src/coordination/lease_renewal.cpp
+++ b/src/coordination/lease_renewal.cpp
@@ -60,8 +60,8 @@
   // A machine that can reach one controller in five makes the round of all in most of a lease, so
   // the second visit would be too late: where we can't reach the holder either, and its key stands
   // longer than a dead node's would, the first visit is answered.
-  const bool apart = peer_network_.silence(shard_leader) > patience && cache_.has_leader() &&
-                     cache_.leader().node == shard_leader;
+  const bool apart = peer_network_.since_last_heartbeat_s(shard_leader) > patience &&
+                     cache_.has_leader() && cache_.leader().node == shard_leader;
   // Where only the way between controllers is closed the machine must be sent back to its holder
   // each other time, or it would seem lost to it. In a cut there is nowhere to send it.
   const bool cut_off = apart && !contact_.in_contact();
@@ -69,9 +69,9 @@
   return cut_off || (overdue && !machine.answered);
 }
 
-std::vector<Command> LeaseRenewal::stops_of_cancelled(const Report& report) {
+std::vector<Command> LeaseRenewal::stops_of_cancelled(const Heartbeat& heartbeat) {
   std::vector<Command> commands;
-  for (auto& task : report.tasks) {
+  for (auto& task : heartbeat.tasks) {
     const Job* job = cache_.job(task.task.job);
     const bool cancelled = (job && job->cancelled) || cancellations_.cancelled(task.task.job);
     if (task.state != TaskState::exited && cancelled)
@@ -85,37 +85,37 @@
 // the state service may renew that lease: the records stay the holder's alone, no start is ordered
 // and nothing forgotten here, and silence never proves to the holder that a task is gone. Tasks of
 // cancelled jobs are stopped, since the holder can't do it.
-HttpResponse LeaseRenewal::answer(const Report& report) {
+HttpResponse LeaseRenewal::answer(const Heartbeat& heartbeat) {
   const ShardLease* held = recorded_holder();
-  if (!held) return {421, encode_report_to({}), 0};
+  if (!held) return {421, encode_redirect({}), 0};
   // A peer may hold a newer grant than the records that we have read say, ours among them.
   const auto newest = peer_network_.newest_shard_leader();
   const std::string& shard_leader = newest.second > held->fencing_token ? newest.first : held->node;
-  if (shard_leader == settings_.node_name) return {421, encode_report_to({}), 0};
-  note_visit(report.machine);
-  MisroutedMachine& machine = misrouted_.at(report.machine);
-  const bool answers = cache_.loaded() && report.fencing_token <= held->fencing_token &&
+  if (shard_leader == settings_.node_name) return {421, encode_redirect({}), 0};
+  note_visit(heartbeat.machine);
+  MisroutedMachine& machine = misrouted_.at(heartbeat.machine);
+  const bool answers = cache_.loaded() && heartbeat.fencing_token <= held->fencing_token &&
                        should_answer(machine, shard_leader) && may_renew(false);
   if (!answers) {
     // The node named by the records, unless it seems dead. After an answer it is named in any case:
     // it may be back in reach, or only our own way to it be closed.
     const bool named = peer_network_.alive(shard_leader) || machine.answered;
     machine.answered = false;
-    return {421, encode_report_to(named ? shard_leader : std::string()), 0};
+    return {421, encode_redirect(named ? shard_leader : std::string()), 0};
   }
   machine.answered = true;
-  const auto commands = stops_of_cancelled(report);
-  relay_exits(report, held->fencing_token);
-  spdlog::debug("answered {} for {}", report.machine, shard_leader);
-  return {200, encode_report_answer(held->fencing_token, commands), 0};
+  const auto commands = stops_of_cancelled(heartbeat);
+  forward_exits(heartbeat, held->fencing_token);
+  spdlog::debug("answered {} for {}", heartbeat.machine, shard_leader);
+  return {200, encode_heartbeat_response(held->fencing_token, commands), 0};
 }
 
-void LeaseRenewal::relay_exits(const Report& report, uint64_t fencing_token) {
+void LeaseRenewal::forward_exits(const Heartbeat& heartbeat, uint64_t fencing_token) {
   // Before the machine has learned the term an older holder's orders may still reach it.
-  if (report.fencing_token != fencing_token) return;
-  for (auto& task : report.tasks)
+  if (heartbeat.fencing_token != fencing_token) return;
+  for (auto& task : heartbeat.tasks)
     if (task.state == TaskState::exited)
-      exit_forwarder_.saw(fencing_token, {report.machine, task.task, task.attempt, task.cause});
+      exit_forwarder_.saw(fencing_token, {heartbeat.machine, task.task, task.attempt, task.cause});
 }
 
 uint64_t LeaseRenewal::misrouted_machines() const {
--- a/src/coordination/lease_renewal.hpp
+++ b/src/coordination/lease_renewal.hpp
@@ -23,7 +23,7 @@
   // Takes note of the visit; true: the machine was not here lately.
   bool note_visit(const std::string& machine);
   // The answer to a report of a machine that another node holds.
-  HttpResponse answer(const Report& report);
+  HttpResponse answer(const Heartbeat& heartbeat);
   // Machines that keep coming here although another node holds them.
   uint64_t misrouted_machines() const;
   void forget_old_visits();
@@ -38,8 +38,8 @@
   // The newest holder and its term, by the records and the peers; null: nobody holds.
   const ShardLease* recorded_holder() const;
   bool should_answer(const MisroutedMachine& machine, const std::string& shard_leader) const;
-  std::vector<Command> stops_of_cancelled(const Report& report);
-  void relay_exits(const Report& report, uint64_t fencing_token);
+  std::vector<Command> stops_of_cancelled(const Heartbeat& heartbeat);
+  void forward_exits(const Heartbeat& heartbeat, uint64_t fencing_token);
 
   Loop& loop_;
   const Settings& settings_;
--- a/src/coordination/node.cpp
+++ b/src/coordination/node.cpp
@@ -17,7 +17,7 @@
 constexpr int kept_sockets = 64;
 constexpr double idle_connection_s = 45;
 
-constexpr std::string_view jobs_path = "/api/jobs", reports_path = "/hello";
+constexpr std::string_view jobs_path = "/api/jobs", heartbeat_path = "/hello";
 
 // Of users and workers.
 size_t max_connections(const Settings& s) {
@@ -132,8 +132,8 @@
   return true;
 }
 
-Heartbeat Node::next_heartbeat() const {
-  Heartbeat b;
+PeerHeartbeat Node::next_heartbeat() const {
+  PeerHeartbeat b;
   b.node = settings_.node_name;
   b.incarnation = incarnation_;
   b.state_age_ms = static_cast<uint64_t>(std::min(loop_.now() - store_.last_contact(), 1e6) * 1000);
@@ -164,7 +164,7 @@
 }
 
 Task<void> Node::housekeeping(std::stop_token stop_token) {
-  const double period = settings_.report_s / 3;
+  const double period = settings_.heartbeat_interval_s / 3;
   while (!stop_token.stop_requested()) {
     share_limits();
     cancellations_.forget_received_before(cache_.as_of());
@@ -189,7 +189,7 @@
 
 Task<HttpResponse> Node::route(HttpRequest r) {
   const auto requester = r.path.starts_with(jobs_path) ? Requester::user
-                         : r.path == reports_path      ? Requester::worker
+                         : r.path == heartbeat_path    ? Requester::worker
                                                        : Requester::other;
   auto response = co_await dispatch(std::move(r));
   response.close = closes_after_answer(
@@ -202,9 +202,9 @@
   if (r.body.size() > max_body)
     co_return bad_request("the body is longer than " + std::to_string(max_body) + " bytes");
   std::string_view path = r.path;
-  if (path == reports_path) {
+  if (path == heartbeat_path) {
     if (r.method != Method::post) co_return wrong_method;
-    co_return shard_leader_.on_report(r);
+    co_return shard_leader_.on_heartbeat(r);
   }
   if (path == "/healthz") {
     if (r.method != Method::get) co_return wrong_method;
--- a/src/coordination/node.hpp
+++ b/src/coordination/node.hpp
@@ -23,7 +23,7 @@
   Task<HttpResponse> dispatch(HttpRequest request);
   HttpResponse health() const;
   double wanted_writes() const;
-  Heartbeat next_heartbeat() const;
+  PeerHeartbeat next_heartbeat() const;
   void share_limits();
   Task<void> housekeeping(std::stop_token stop_token);
 
--- a/src/coordination/orphan_cleanup.cpp
+++ b/src/coordination/orphan_cleanup.cpp
@@ -58,7 +58,7 @@
 
 Task<void> OrphanCleanup::run_once(std::stop_token stop_token) {
   if (loop_.now() < next_check_ || !no_shard_leader_reachable()) co_return;
-  next_check_ = loop_.now() + settings_.report_s;
+  next_check_ = loop_.now() + settings_.heartbeat_interval_s;
   auto hosts = orphan_hosts();
   if (hosts.empty()) co_return;
   std::map<std::string, std::string> addresses;
@@ -81,7 +81,7 @@
       loop_.spawn("orphan cleanup", stop_orphans_on(hosts[i], fencing_token, left));
     // Each ends by its own time-outs; their results stand in what this routine holds.
     // NOLINTNEXTLINE(bugprone-infinite-loop): those routines count `left` down
-    while (left > 0) co_await Sleep(loop_, settings_.report_s / 10, {});
+    while (left > 0) co_await Sleep(loop_, settings_.heartbeat_interval_s / 10, {});
     done += count;
   }
 }
@@ -104,18 +104,20 @@
   Endpoint to;
   host.out_of_reach = true;
   if (parse_endpoint(host.address, to)) {
-    auto shown = co_await http_.request(to, Method::get, "/show", {}, settings_.report_s);
-    if (auto report = decode_report(decode_map(shown.body)); shown.status == 200 && report) {
+    auto shown =
+        co_await http_.request(to, Method::get, "/show", {}, settings_.heartbeat_interval_s);
+    if (auto heartbeat = decode_heartbeat(decode_map(shown.body));
+        shown.status == 200 && heartbeat) {
       host.out_of_reach = false;
       std::vector<Command> stops;
-      for (auto& task : report->tasks)
+      for (auto& task : heartbeat->tasks)
         for (auto& [name, attempt] : host.tasks)
           if (task.task == name && task.state != TaskState::exited)
             stops.push_back({Command::Op::stop, task.task, task.attempt, 0});
       if (!stops.empty())
         co_await http_.request(to, Method::post, "/commands",
-                               encode_direct(fencing_token, report->session, stops),
-                               settings_.report_s);
+                               encode_direct_commands(fencing_token, heartbeat->agent_epoch, stops),
+                               settings_.heartbeat_interval_s);
     }
   }
   --left;
--- a/src/coordination/peer_network.cpp
+++ b/src/coordination/peer_network.cpp
@@ -9,7 +9,10 @@
 
 PeerNetwork::PeerNetwork(Loop& loop, Network& network, const Settings& settings,
                          CancellationGossip& cancellations)
-    : loop_(loop), cancellations_(cancellations), period_(settings.report_s / 3), wake_(loop) {
+    : loop_(loop),
+      cancellations_(cancellations),
+      period_(settings.heartbeat_interval_s / 3),
+      wake_(loop) {
   for (auto& p : settings.peers) {
     links_[p.name] = network.link(p.address);
     seen_[p.name];
@@ -21,9 +24,9 @@
 long PeerNetwork::take(std::string_view bytes) {
   long used = 0;
   for (;;) {
-    Heartbeat heartbeat;
+    PeerHeartbeat heartbeat;
     size_t n = 0;
-    auto got = decode_heartbeat(bytes.substr(static_cast<size_t>(used)), heartbeat, n);
+    auto got = decode_peer_heartbeat(bytes.substr(static_cast<size_t>(used)), heartbeat, n);
     if (got == Framed::bad) return -1;
     if (got == Framed::partial) return used;
     used += static_cast<long>(n);
@@ -39,14 +42,14 @@
   }
 }
 
-Task<void> PeerNetwork::send_heartbeats(std::function<Heartbeat()> fill,
+Task<void> PeerNetwork::send_heartbeats(std::function<PeerHeartbeat()> fill,
                                         std::stop_token stop_token) {
   while (!stop_token.stop_requested()) {
     const auto common = fill();
     for (auto& [peer, link] : links_) {
       auto heartbeat = common;
       cancellations_.add_to(heartbeat, peer, loop_.now());
-      link->send(encode_heartbeat(heartbeat));
+      link->send(encode_peer_heartbeat(heartbeat));
     }
     // What must be said at once waits only for what comes just behind it.
     if (!co_await Sleep(loop_, period_ / 20, stop_token)) co_return;
@@ -54,12 +57,14 @@
   }
 }
 
-double PeerNetwork::silence(const std::string& node) const {
+double PeerNetwork::since_last_heartbeat_s(const std::string& node) const {
   auto it = seen_.find(node);
   return it == seen_.end() ? std::numeric_limits<double>::infinity() : loop_.now() - it->second.at;
 }
 
-bool PeerNetwork::alive(const std::string& node) const { return silence(node) < 3 * period_; }
+bool PeerNetwork::alive(const std::string& node) const {
+  return since_last_heartbeat_s(node) < 3 * period_;
+}
 
 uint64_t PeerNetwork::wanted_writes() const {
   uint64_t sum = 0;
--- a/src/coordination/peer_network.hpp
+++ b/src/coordination/peer_network.hpp
@@ -17,7 +17,7 @@
               CancellationGossip& cancellations);
   bool listening() const { return listener_ && listener_->listening(); }
   // Sends heartbeats until stopped; `fill` makes what is said to all alike.
-  Task<void> send_heartbeats(std::function<Heartbeat()> fill, std::stop_token stop_token);
+  Task<void> send_heartbeats(std::function<PeerHeartbeat()> fill, std::stop_token stop_token);
   // Something must be said at once.
   void wake() { wake_.notify(); }
   // Called for each job that a peer says is cancelled, the first time.
@@ -25,7 +25,7 @@
   // Heard from within two heartbeats.
   bool alive(const std::string& node) const;
   // Seconds since it was heard.
-  double silence(const std::string& node) const;
+  double since_last_heartbeat_s(const std::string& node) const;
   // Writes that live peers want, all together.
   uint64_t wanted_writes() const;
   // No peer is heard.
@@ -41,7 +41,7 @@
 
  private:
   struct Seen {
-    Heartbeat heartbeat;
+    PeerHeartbeat heartbeat;
     double at = -1e9;
   };
   long take(std::string_view bytes);
--- a/src/coordination/placement.cpp
+++ b/src/coordination/placement.cpp
@@ -138,7 +138,7 @@
 
 int PlacementPass::urgency(size_t j) const {
   auto& job = in_.jobs[j];
-  if (job.at_fault) return at_fault_urgency;
+  if (job.faulty) return at_fault_urgency;
   // Urgent ranks first, then what is guaranteed, then the rest; by priority, and among equals
   // what is guaranteed. An urgent job past its guarantee thus isn't kept waiting by guaranteed
   // work that may be stopped and saved.
@@ -217,7 +217,7 @@
     left -= start_what_fits(j, left, coming);
     if (left > 0 && team_allows(j)) note_full(job);
   }
-  if (job.at_fault) return;
+  if (job.faulty) return;
   uint32_t patient = 0;
   while (left > 0) {
     if (!team_allows(j)) break;
@@ -261,7 +261,7 @@
     if (job.need.fits(free_[m]) && allowed(j, m)) heap.push_back({cost(j, m, free_[m]), m});
   std::make_heap(heap.begin(), heap.end());
   uint32_t started = 0;
-  const bool hurries = job.priority >= urgent_priority && job.start_within_s > 0 && !job.at_fault;
+  const bool hurries = job.priority >= urgent_priority && job.start_within_s > 0 && !job.faulty;
   bool beside_image = hurries;  // as long as something cheap enough is found
   while (started < most && !heap.empty() && team_allows(j)) {
     const double fetch = image_delay(job, in_.machines[heap.front().machine]);
--- a/src/coordination/placement.hpp
+++ b/src/coordination/placement.hpp
@@ -108,7 +108,7 @@
   uint32_t unfinished = 0;  // waiting, live and held back ones
   bool cancelled = false;
   // Fails on every machine: it takes what is left over, and nothing is stopped or rented for it.
-  bool at_fault = false;
+  bool faulty = false;
   double accepted_at = 0;
   double due_at = 0;          // 0: no deadline
   bool begun = false;         // some task is live or done
--- a/src/coordination/placement_gang.cpp
+++ b/src/coordination/placement_gang.cpp
@@ -185,7 +185,7 @@
     out_.gangs.push_back({j, plan.machines});
     return;
   }
-  if (job.at_fault) return;
+  if (job.faulty) return;
   if (reserve_for_gang(j, plan)) return;
   if (may_hold_room(j)) {
     room_held_ = true;
--- a/src/coordination/reconcile.cpp
+++ b/src/coordination/reconcile.cpp
@@ -2,20 +2,20 @@
 
 namespace damsonport {
 
-Reconciled reconcile(const Machine& m, const std::vector<Expected>& expected,
-                     uint64_t own_fencing_token, bool records_current) {
-  Reconciled out;
+ReconcileResult reconcile(const Machine& m, const std::vector<DesiredTask>& expected,
+                          uint64_t own_fencing_token, bool records_current) {
+  ReconcileResult out;
   // Before the machine has learned our term an older holder's orders may still reach it, and before
   // our records are current a start of theirs may be unknown to us.
   const bool proof = m.fencing_token >= own_fencing_token && records_current;
   if (!proof) return out;
-  std::map<TaskId, const Expected*> by_task;
+  std::map<TaskId, const DesiredTask*> by_task;
   for (auto& e : expected) by_task[e.task] = &e;
 
   size_t as_expected = 0;
   for (auto& [name, t] : m.tasks) {
     auto it = by_task.find(name);
-    const Expected* e = it == by_task.end() ? nullptr : it->second;
+    const DesiredTask* e = it == by_task.end() ? nullptr : it->second;
     const bool ours = e && e->attempt == t.attempt;
     if (t.state == TaskState::exited) {
       if (ours) {
@@ -23,7 +23,7 @@
       } else if (!m.start_outstanding({name, t.attempt})) {
         // Once forgotten, a late copy of the start order would run the attempt again, so this
         // waits until no such copy can be under way.
-        out.commands.push_back({Command::Op::forget, name, t.attempt, 0});
+        out.commands.push_back({Command::Op::remove, name, t.attempt, 0});
       }
     } else if (!ours || e->cancelled) {
       out.commands.push_back({Command::Op::stop, name, t.attempt, 0});
--- a/src/coordination/reconcile.hpp
+++ b/src/coordination/reconcile.hpp
@@ -8,23 +8,23 @@
 namespace damsonport {
 
 // What the records say of a task, as far as one machine is concerned.
-struct Expected {
+struct DesiredTask {
   TaskId task;
   uint64_t attempt = 0;
   bool cancelled = false;      // its job is cancelled
   std::optional<double> stop;  // to be stopped, with this grace
 };
 
-struct Exit {
+struct ProvenExit {
   TaskId task;
   uint64_t attempt = 0;
   ExitCause cause = ExitCause::none;
   bool saved = false;
 };
 
-struct Reconciled {
+struct ReconcileResult {
   std::vector<Command> commands;
-  std::vector<Exit> exits;  // proven; to be committed
+  std::vector<ProvenExit> exits;  // proven; to be committed
   // The machine has what the records place on it and nothing else, and none of it is to be stopped.
   bool agrees = false;
 };
@@ -32,7 +32,7 @@
 // `expected`: what the records place on this machine. `settled`: whether the records are known to
 // be past an exited attempt, so that it may be forgotten. `own_fencing_token`: only messages made
 // after the machine learned it prove anything.
-Reconciled reconcile(const Machine& m, const std::vector<Expected>& expected,
-                     uint64_t own_fencing_token, bool records_current);
+ReconcileResult reconcile(const Machine& m, const std::vector<DesiredTask>& expected,
+                          uint64_t own_fencing_token, bool records_current);
 
 }  // namespace damsonport
--- a/src/coordination/rentals.cpp
+++ b/src/coordination/rentals.cpp
@@ -146,7 +146,7 @@
   }
   last_refused_[kind] = loop_.now();
   // Remembered, but never for good: capacity comes back.
-  const double first_s = settings_.report_s * first_pause_reports;
+  const double first_s = settings_.heartbeat_interval_s * first_pause_reports;
   refusal.pause_s =
       refusal.pause_s > 0 ? std::min(refusal.pause_s * 2, first_s * longest_pause_factor) : first_s;
   refusal.until = loop_.now() + refusal.pause_s * loop_.uniform(0.8, 1.2);
--- a/src/coordination/repeated_reports.cpp
+++ b/src/coordination/repeated_reports.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 struct Masked {
-  std::string report;
+  std::string heartbeat;
   uint64_t sequence = 0;
 };
 
@@ -32,42 +32,43 @@
   const auto following = following_bytes(head);
   if (!following || first + *following >= body.size()) return std::nullopt;
   Masked out{body, *following == 0 ? head : uint64_t{0}};
-  if (*following == 0) out.report[first] = 0;
+  if (*following == 0) out.heartbeat[first] = 0;
   for (size_t i = first + 1; i <= first + *following; ++i) {
     out.sequence = out.sequence << 8 | static_cast<uint8_t>(body[i]);
-    out.report[i] = 0;
+    out.heartbeat[i] = 0;
   }
   return out;
 }
 
 }  // namespace
 
-void RepeatedReports::remember(const std::string& machine, const std::string& body,
-                               uint64_t sequence) {
+void HeartbeatDeduplicator::remember(const std::string& machine, const std::string& body,
+                                     uint64_t sequence) {
   forget(machine);
   auto masked = mask_sequence(body);
   if (!masked || masked->sequence != sequence) return;
-  auto [entry, fresh] = machine_of_.try_emplace(std::move(masked->report), machine);
+  auto [entry, fresh] = machine_of_.try_emplace(std::move(masked->heartbeat), machine);
   if (fresh) report_of_[machine] = &entry->first;
 }
 
-void RepeatedReports::forget(const std::string& machine) {
+void HeartbeatDeduplicator::forget(const std::string& machine) {
   auto it = report_of_.find(machine);
   if (it == report_of_.end()) return;
   machine_of_.erase(machine_of_.find(*it->second));
   report_of_.erase(it);
 }
 
-void RepeatedReports::clear() {
+void HeartbeatDeduplicator::clear() {
   machine_of_.clear();
   report_of_.clear();
 }
 
-std::optional<RepeatedReports::Repeat> RepeatedReports::find(const std::string& body) const {
+std::optional<HeartbeatDeduplicator::Repeat> HeartbeatDeduplicator::find(
+    const std::string& body) const {
   if (machine_of_.empty()) return std::nullopt;
   const auto masked = mask_sequence(body);
   if (!masked) return std::nullopt;
-  auto it = machine_of_.find(masked->report);
+  auto it = machine_of_.find(masked->heartbeat);
   if (it == machine_of_.end()) return std::nullopt;
   return Repeat{it->second, masked->sequence};
 }
--- a/src/coordination/repeated_reports.hpp
+++ b/src/coordination/repeated_reports.hpp
@@ -8,7 +8,7 @@
 
 namespace damsonport {
 
-class RepeatedReports {
+class HeartbeatDeduplicator {
  public:
   // The last report of this machine that left nothing to do, as it came. It is not remembered where
   // its sequence number isn't found in it.
--- a/src/coordination/replicas/replica_manager.cpp
+++ b/src/coordination/replicas/replica_manager.cpp
@@ -17,7 +17,9 @@
 constexpr double turn_reports = 2;
 }  // namespace
 
-double ReplicaManager::most_report_age_s() const { return readiness_reports * settings_.report_s; }
+double ReplicaManager::max_heartbeat_age_s() const {
+  return readiness_reports * settings_.heartbeat_interval_s;
+}
 
 void ReplicaManager::clear() {
   replicas_.clear();
@@ -46,7 +48,7 @@
   for (auto& task : job.live_tasks(replica)) {
     PartStatus part{true, task.attempt, false, 0};
     const Machine* machine = facts_.find_machine(task.machine);
-    const bool received = machine && machine->session != 0 && !facts_.has_ended(task);
+    const bool received = machine && machine->agent_epoch != 0 && !facts_.has_ended(task);
     if (received) {
       auto reported = machine->tasks.find(task.name);
       part.running = reported != machine->tasks.end() && reported->second.attempt == task.attempt &&
@@ -56,7 +58,7 @@
     parts.push_back(part);
   }
   parts.resize(replica.count);
-  return judge_readiness(parts, loop_.now(), most_report_age_s());
+  return judge_readiness(parts, loop_.now(), max_heartbeat_age_s());
 }
 
 ReplicaStatus ReplicaManager::judge(const Job& job, uint32_t number) {
@@ -193,14 +195,14 @@
 }
 
 std::set<std::string> ReplicaManager::machines_to_ask() const {
-  const double before = loop_.now() - asked_after_reports * settings_.report_s;
+  const double before = loop_.now() - asked_after_reports * settings_.heartbeat_interval_s;
   std::set<std::string> out;
   for (auto& [key, history] : replicas_) {
     const Job* job = cache_.job(key.first);
     if (!job || job->cancelled) continue;
     for (auto& part : job->live_tasks(gang_range(job->spec, key.second))) {
       const Machine* machine = facts_.find_machine(part.machine);
-      if (machine && machine->session != 0 && machine->state_as_of < before)
+      if (machine && machine->agent_epoch != 0 && machine->state_as_of < before)
         out.insert(part.machine);
     }
   }
@@ -231,7 +233,7 @@
     }
   }
   const double now = loop_.now();
-  const double turn_s = turn_reports * settings_.report_s;
+  const double turn_s = turn_reports * settings_.heartbeat_interval_s;
   for (auto& [cls, own] : classes) {
     std::vector<RepairCandidate> candidates;
     for (const History* history : own.waiting) candidates.push_back(history->turn);
--- a/src/coordination/replicas/replica_manager.hpp
+++ b/src/coordination/replicas/replica_manager.hpp
@@ -60,7 +60,7 @@
   // As things stand at this moment.
   std::vector<ReplicaStatus> statuses();
   // Messages older than this prove nothing about readiness.
-  double most_report_age_s() const;
+  double max_heartbeat_age_s() const;
 
  private:
   using Key = std::pair<std::string, uint32_t>;  // job, number
--- a/src/coordination/silence_timeout.hpp
+++ b/src/coordination/silence_timeout.hpp
@@ -9,10 +9,10 @@
 // silence nothing is given up for three leases. When it ends the machines come back one by one over
 // the time of a few reports: those that are not back yet when the share falls under the bar are not
 // to be given up all at once, so the patience outlasts the mass silence.
-class SilenceTimeout {
+class DeadMachineTimeout {
  public:
-  // Seconds of silence after which a machine is given up; `give_up`: where no mass silence is.
-  double limit(double now, size_t known, size_t silent, double give_up, double lease_s);
+  // Seconds of silence after which a machine is given up; `dead_after_s`: where no mass silence is.
+  double limit(double now, size_t known, size_t silent, double dead_after_s, double lease_s);
 
  private:
   double mass_seen_at_ = -std::numeric_limits<double>::infinity();
--- a/src/coordination/user_api.cpp
+++ b/src/coordination/user_api.cpp
@@ -43,7 +43,7 @@
       versions_(versions),
       submitted_(loop),
       asked_(loop),
-      write_arrivals_(settings.report_s) {}
+      write_arrivals_(settings.heartbeat_interval_s) {}
 
 // By the queue alone a controller would get its share only once its users wait.
 double UserApi::wanted_writes() const {
--- a/src/protocol/heartbeat.cpp
+++ b/src/protocol/heartbeat.cpp
@@ -10,7 +10,7 @@
 constexpr uint64_t max_cancelled = 1024;
 }  // namespace
 
-std::string encode_heartbeat(const Heartbeat& b) {
+std::string encode_peer_heartbeat(const PeerHeartbeat& b) {
   VarintWriter body;
   body.number(heartbeat_version);
   body.text(b.node);
@@ -36,7 +36,7 @@
   return encode_frame(body.bytes());
 }
 
-Framed decode_heartbeat(std::string_view in, Heartbeat& out, size_t& used) {
+Framed decode_peer_heartbeat(std::string_view in, PeerHeartbeat& out, size_t& used) {
   std::string_view content;
   if (auto framed = decode_frame(in, max_frame, content, used); framed != Framed::whole)
     return framed;
@@ -53,7 +53,7 @@
     return Framed::bad;
   out.loaded = loaded != 0;
   for (uint64_t i = 0; i < cancelled; ++i) {
-    Heartbeat::Cancellation c;
+    PeerHeartbeat::Cancellation c;
     if (!body.text(c.job) || !body.number(c.age_ms)) return Framed::bad;
     out.cancelled.push_back(std::move(c));
   }
--- a/src/protocol/heartbeat.hpp
+++ b/src/protocol/heartbeat.hpp
@@ -9,7 +9,7 @@
 
 namespace damsonport {
 
-struct Heartbeat {
+struct PeerHeartbeat {
   std::string node;
   uint64_t incarnation = 0;
   uint64_t state_age_ms = 0;  // since the last contact with the state service
@@ -33,9 +33,9 @@
   };
   std::vector<Cancellation> cancelled;
 };
-std::string encode_heartbeat(const Heartbeat& b);  // framed
+std::string encode_peer_heartbeat(const PeerHeartbeat& b);  // framed
 // Takes one framed heartbeat off the front; `used` bytes were consumed when whole. What a later
 // version adds at the end is passed over.
-Framed decode_heartbeat(std::string_view in, Heartbeat& out, size_t& used);
+Framed decode_peer_heartbeat(std::string_view in, PeerHeartbeat& out, size_t& used);
 
 }  // namespace damsonport
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -206,12 +206,13 @@
   return m;
 }
 
-Result<Report> decode_report(const Json& m) {
-  Report r;
+Result<Heartbeat> decode_heartbeat(const Json& m) {
+  Heartbeat r;
   if (!get(m, "vessel", r.machine) || r.machine.empty() || r.machine.size() > max_text)
     return Error{"vessel"};
   if (!get(m, "address", r.address) || !get(m, "hull", r.type) || !get(m, "dock", r.zone) ||
-      !optional(m, "tender", r.spot) || !get(m, "watch", r.session) || !get(m, sequence_key, r.seq))
+      !optional(m, "tender", r.spot) || !get(m, "watch", r.agent_epoch) ||
+      !get(m, sequence_key, r.sequence))
     return Error{"report of " + r.machine + " lacks a field"};
   if (!optional(m, "helm", r.fencing_token)) return Error{"helm"};
   double notice = 0;
@@ -221,7 +222,7 @@
   if (!tasks->is_array()) return Error{"hands"};
   r.tasks.reserve(tasks->size());
   for (auto& t : *tasks) {
-    TaskReport out;
+    TaskStatus out;
     std::string text;
     if (!t.is_object() || !get(t, "hand", text) || !parse_task_id(text, out.task) ||
         !get(t, "launch", out.attempt) || !get(t, "status", text))
@@ -254,7 +255,7 @@
         m["order"] = "halt";
         m["slack_s"] = c.grace_s;
         break;
-      case Command::Op::forget:
+      case Command::Op::remove:
         m["order"] = "reap";
         break;
     }
@@ -263,17 +264,18 @@
   return list;
 }
 
-std::string encode_report_answer(uint64_t fencing_token, const std::vector<Command>& commands) {
+std::string encode_heartbeat_response(uint64_t fencing_token,
+                                      const std::vector<Command>& commands) {
   return encode({{"helm", fencing_token}, {"orders", encode_commands(commands)}});
 }
 
-std::string encode_direct(uint64_t fencing_token, uint64_t session,
-                          const std::vector<Command>& commands) {
+std::string encode_direct_commands(uint64_t fencing_token, uint64_t agent_epoch,
+                                   const std::vector<Command>& commands) {
   return encode(
-      {{"helm", fencing_token}, {"watch", session}, {"orders", encode_commands(commands)}});
+      {{"helm", fencing_token}, {"watch", agent_epoch}, {"orders", encode_commands(commands)}});
 }
 
-std::string encode_report_to(const std::string& node) {
+std::string encode_redirect(const std::string& node) {
   Json m = Json::object();
   if (!node.empty()) m["harbour"] = node;
   return encode(m);
--- a/src/protocol/messages.hpp
+++ b/src/protocol/messages.hpp
@@ -70,7 +70,7 @@
 };
 bool parse_task_id(std::string_view text, TaskId& out);
 
-struct TaskReport {
+struct TaskStatus {
   TaskId task;
   uint64_t attempt = 0;
   TaskState state = TaskState::running;
@@ -78,31 +78,31 @@
   bool saved = false;
 };
 
-struct Report {
+struct Heartbeat {
   std::string machine, address, type, zone;
   bool spot = false;
-  uint64_t session = 0, seq = 0, fencing_token = 0;
+  uint64_t agent_epoch = 0, sequence = 0, fencing_token = 0;
   std::optional<double> notice_s;
-  std::vector<TaskReport> tasks;
+  std::vector<TaskStatus> tasks;
   bool newer_than(uint64_t other_session, uint64_t other_seq) const {
-    return session != other_session ? session > other_session : seq > other_seq;
+    return agent_epoch != other_session ? agent_epoch > other_session : sequence > other_seq;
   }
 };
-Result<Report> decode_report(const Json& m);
+Result<Heartbeat> decode_heartbeat(const Json& m);
 // The key of a report's sequence number, as CBOR encodes it.
 std::string_view encoded_sequence_key();
 
 struct Command {
-  enum class Op : uint8_t { start, stop, forget } op = Op::start;
+  enum class Op : uint8_t { start, stop, remove } op = Op::start;
   TaskId task;
   uint64_t attempt = 0;
   double grace_s = 0;
 };
 Json encode_commands(const std::vector<Command>& commands);
-std::string encode_report_answer(uint64_t fencing_token, const std::vector<Command>& commands);
-std::string encode_direct(uint64_t fencing_token, uint64_t session,
-                          const std::vector<Command>& commands);
-std::string encode_report_to(const std::string& node);  // empty: no node named
+std::string encode_heartbeat_response(uint64_t fencing_token, const std::vector<Command>& commands);
+std::string encode_direct_commands(uint64_t fencing_token, uint64_t agent_epoch,
+                                   const std::vector<Command>& commands);
+std::string encode_redirect(const std::string& node);  // empty: no node named
 
 struct MachineType {
   std::string name;
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -58,7 +58,7 @@
 
 void read_workers(TomlReader& r, const TomlTable& t, Settings& s) {
   constexpr double least_s = 0.01;
-  s.report_s = r.required(t, "report_s", least_s);
+  s.heartbeat_interval_s = r.required(t, "report_s", least_s);
   s.lease_s = r.required(t, "lease_s", least_s);
   s.cancel_s = r.required(t, "cancel_s", least_s);
   // Known to every platform that has gangs; elsewhere they only bound how long a gang is held.
--- a/src/protocol/settings.hpp
+++ b/src/protocol/settings.hpp
@@ -40,7 +40,7 @@
   std::vector<std::string> zones;
   std::vector<TeamSettings> teams;
   std::vector<Objective> objectives;
-  double report_s = 0, lease_s = 0, cancel_s = 0;
+  double heartbeat_interval_s = 0, lease_s = 0, cancel_s = 0;
   // How long a gang's task waits for the others, and how soon it notices that one is gone.
   double gang_wait_s = 0, gang_peer_s = 0;
   StateLimitSettings state_limits;
--- a/src/protocol/tuning.hpp
+++ b/src/protocol/tuning.hpp
@@ -17,13 +17,13 @@
   double shard_lease_s = 30.0;
   // No new tasks and no orders of their own to a machine silent for so many report periods, or for
   // this share of its lease if that is shorter.
-  double doubt_reports = 2.5;
-  double doubt_lease_share = 0.33;
+  double suspect_after_heartbeats = 2.5;
+  double suspect_lease_share = 0.33;
   // A silent machine is returned after so many report periods, but within these shares of its
   // lease: with rare reports waiting for many would leave nothing to be gained.
-  double return_reports = 4.0;
-  double return_lease_share = 0.35;
-  double return_lease_most = 0.5;
+  double dead_after_heartbeats = 4.0;
+  double dead_lease_share = 0.35;
+  double dead_lease_max = 0.5;
   // Share of cancel_s after which a machine that still holds a cancelled task is returned.
   double cancel_return_share = 0.5;
   // Shares of gang_wait_s: after which a waiting gang keeps free room from less urgent work, how
--- a/src/storage/state_client.cpp
+++ b/src/storage/state_client.cpp
@@ -94,14 +94,14 @@
 Task<TransactionResult> KeyValueClient::commit_until_resolved(Transaction transaction,
                                                               Importance importance,
                                                               std::stop_token stop_token) {
-  bool in_doubt = false;
+  bool is_suspected = false;
   double pause = 0.02;
   for (;;) {
     auto reply = co_await compare_and_swap(transaction, importance);
-    if (reply.outcome == TransactionOutcome::unknown) in_doubt = true;
+    if (reply.outcome == TransactionOutcome::unknown) is_suspected = true;
     bool definite = reply.outcome == TransactionOutcome::committed ||
                     reply.outcome == TransactionOutcome::conflict ||
-                    (reply.outcome == TransactionOutcome::invalid && !in_doubt);
+                    (reply.outcome == TransactionOutcome::invalid && !is_suspected);
     if (definite) co_return reply;
     if (!co_await Sleep(loop_, pause * loop_.uniform(0.5, 1.5), stop_token)) co_return reply;
     pause = std::min(pause * 2, 1.0);
--- a/tests/cancellations_test.cpp
+++ b/tests/cancellations_test.cpp
@@ -20,13 +20,13 @@
   Side(std::string n, uint64_t life, double off, const std::vector<std::string>& peers)
       : name(std::move(n)), incarnation(life), clock_off(off), said(life, peers) {}
   double clock(double time) const { return time + clock_off; }
-  Heartbeat heartbeat(const std::string& to, double time) const {
-    Heartbeat b;
+  PeerHeartbeat heartbeat(const std::string& to, double time) const {
+    PeerHeartbeat b;
     b.node = name, b.incarnation = incarnation, b.loaded = loaded;
     said.add_to(b, to, clock(time));
     return b;
   }
-  std::vector<std::string> merge(const Heartbeat& b, double time) {
+  std::vector<std::string> merge(const PeerHeartbeat& b, double time) {
     return said.merge(b, clock(time)).fresh;
   }
   // How old a cancellation that is unknown here can be.
@@ -95,10 +95,10 @@
   }
   for (int i = 0; i < 100 && !p.a.said.cancelled("run-4999"); ++i) {
     const double time = 2 + i;
-    const auto bytes = encode_heartbeat(p.b.heartbeat("a", time));
-    Heartbeat read;
+    const auto bytes = encode_peer_heartbeat(p.b.heartbeat("a", time));
+    PeerHeartbeat read;
     size_t used = 0;
-    ASSERT_EQ(decode_heartbeat(bytes, read, used), Framed::whole);
+    ASSERT_EQ(decode_peer_heartbeat(bytes, read, used), Framed::whole);
     p.a.merge(read, time);
     p.b.merge(p.a.heartbeat("b", time), time);
   }
@@ -125,7 +125,7 @@
           said(life, {peer}),
           peers(loop, network, settings, said) {
       auto beat = [name, life] {
-        Heartbeat b;
+        PeerHeartbeat b;
         b.node = name, b.incarnation = life, b.loaded = true;
         return b;
       };
@@ -134,7 +134,7 @@
     static Settings make_settings(const std::string& host, const std::string& peer,
                                   const std::string& peer_host) {
       Settings s;
-      s.report_s = 3;
+      s.heartbeat_interval_s = 3;
       s.peer_listen = {host, 8081};
       s.peers.push_back({peer, "a", {peer_host, 8081}});
       return s;
--- a/tests/mixed_versions_test.cpp
+++ b/tests/mixed_versions_test.cpp
@@ -40,13 +40,13 @@
   const auto hex = production().at("beat");
   for (size_t i = 0; i < hex.size(); i += 2)
     bytes += static_cast<char>(std::stoi(hex.substr(i, 2), nullptr, 16));
-  Heartbeat heartbeat;
+  PeerHeartbeat heartbeat;
   size_t used = 0;
-  ASSERT_EQ(decode_heartbeat(bytes, heartbeat, used), Framed::whole);
+  ASSERT_EQ(decode_peer_heartbeat(bytes, heartbeat, used), Framed::whole);
   EXPECT_EQ(heartbeat.node, "n0");
   EXPECT_EQ(heartbeat.fencing_token, 77u);
   ASSERT_EQ(heartbeat.cancelled.size(), 1u);
-  EXPECT_EQ(encode_heartbeat(heartbeat), bytes);
+  EXPECT_EQ(encode_peer_heartbeat(heartbeat), bytes);
 }
 
 // That version follows no key of ours that it doesn't know, and takes the first layout's names
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -101,14 +101,14 @@
   EXPECT_EQ(judge_job(other, s, {g}), Verdict::ok);
 }
 
-TEST(Heartbeat, ComesBackAndBadFramesAreTold) {
-  Heartbeat b;
+TEST(PeerHeartbeat, ComesBackAndBadFramesAreTold) {
+  PeerHeartbeat b;
   b.node = "n-1", b.incarnation = 1ull << 51, b.waiting = 77, b.loaded = true, b.fencing_token = 41;
   b.echo_ms = 300, b.last = 9, b.cancelled = {{"run-7", 1500}, {"run-8", 0}};
-  auto bytes = encode_heartbeat(b);
-  Heartbeat back;
+  auto bytes = encode_peer_heartbeat(b);
+  PeerHeartbeat back;
   size_t used = 0;
-  ASSERT_EQ(decode_heartbeat(bytes, back, used), Framed::whole);
+  ASSERT_EQ(decode_peer_heartbeat(bytes, back, used), Framed::whole);
   EXPECT_EQ(used, bytes.size());
   EXPECT_EQ(back.incarnation, b.incarnation);
   EXPECT_EQ(back.waiting, 77u);
@@ -120,11 +120,11 @@
   EXPECT_EQ(back.cancelled[0].job, "run-7");
   EXPECT_EQ(back.cancelled[0].age_ms, 1500u);
   for (size_t n = 0; n < bytes.size(); ++n)
-    EXPECT_EQ(decode_heartbeat(bytes.substr(0, n), back, used), Framed::partial);
-  EXPECT_EQ(decode_heartbeat(std::string(16, '\xff'), back, used), Framed::bad);
+    EXPECT_EQ(decode_peer_heartbeat(bytes.substr(0, n), back, used), Framed::partial);
+  EXPECT_EQ(decode_peer_heartbeat(std::string(16, '\xff'), back, used), Framed::bad);
   std::string earlier_version = bytes;
   earlier_version[1] = 3;
-  EXPECT_EQ(decode_heartbeat(earlier_version, back, used), Framed::bad);
+  EXPECT_EQ(decode_peer_heartbeat(earlier_version, back, used), Framed::bad);
   // What a later version adds at the end is passed over.
   VarintReader frame(bytes);
   std::string body;
@@ -132,7 +132,7 @@
   body[0] = 5;
   VarintWriter later;
   later.text(body + "more");
-  ASSERT_EQ(decode_heartbeat(later.bytes(), back, used), Framed::whole);
+  ASSERT_EQ(decode_peer_heartbeat(later.bytes(), back, used), Framed::whole);
   EXPECT_EQ(used, later.bytes().size());
   EXPECT_EQ(back.cancelled.size(), 2u);
 }
@@ -219,7 +219,7 @@
           std::string(".") + field);
 }
 
-TEST(Report, StatesAndCausesOfGangsAreRead) {
+TEST(Heartbeat, StatesAndCausesOfGangsAreRead) {
   const Json task = {{"hand", "run-1/0"}, {"launch", 2}};
   Json waiting = task, peers = task, alone = task, strange = task, odd_cause = task;
   waiting["status"] = "waiting";
@@ -228,13 +228,13 @@
   alone["cause"] = "alone";
   odd_cause["cause"] = "something new";
   strange["status"] = "something new";
-  auto report = decode_report({{"vessel", "i-1"},
-                               {"address", "10.1.0.1:9000"},
-                               {"hull", "g"},
-                               {"dock", "a"},
-                               {"watch", 1},
-                               {"tally", 1},
-                               {"hands", {waiting, peers, alone, strange, odd_cause}}});
+  auto report = decode_heartbeat({{"vessel", "i-1"},
+                                  {"address", "10.1.0.1:9000"},
+                                  {"hull", "g"},
+                                  {"dock", "a"},
+                                  {"watch", 1},
+                                  {"tally", 1},
+                                  {"hands", {waiting, peers, alone, strange, odd_cause}}});
   ASSERT_TRUE(report) << report.error();
   EXPECT_EQ(report->tasks[0].state, TaskState::waiting);
   EXPECT_EQ(report->tasks[1].cause, ExitCause::peers);
--- a/tests/regions/region_cluster.cpp
+++ b/tests/regions/region_cluster.cpp
@@ -56,7 +56,8 @@
   region.name = fmt::format("region-{}", index);
   region.zone = zone_name(index);
   auto& s = region.settings;
-  s.report_s = 1.5, s.lease_s = 12, s.cancel_s = 42, s.gang_wait_s = 40, s.gang_peer_s = 6;
+  s.heartbeat_interval_s = 1.5, s.lease_s = 12, s.cancel_s = 42, s.gang_wait_s = 40,
+  s.gang_peer_s = 6;
   const StateLimits limits{150, 50, 16, 12};
   s.state_limits = {limits, limits};
   s.cloud_rps = 5, s.list_lag_s = 4, s.max_sockets = 600;
--- a/tests/regions/regions_test.cpp
+++ b/tests/regions/regions_test.cpp
@@ -7,7 +7,7 @@
 namespace damsonport::simulation {
 namespace {
 
-constexpr double settled = 10;  // all controllers are up and every record is written
+constexpr double acknowledged = 10;  // all controllers are up and every record is written
 
 void expect_no_rule_broken(const RegionCluster& cluster) {
   for (auto& what : cluster.broken())
@@ -23,7 +23,7 @@
 
 TEST(Regions, ALimitIsDividedByShare) {
   RegionCluster cluster({.regions = 3, .share = {2, 1, 1}});
-  cluster.run_until(settled);
+  cluster.run_until(acknowledged);
   EXPECT_DOUBLE_EQ(cluster.budget_gpus(0), 8);
   EXPECT_DOUBLE_EQ(cluster.budget_gpus(1), 4);
   EXPECT_DOUBLE_EQ(cluster.budget_gpus(2), 4);
@@ -38,7 +38,7 @@
     controller->crash(0.01);
   }
   for (size_t region : {0, 1, 2})
-    cluster.at(settled, [&cluster, region] {
+    cluster.at(acknowledged, [&cluster, region] {
       cluster.submit(region, "run-" + std::to_string(region), 16, 1, 600);
     });
   cluster.run_until(60);
@@ -48,8 +48,8 @@
 
 TEST(Regions, BudgetGoesWhereWorkWaits) {
   RegionCluster cluster({});
-  cluster.at(settled, [&] { cluster.submit(0, "run-1", 14, 1, 0); });
-  cluster.run_until(settled + 12);
+  cluster.at(acknowledged, [&] { cluster.submit(0, "run-1", 14, 1, 0); });
+  cluster.run_until(acknowledged + 12);
   EXPECT_EQ(cluster.running("run-1"), 14);
   EXPECT_EQ(cluster.gpu_parts_on_the_way(), 0u);
   expect_no_rule_broken(cluster);
@@ -58,7 +58,7 @@
 // The operators' bound for urgent work, with the budget elsewhere (the fetch takes 0.15 s).
 TEST(Regions, UrgentWorkThatNeedsAnotherRegionsBudgetStartsInTime) {
   RegionCluster cluster({});
-  cluster.at(settled, [&] { cluster.submit(0, "run-1", 8, 1, 0); });
+  cluster.at(acknowledged, [&] { cluster.submit(0, "run-1", 8, 1, 0); });
   cluster.at(40, [&] { cluster.submit(0, "run-2", 4, 1, 0, Priority::production); });
   cluster.run_until(40 + 2.9);
   EXPECT_EQ(cluster.running("run-2"), 4);
@@ -69,7 +69,7 @@
   RegionCluster cluster({});
   for (int i = 0; i < 20; ++i)
     for (size_t region : {0, 1})
-      cluster.at(settled + 0.2 * i, [&cluster, region, i] {
+      cluster.at(acknowledged + 0.2 * i, [&cluster, region, i] {
         cluster.submit(region, "run-" + std::to_string(region * 100 + i), 3, 1, 15);
       });
   cluster.run_until(200);
@@ -83,7 +83,7 @@
 
 TEST(Regions, AShareOfTheGuaranteeIsNeverGiven) {
   RegionCluster cluster({.team = {"t", 0, 0, 8, 16}});
-  cluster.at(settled, [&] { cluster.submit(0, "run-1", 40, 1, 600, Priority::production); });
+  cluster.at(acknowledged, [&] { cluster.submit(0, "run-1", 40, 1, 600, Priority::production); });
   cluster.at(60, [&] { cluster.submit(1, "run-2", 4, 1, 0); });
   cluster.run_until(50);
   EXPECT_EQ(cluster.running("run-1"), 12);
@@ -95,7 +95,7 @@
 
 TEST(Regions, AJobThatNeedsWhatOthersKeepIsRefused) {
   RegionCluster cluster({.team = {"t", 0, 0, 8, 16}});
-  cluster.at(settled, [&] { cluster.submit(0, "run-1", 13, 1, 0); });
+  cluster.at(acknowledged, [&] { cluster.submit(0, "run-1", 13, 1, 0); });
   cluster.run_until(30);
   EXPECT_FALSE(cluster.fleet(0).rules().accepted("run-1"));
 }
@@ -104,7 +104,7 @@
 TEST(Regions, BudgetTooSmallForAnyTaskIsNotHeldOnTo) {
   RegionCluster cluster({.team = {"t", 0, 0, 0, 12}});
   for (size_t region : {0, 1})
-    cluster.at(settled, [&cluster, region] {
+    cluster.at(acknowledged, [&cluster, region] {
       cluster.submit(region, "run-" + std::to_string(region), 6, 4, 600);
     });
   cluster.run_until(60);
@@ -117,7 +117,7 @@
   int gifts = 0;
   cluster.on_budget = [&](size_t, auto& before, auto& after) { gifts += gave(before, after); };
   for (size_t region : {0, 1})
-    cluster.at(settled, [&cluster, region] {
+    cluster.at(acknowledged, [&cluster, region] {
       cluster.submit(region, "run-" + std::to_string(region), 100, 1, 20);
     });
   cluster.run_until(120);
@@ -146,7 +146,7 @@
       ++kills;
       cluster.world().in(0, [&cluster, victim] { cluster.shard_leader(victim).crash(6); });
     };
-    cluster.at(settled, [&] { cluster.submit(0, "run-1", 14, 1, 40); });
+    cluster.at(acknowledged, [&] { cluster.submit(0, "run-1", 14, 1, 40); });
     cluster.at(80, [&] { cluster.submit(1, "run-2", 14, 1, 0); });
     cluster.run_until(160);
     EXPECT_GE(kills, 1);
@@ -173,7 +173,7 @@
         for (size_t region : {0, 1}) cluster.shard_leader(region).crash(20);
       });
     };
-    cluster.at(settled, [&] { cluster.submit(0, "run-1", 16, 1, 0); });
+    cluster.at(acknowledged, [&] { cluster.submit(0, "run-1", 16, 1, 0); });
     cluster.run_until(80);
     EXPECT_TRUE(struck);
     EXPECT_EQ(cluster.running("run-1"), 16);
@@ -186,7 +186,7 @@
   for (uint64_t seed : {1, 2, 3, 4}) {
     RegionCluster cluster({.controllers = 3, .seed = seed});
     for (int i = 0; i < 6; ++i)
-      cluster.at(settled + 12.0 * i, [&cluster, i] {
+      cluster.at(acknowledged + 12.0 * i, [&cluster, i] {
         cluster.shard_leader(i % 2).stall(9);
         const size_t region = (i + 1) % 2;
         cluster.submit(region, "run-" + std::to_string(i), 14, 1, 8, Priority::high);
@@ -296,7 +296,7 @@
   const auto way = std::get<0>(GetParam());
   const auto how = std::get<1>(GetParam());
   constexpr double hour = 3600;
-  cluster.at(settled, [&] { cluster.submit(0, "run-1", 10, 1, 300); });
+  cluster.at(acknowledged, [&] { cluster.submit(0, "run-1", 10, 1, 300); });
   cluster.at(30, [&] { cluster.cut(0, 1, way, how, hour); });
   for (int i = 0; i < 30; ++i)
     for (size_t region : {0, 1})
@@ -323,7 +323,7 @@
 
 TEST(Regions, ARegionWithoutControllersKeepsItsBudgetAndItsTasks) {
   RegionCluster cluster({});
-  cluster.at(settled, [&] { cluster.submit(1, "run-1", 8, 1, 0); });
+  cluster.at(acknowledged, [&] { cluster.submit(1, "run-1", 8, 1, 0); });
   cluster.at(30, [&] {
     for (auto& controller : cluster.controllers(1)) controller->crash(60);
   });
@@ -339,7 +339,7 @@
     RegionCluster cluster({.seed = seed});
     cluster.at(1, [&] { cluster.repeat_messages_within(240); });
     for (int i = 0; i < 12; ++i)
-      cluster.at(settled + 40.0 * i,
+      cluster.at(acknowledged + 40.0 * i,
                  [&cluster, i] { cluster.submit(i % 2, "run-" + std::to_string(i), 14, 1, 20); });
     cluster.run_until(700);
     for (int i = 0; i < 12; ++i) EXPECT_TRUE(cluster.done("run-" + std::to_string(i)));
@@ -351,7 +351,7 @@
 // A limit that is lowered below what is in use: nothing starts before use has fallen under it.
 TEST(Regions, ALoweredLimitHoldsForWhatStartsThen) {
   RegionCluster cluster({});
-  cluster.at(settled, [&] { cluster.submit(0, "run-1", 14, 1, 100); });
+  cluster.at(acknowledged, [&] { cluster.submit(0, "run-1", 14, 1, 100); });
   cluster.at(20, [&] { cluster.submit(1, "run-2", 40, 1, 10); });
   cluster.at(40, [&] {
     cluster.set_limit(8);
@@ -387,7 +387,7 @@
 // A budget of nothing is a limit, where a limit of nothing is none.
 TEST(Regions, ARegionWithoutAnyBudgetStartsNothing) {
   RegionCluster cluster({.share = {1, 0}});
-  cluster.at(settled, [&] { cluster.submit(0, "run-1", 16, 1, 60, Priority::production); });
+  cluster.at(acknowledged, [&] { cluster.submit(0, "run-1", 16, 1, 60, Priority::production); });
   cluster.at(20, [&] { cluster.submit(1, "run-2", 4, 1, 0); });
   cluster.run_until(60);
   EXPECT_EQ(cluster.running("run-1"), 16);
@@ -401,7 +401,7 @@
 TEST(Regions, NothingIsGivenBeforeAllControllersHaveTheVersion) {
   RegionCluster cluster({.controllers = 3});
   cluster.controllers(0)[2]->crash(100);  // from the beginning
-  cluster.at(settled, [&] { cluster.submit(1, "run-1", 14, 1, 0); });
+  cluster.at(acknowledged, [&] { cluster.submit(1, "run-1", 14, 1, 0); });
   cluster.run_until(90);
   EXPECT_EQ(cluster.running("run-1"), 8);
   cluster.run_until(140);
@@ -418,11 +418,12 @@
     message.teams.push_back({"t", all, {}, {}, {}, {}, {}});
     cluster.deliver(0, message);
   };
-  cluster.at(settled, [&] { claim(cluster.region_name(1), cluster.region_name(0)); });
-  cluster.at(settled, [&] { claim(cluster.region_name(2), cluster.region_name(1)); });
-  cluster.at(settled, [&] { claim("nowhere", cluster.region_name(0)); });
-  cluster.at(settled, [&] { claim(cluster.region_name(0), cluster.region_name(0)); });
-  cluster.at(settled + 1, [&] { cluster.submit(0, "run-1", 16, 1, 600, Priority::production); });
+  cluster.at(acknowledged, [&] { claim(cluster.region_name(1), cluster.region_name(0)); });
+  cluster.at(acknowledged, [&] { claim(cluster.region_name(2), cluster.region_name(1)); });
+  cluster.at(acknowledged, [&] { claim("nowhere", cluster.region_name(0)); });
+  cluster.at(acknowledged, [&] { claim(cluster.region_name(0), cluster.region_name(0)); });
+  cluster.at(acknowledged + 1,
+             [&] { cluster.submit(0, "run-1", 16, 1, 600, Priority::production); });
   cluster.run_until(40);
   EXPECT_EQ(cluster.running("run-1"), 16) << "what was really sent still comes";
   for (size_t region : {1, 2})
@@ -434,8 +435,8 @@
   RegionCluster cluster({.regions = 3});
   RegionMessage message{cluster.region_name(2), cluster.region_name(1), "r2n0", 1000000, 1, {}};
   message.teams.push_back({"t", {all_parts / 16, all_parts / 16}, {}, {}, {}, {}, {}});
-  cluster.at(settled, [&] { cluster.deliver(0, message); });
-  cluster.run_until(settled + 2);
+  cluster.at(acknowledged, [&] { cluster.deliver(0, message); });
+  cluster.run_until(acknowledged + 2);
   EXPECT_TRUE(cluster.budget(0).received_from(cluster.region_name(2)).none());
   expect_no_rule_broken(cluster);
 }
@@ -445,8 +446,8 @@
   RegionCluster cluster({});
   RegionMessage message{cluster.region_name(1), cluster.region_name(0), "r1n0", 1, 1, {}};
   message.teams.push_back({"t", {}, {}, {}, {}, {0, all_parts}, {0, all_parts}});
-  cluster.at(settled, [&] { cluster.deliver(0, message); });
-  cluster.run_until(settled + 1);
+  cluster.at(acknowledged, [&] { cluster.deliver(0, message); });
+  cluster.run_until(acknowledged + 1);
   EXPECT_DOUBLE_EQ(cluster.budget_gpus(0), 8);
   expect_no_rule_broken(cluster);
 }
@@ -493,7 +494,7 @@
   std::mt19937_64 draw(GetParam());
   constexpr double troubles_end = 240, jobs = 24;
   for (int i = 0; i < 14; ++i)
-    cluster.at(settled + static_cast<double>(draw() % 230), [&] { strike(cluster, draw); });
+    cluster.at(acknowledged + static_cast<double>(draw() % 230), [&] { strike(cluster, draw); });
   for (int i = 0; i < jobs; ++i) {
     const auto tasks = static_cast<uint32_t>(1 + draw() % 12);
     const double gpus = tasks > 6 ? 1 : 1 + static_cast<double>(draw() % 2);
--- a/tests/repeated_reports_test.cpp
+++ b/tests/repeated_reports_test.cpp
@@ -21,13 +21,13 @@
           {"hands", {{{"hand", "run-1/0"}, {"launch", 2}, {"status", "running"}}}}};
 }
 
-RepeatedReports remembering(const Json& last, uint64_t sequence) {
-  RepeatedReports reports;
+HeartbeatDeduplicator remembering(const Json& last, uint64_t sequence) {
+  HeartbeatDeduplicator reports;
   reports.remember("i-1", encode(last), sequence);
   return reports;
 }
 
-TEST(RepeatedReports, DifferInTheirNumberAlone) {
+TEST(HeartbeatDeduplicator, DifferInTheirNumberAlone) {
   const auto reports = remembering(report(300), 300);
   const auto repeat = reports.find(encode(report(301)));
   ASSERT_TRUE(repeat);
@@ -36,7 +36,7 @@
 }
 
 // Each of these must be looked into.
-TEST(RepeatedReports, AnyOtherDifferenceIsSeen) {
+TEST(HeartbeatDeduplicator, AnyOtherDifferenceIsSeen) {
   const auto reports = remembering(report(300), 300);
   auto differs = [&](const char* field, const Json& value) {
     Json m = report(301);
@@ -60,7 +60,7 @@
   EXPECT_FALSE(reports.find(encode(more)));
 }
 
-TEST(RepeatedReports, AreForgottenByMachine) {
+TEST(HeartbeatDeduplicator, AreForgottenByMachine) {
   auto reports = remembering(report(300), 300);
   Json other = report(7);
   other["vessel"] = "i-2";
@@ -74,7 +74,7 @@
   EXPECT_EQ(reports.size(), 0u);
 }
 
-TEST(RepeatedReports, NumbersOfEveryEncodedLengthAreRead) {
+TEST(HeartbeatDeduplicator, NumbersOfEveryEncodedLengthAreRead) {
   for (uint64_t n : {uint64_t{3}, uint64_t{23}, uint64_t{24}, uint64_t{200}, uint64_t{70000},
                      uint64_t{1} << 40}) {
     const auto reports = remembering(report(n), n);
@@ -87,7 +87,7 @@
 }
 
 // Where the number isn't found for sure nothing is remembered.
-TEST(RepeatedReports, AreNotGuessedAt) {
+TEST(HeartbeatDeduplicator, AreNotGuessedAt) {
   Json twice = report(300);
   twice["hull"] = std::string(encoded_sequence_key());
   EXPECT_EQ(remembering(twice, 300).size(), 0u);
@@ -95,7 +95,7 @@
   Json text = report(300);
   text["tally"] = "300";
   EXPECT_EQ(remembering(text, 300).size(), 0u);
-  RepeatedReports cut;
+  HeartbeatDeduplicator cut;
   const auto body = encode(report(300));
   for (size_t size = 0; size < body.size(); ++size) cut.remember("i-1", body.substr(0, size), 1);
   EXPECT_EQ(cut.size(), 0u);
--- a/tests/replicas/gang_tracker_test.cpp
+++ b/tests/replicas/gang_tracker_test.cpp
@@ -35,7 +35,7 @@
     job.spec.kind = Kind::service;
     job.spec.tasks = job.spec.parts = 2;
     job.chunk_size = 2;
-    for (const char* id : {"i-1", "i-2", "i-3"}) facts.machines[id].session = 1;
+    for (const char* id : {"i-1", "i-2", "i-3"}) facts.machines[id].agent_epoch = 1;
   }
   TaskChunk& record() { return job.chunks[0].record; }
   // By this holder, or by an earlier one.
@@ -57,7 +57,7 @@
   f.lose_one();
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::complete);
   EXPECT_EQ(f.tracker.startable(f.job, f.replica), 1u);
-  f.facts.machines["i-1"].session = 0;
+  f.facts.machines["i-1"].agent_epoch = 0;
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::none) << "it isn't heard yet";
 }
 
--- a/tests/replicas/replicas_test.cpp
+++ b/tests/replicas/replicas_test.cpp
@@ -215,26 +215,26 @@
       << "one that pauses is passed over";
 }
 
-Report report(uint64_t session, uint64_t sequence) {
-  Report r;
+Heartbeat report(uint64_t agent_epoch, uint64_t sequence) {
+  Heartbeat r;
   r.machine = "i-1";
-  r.session = session;
-  r.seq = sequence;
+  r.agent_epoch = agent_epoch;
+  r.sequence = sequence;
   return r;
 }
 
 // A report may have been held up for minutes and doesn't say when it was made.
 TEST(ReportTime, IsKnownFromTheConnectionOrOurOwnQuestion) {
   Machine m;
-  ASSERT_TRUE(take_report(m, report(1, 5), 100, false));
+  ASSERT_TRUE(apply_heartbeat(m, report(1, 5), 100, false));
   EXPECT_EQ(m.state_as_of, 0) << "the first on its connection";
-  ASSERT_TRUE(take_report(m, report(1, 6), 102, false, 100));
+  ASSERT_TRUE(apply_heartbeat(m, report(1, 6), 102, false, 100));
   EXPECT_EQ(m.state_as_of, 100);
-  ASSERT_TRUE(take_report(m, report(1, 8), 130, false));
+  ASSERT_TRUE(apply_heartbeat(m, report(1, 8), 130, false));
   EXPECT_EQ(m.state_as_of, 100) << "newer, but it isn't known by how much";
-  ASSERT_TRUE(take_report(m, report(1, 9), 132, true, 131.5));
+  ASSERT_TRUE(apply_heartbeat(m, report(1, 9), 132, true, 131.5));
   EXPECT_EQ(m.state_as_of, 131.5);
-  EXPECT_FALSE(take_report(m, report(1, 7), 140, false, 139));
+  EXPECT_FALSE(apply_heartbeat(m, report(1, 7), 140, false, 139));
   EXPECT_EQ(m.state_as_of, 131.5) << "an old copy";
 }
 
--- a/tests/scenarios/fault_scenario.cpp
+++ b/tests/scenarios/fault_scenario.cpp
@@ -77,7 +77,7 @@
     drift_ = num(w, "drift", drift_);
   } else if (verb == "workers") {
     auto w = words(in);
-    settings_.report_s = num(w, "report", 1.5);
+    settings_.heartbeat_interval_s = num(w, "report", 1.5);
     settings_.lease_s = num(w, "lease", 12);
     settings_.cancel_s = num(w, "cancel", 42);
     settings_.gang_wait_s = num(w, "gang_wait", 40);
@@ -183,8 +183,8 @@
 }
 
 void FaultScenario::set_up() {
-  if (settings_.report_s == 0)
-    settings_.report_s = 1.5, settings_.lease_s = 12, settings_.cancel_s = 42;
+  if (settings_.heartbeat_interval_s == 0)
+    settings_.heartbeat_interval_s = 1.5, settings_.lease_s = 12, settings_.cancel_s = 42;
   if (settings_.gang_wait_s == 0) settings_.gang_wait_s = 40, settings_.gang_peer_s = 6;
   settings_.state_limits = {limits_, announced_limits_};
   settings_.list_lag_s = 4, settings_.max_sockets = 600;
@@ -526,8 +526,8 @@
       complain(h.name + ", but " + std::to_string(state_->refused_for_size()) + " were");
   } else if (what == "sessions") {  // expect sessions 1 of=machines
     for (auto* m : machines(str(h.words, "of", "machines")))
-      if (std::to_string(m->session()) != h.name)
-        complain(h.name + ", but " + m->id + " is in " + std::to_string(m->session()));
+      if (std::to_string(m->agent_epoch()) != h.name)
+        complain(h.name + ", but " + m->id + " is in " + std::to_string(m->agent_epoch()));
   } else if (what == "late_starts") {
     if (std::to_string(fleet_->rules().starts_after_cancellation()) != h.name)
       complain(h.name + ", but " + std::to_string(fleet_->rules().starts_after_cancellation()));
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -128,13 +128,13 @@
         m.live.push_back(l);
       }
     } else if (verb == "report") {  // report M session=N seq=N token=N [late]
-      Report r;
+      Heartbeat r;
       r.machine = name;
-      r.session = static_cast<uint64_t>(num(w, "session", 1));
-      r.seq = static_cast<uint64_t>(num(w, "seq", 1));
+      r.agent_epoch = static_cast<uint64_t>(num(w, "session", 1));
+      r.sequence = static_cast<uint64_t>(num(w, "seq", 1));
       r.fencing_token = static_cast<uint64_t>(num(w, "token"));
       for (auto& item : list(w, "tasks")) {  // JOB/INDEX:ATTEMPT:STATE
-        TaskReport t;
+        TaskStatus t;
         auto a = item.find(':'), b = item.rfind(':');
         ASSERT_TRUE(parse_task_id(item.substr(0, a), t.task));
         t.attempt = std::stoull(item.substr(a + 1, b - a - 1));
@@ -146,10 +146,10 @@
         t.cause = state == "done" ? ExitCause::done : ExitCause::stopped;
         r.tasks.push_back(t);
       }
-      if (!take_report(machine_, r, 0, false))
-        actual_.push_back("ignored " + std::to_string(r.seq));
+      if (!apply_heartbeat(machine_, r, 0, false))
+        actual_.push_back("ignored " + std::to_string(r.sequence));
     } else if (verb == "record") {  // record TASK attempt=N [cancelled] [stop=S]
-      Expected e;
+      DesiredTask e;
       ASSERT_TRUE(parse_task_id(name, e.task));
       e.attempt = static_cast<uint64_t>(num(w, "attempt", 1));
       e.cancelled = w.contains("cancelled");
@@ -285,9 +285,9 @@
   }
   placing::Input input_;
   sizing::Input fleet_;
-  SilenceTimeout patience_;
+  DeadMachineTimeout patience_;
   Machine machine_;
-  std::vector<Expected> records_;
+  std::vector<DesiredTask> records_;
   std::vector<std::string> expected_, actual_;
 };
 
--- a/tools/fleet/controllers.cpp
+++ b/tools/fleet/controllers.cpp
@@ -106,7 +106,7 @@
                    {"zones", std::move(zones)},
                    {"clock_off_ms", 5.0},
                    {"teams", std::move(teams)},
-                   {"workers", toml::table{{"report_s", s.report_s},
+                   {"workers", toml::table{{"report_s", s.heartbeat_interval_s},
                                            {"lease_s", s.lease_s},
                                            {"cancel_s", s.cancel_s}}},
                    {"state", toml::table{{"rps", limits.requests_per_s},
--- a/tools/fleet/experiment.cpp
+++ b/tools/fleet/experiment.cpp
@@ -98,7 +98,7 @@
 
 void read_settings(PlanReader& r, const TomlTable& root, Settings& s) {
   const auto w = r.table(root, "worker");
-  s.report_s = r.number(w, "report_s", 1.5, 0.1, 60);
+  s.heartbeat_interval_s = r.number(w, "report_s", 1.5, 0.1, 60);
   s.lease_s = r.number(w, "lease_s", 12, 1, 600);
   s.cancel_s = r.number(w, "cancel_s", 42, 1, 600);
   s.gang_wait_s = s.cancel_s;
--- a/tools/fleet/site_process.cpp
+++ b/tools/fleet/site_process.cpp
@@ -144,7 +144,7 @@
     for (auto& [id, worker] : fleet_->workers()) {
       if (worker->gone) continue;
       ++up;
-      sessions_lost += worker->session() - 1;
+      sessions_lost += worker->agent_epoch() - 1;
       for (auto& [attempt, task] : worker->tasks()) tasks += simulation::on_machine(task.report);
     }
     return {{"kind", kind},
