--- a/simulation/fleet.cpp
+++ b/simulation/fleet.cpp
@@ -244,11 +244,11 @@
   // On the machine from now on: the checker counts it as well.
   t.report.state = TaskState::running;
   fleet_.rules_.starts(id, a.first, a.second);
-  if (spec.kind == Kind::gang) return wait_for_gang(a);
+  if (spec.kind == JobKind::gang) return wait_for_gang(a);
   t.progress = fleet_.saved_[a.first];
   const double run = fleet_.run_s_[a.first.job];
   t.since = world_.now();
-  if (spec.kind != Kind::service)
+  if (spec.kind != JobKind::service)
     time(t, std::max(run - t.progress, 0.01), [this](Running& r) { exit(r, ExitCause::done); });
   changed();
 }
@@ -290,7 +290,7 @@
   std::vector<Attempt> running;
   for (auto& [a, t] : tasks_) {
     auto* spec = fleet_.rules_.spec(a.first.job);
-    if (spec && spec->kind == Kind::gang && t.report.state == TaskState::running)
+    if (spec && spec->kind == JobKind::gang && t.report.state == TaskState::running)
       running.push_back(a);
   }
   for (auto& a : running) fleet_.gangs_.lost(a.first, a.second);
--- a/src/coordination/budgets/team_budgets.cpp
+++ b/src/coordination/budgets/team_budgets.cpp
@@ -20,8 +20,8 @@
 }  // namespace
 
 const std::vector<TeamBudgets::Resource> TeamBudgets::resources = {
-    {&BudgetParts::cpus, &placing::Amounts::cpus, &TeamSettings::cpus_max},
-    {&BudgetParts::gpus, &placing::Amounts::gpus, &TeamSettings::gpus_max}};
+    {&BudgetParts::cpus, &scheduling::Resources::cpus, &TeamSettings::cpus_max},
+    {&BudgetParts::gpus, &scheduling::Resources::gpus, &TeamSettings::gpus_max}};
 
 TeamBudgets::TeamBudgets(const Settings& settings, const RegionSettings* regions,
                          const RecordCache& cache)
@@ -48,9 +48,9 @@
   return it == cache_.budgets().end() ? first_record() : it->second.record;
 }
 
-placing::Amounts TeamBudgets::limit(const TeamSettings& team) const {
+scheduling::Resources TeamBudgets::limit(const TeamSettings& team) const {
   if (!divided()) return {team.cpus_max, team.gpus_max, 0};
-  placing::Amounts out;
+  scheduling::Resources out;
   const auto parts = record_of(team).parts();
   for (auto& r : resources)
     if (team.*r.limit > 0)
@@ -58,7 +58,7 @@
   return out;
 }
 
-placing::Amounts TeamBudgets::guarantee(const TeamSettings& team) const {
+scheduling::Resources TeamBudgets::guarantee(const TeamSettings& team) const {
   if (!regions_) return {team.cpus, team.gpus, 0};
   return guarantees_.at(team.name);
 }
--- a/src/coordination/budgets/team_budgets.hpp
+++ b/src/coordination/budgets/team_budgets.hpp
@@ -28,9 +28,9 @@
   bool exchanging() const { return regions_ && regions_->regions.size() > 1; }
 
   // What the team's tasks in this region may use at once; 0: no limit.
-  placing::Amounts limit(const TeamSettings& team) const;
+  scheduling::Resources limit(const TeamSettings& team) const;
   // Of the guarantee, what work in this region has.
-  placing::Amounts guarantee(const TeamSettings& team) const;
+  scheduling::Resources guarantee(const TeamSettings& team) const;
 
   // A new term begins: what was heard before still counts, what was measured doesn't.
   void begin_lease();
@@ -61,7 +61,7 @@
   // One resource of a team: where its figures are in the records of several kinds.
   struct Resource {
     uint64_t BudgetParts::*parts;
-    double placing::Amounts::*amount;
+    double scheduling::Resources::*amount;
     double TeamSettings::*limit;
   };
   static const std::vector<Resource> resources;
@@ -87,9 +87,9 @@
   const Settings& settings_;
   const RegionSettings* regions_;
   const RecordCache& cache_;
-  BudgetParts initial_;                                 // this region's, of every limit
-  std::map<std::string, placing::Amounts> guarantees_;  // its shares, by team
-  std::map<std::string, Received> received_;            // by region
+  BudgetParts initial_;                                      // this region's, of every limit
+  std::map<std::string, scheduling::Resources> guarantees_;  // its shares, by team
+  std::map<std::string, Received> received_;                 // by region
   Demands demands_;
   std::map<std::string, std::vector<RecentPeak>> peaks_;  // by team, one a resource
   double measured_at_ = never;
--- a/src/coordination/budgets/team_demand.cpp
+++ b/src/coordination/budgets/team_demand.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-placing::Amounts times(const JobSpec& spec, uint64_t tasks) {
+scheduling::Resources times(const JobSpec& spec, uint64_t tasks) {
   const auto n = static_cast<double>(tasks);
   return {spec.cpus * n, spec.gpus * n, spec.memory_gb * n};
 }
--- a/src/coordination/budgets/team_demand.hpp
+++ b/src/coordination/budgets/team_demand.hpp
@@ -9,10 +9,11 @@
 namespace damsonport::budgets {
 
 struct TeamDemand {
-  placing::Amounts used;         // by tasks that the records place on machines
-  placing::Amounts urgent_need;  // of waiting tasks of an urgent rank
-  placing::Amounts need;         // of all waiting tasks
-  placing::Amounts smallest;     // the least of each resource that one waiting task needs; 0: none
+  scheduling::Resources used;         // by tasks that the records place on machines
+  scheduling::Resources urgent_need;  // of waiting tasks of an urgent rank
+  scheduling::Resources need;         // of all waiting tasks
+  scheduling::Resources
+      smallest;  // the least of each resource that one waiting task needs; 0: none
 };
 
 using Demands = std::map<std::string, TeamDemand>;  // by team
--- a/src/coordination/catalog.cpp
+++ b/src/coordination/catalog.cpp
@@ -10,7 +10,7 @@
 constexpr double refresh_s = 120;  // only prices change
 }
 
-Task<void> Catalog::follow(std::stop_token stop_token) {
+Task<void> MachineTypeCatalog::follow(std::stop_token stop_token) {
   while (!stop_token.stop_requested()) {
     auto reply = co_await http_.request(settings_.cloud, Method::get, "/catalog", {}, 3.0);
     auto types =
@@ -30,13 +30,13 @@
   }
 }
 
-const MachineType* Catalog::type(const std::string& name) const {
+const MachineType* MachineTypeCatalog::type(const std::string& name) const {
   for (auto& t : types_)
     if (t.name == name) return &t;
   return nullptr;
 }
 
-double Catalog::dearest_price() const {
+double MachineTypeCatalog::dearest_price() const {
   double most = 0;
   for (auto& t : types_) most = std::max(most, t.price);
   return std::max(most, 1e-9);
@@ -64,7 +64,7 @@
   });
   if (!fits) return Verdict::fits_no_type;
   if (job.replicated() && job.tasks % job.parts != 0) return Verdict::indivisible;
-  double count = job.kind == Kind::batch ? 1 : job.tasks;
+  double count = job.kind == JobKind::batch ? 1 : job.tasks;
   const double cpus_here = team->cpus_max - team->cpus_elsewhere;
   const double gpus_here = team->gpus_max - team->gpus_elsewhere;
   if ((team->cpus_max > 0 && job.cpus * count > cpus_here + 1e-9) ||
--- a/src/coordination/catalog.hpp
+++ b/src/coordination/catalog.hpp
@@ -6,9 +6,9 @@
 
 namespace damsonport {
 
-class Catalog {
+class MachineTypeCatalog {
  public:
-  Catalog(Loop& loop, HttpClient& http, const Settings& settings)
+  MachineTypeCatalog(Loop& loop, HttpClient& http, const Settings& settings)
       : loop_(loop), http_(http), settings_(settings) {}
   Task<void> follow(std::stop_token stop_token);
   bool known() const { return !types_.empty(); }
--- a/src/coordination/headroom.cpp
+++ b/src/coordination/headroom.cpp
@@ -24,8 +24,8 @@
   return sum / boots_seen + spreads * std::sqrt(squares / boots_seen);
 }
 
-double wanted_spare(const Pool& pool, double spare_share, double cheap_share) {
-  const double full = pool.in_use * spare_share;
+double target_headroom(const Pool& pool, double headroom_share, double cheap_share) {
+  const double full = pool.in_use * headroom_share;
   if (pool.unit_price <= 0) return full;
   const double cheap = cheap_share * pool.fleet_price / pool.unit_price;
   return std::min(full, std::max(pool.expected, cheap));
--- a/src/coordination/headroom.hpp
+++ b/src/coordination/headroom.hpp
@@ -27,6 +27,6 @@
 
 // The spare room to keep: a share of what is in use, but no more than what is expected to arrive
 // where it costs more than a share of the fleet's price.
-double wanted_spare(const Pool& pool, double spare_share, double cheap_share);
+double target_headroom(const Pool& pool, double headroom_share, double cheap_share);
 
 }  // namespace damsonport::headroom
--- a/src/coordination/holder.cpp
+++ b/src/coordination/holder.cpp
@@ -18,12 +18,12 @@
                       contact_, machine_list_, direct_sockets(settings_)),
       gangs_(loop_, settings_, *this),
       replicas_(loop_, settings_, cache_, *this, gangs_),
-      rentals_(loop_, settings_, deps.store, cache_, deps.http, deps.incarnation),
+      scale_out_requests_(loop_, settings_, deps.store, cache_, deps.http, deps.incarnation),
       rechunker_(loop_, settings_, cache_, deps.store, deps.versions,
                  [this](Transaction transaction, std::stop_token stop_token) {
                    return commit_and_apply(std::move(transaction), std::move(stop_token));
                  }) {
-  rentals_.on_rented = [this](auto& machines, const MachineKind& kind) {
+  scale_out_requests_.on_machines_created = [this](auto& machines, const MachineKind& kind) {
     for (auto& id : machines)
       if (!machines_.contains(id) && !cache_.has_tombstone(id))
         booting_.try_emplace(id, Booting{kind.type, kind.zone, kind.spot, loop_.now()});
@@ -75,26 +75,26 @@
   to_return_.clear();
   returned_.clear();
   declared_dead_.clear();
-  lost_.clear();
+  lost_capacity_.clear();
   rechunker_.clear();
   uncommitted_starts_ = 0;
   send_queue_.clear();
   returning_.clear();
   booting_.clear();
-  rentals_.begin_lease(fencing_token_);
-  spending_.begin_lease(lease_acquired_at_);
+  scale_out_requests_.begin_lease(fencing_token_);
+  cost_account_.begin_lease(lease_acquired_at_);
   hints_.clear();
   gangs_.clear();
   replicas_.clear();
   faults_.clear();
-  place_again_ = true;
+  scheduling_requested_ = true;
   next_list_ = 0;
   // Machines that an earlier holder rented are heard first. The first one of all has none.
   const bool first_of_all = cache_.shard_table().renewals <= 1;
-  next_sizing_ = lease_acquired_at_ + (first_of_all ? 0 : 2 * settings_.heartbeat_interval_s);
+  next_scaling_at_ = lease_acquired_at_ + (first_of_all ? 0 : 2 * settings_.heartbeat_interval_s);
   deps_.budgets.begin_lease();
   budget_news_ = true;
-  reset_view();
+  reset_snapshot();
   for (auto& [id, assigned] : cache_.assignments()) machine(id);
   // Marked by an earlier holder, who may not have got round to it.
   // Those on which nothing is placed any more are returned again where the machine list names them.
@@ -105,7 +105,7 @@
     if (is_over(*job)) over_.insert(id);
     if (failed_before(*job)) faults_.suspect(id);
     replicas_.add_job(*job);
-    dirty_jobs_.insert(job.get());
+    changed_jobs_.insert(job.get());
   }
   spdlog::info("holding the grant with term {}: {} machines named in records, {} jobs",
                fencing_token_, machines_.size(), cache_.jobs().size());
@@ -125,7 +125,7 @@
   if (!own && fencing_token_ != 0) {
     spdlog::info("the grant with term {} has gone to another holder", fencing_token_);
     fencing_token_ = 0;
-    rentals_.begin_lease(0);
+    scale_out_requests_.begin_lease(0);
   }
   if (!deps_.election.is_leading()) co_return fencing_token_ != 0;
   if (own && now < next_renewal_) co_return true;
@@ -170,8 +170,8 @@
 
 void ShardLeader::job_changed(Job* job) {
   if (fencing_token_ != 0 && job) {
-    place_again_ = true;
-    dirty_jobs_.insert(job);
+    scheduling_requested_ = true;
+    changed_jobs_.insert(job);
     replicas_.add_job(*job);
     if (is_over(*job)) over_.insert(job->spec.id);
     if (is_cancelled(*job)) stop_cancelled(*job);
@@ -180,8 +180,8 @@
 }
 
 void ShardLeader::job_gone(Job* job) {
-  dirty_jobs_.erase(job);
-  job_slots_.release(job, view_.jobs);
+  changed_jobs_.erase(job);
+  job_index_.release(job, snapshot_.jobs);
   hints_.erase(job->spec.id);
   gangs_.forget_job(job->spec.id);
   replicas_.forget_job(job->spec.id);
@@ -243,12 +243,12 @@
     check_drains();
     review_gangs();
     // What changes with time alone: pauses that are over, machines in doubt.
-    if (waiting_tasks_ > 0 || !held_back_.empty()) place_again_ = true;
+    if (pending_tasks_ > 0 || !held_back_.empty()) scheduling_requested_ = true;
     if (deps_.election.is_leading()) {
       co_await return_machines(false, stop_token);
-      if (is_leading() && loop_.now() >= next_sizing_) {
-        next_sizing_ = loop_.now() + settings_.heartbeat_interval_s / 2;
-        rent(stop_token);
+      if (is_leading() && loop_.now() >= next_scaling_at_) {
+        next_scaling_at_ = loop_.now() + settings_.heartbeat_interval_s / 2;
+        scale_out(stop_token);
       }
     } else if (!overdue_.empty()) {
       // A holder whose leadership ended and whose successor is gone too, in an outage: what others
--- a/src/coordination/holder.hpp
+++ b/src/coordination/holder.hpp
@@ -42,7 +42,7 @@
     KeyValueClient& store;
     RecordCache& cache;
     HttpClient& http;
-    Catalog& catalog;
+    MachineTypeCatalog& catalog;
     PeerNetwork& peer_network;
     const CancellationGossip& cancellations;
     Election& election;
@@ -69,7 +69,7 @@
   uint64_t fencing_token() const { return is_leading() ? fencing_token_ : 0; }
   // Messages to workers that may be under way at once.
   static int direct_sockets(const Settings& s) { return std::max(8, s.max_sockets / 16); }
-  uint64_t waiting_tasks() const { return waiting_tasks_; }
+  uint64_t pending_tasks() const { return pending_tasks_; }
   // Machines that report, or are named by the records.
   size_t fleet_size() const {
     return is_leading() ? machines_.size() : cache_.assignments().size();
@@ -138,10 +138,10 @@
   Task<bool> commit_exits(std::stop_token stop_token);
   Task<bool> commit_finals(std::stop_token stop_token);
   Task<bool> commit_starts(std::stop_token stop_token);
-  void dispatch_preemptions(const placing::Decisions& decided);
-  void note_unplaced(const placing::Decisions& decided);
+  void dispatch_preemptions(const scheduling::Decisions& decided);
+  void note_unschedulable(const scheduling::Decisions& decided);
   DecidedStart by_name(size_t job, size_t machine) const;
-  DecidedGang gang_by_name(const placing::GangStart& decided) const;
+  DecidedGang gang_by_name(const scheduling::GangPlacement& decided) const;
   Task<bool> commit_gang_starts(std::vector<DecidedGang> gangs, std::stop_token stop_token);
   Task<bool> commit_gang_start(const DecidedGang& gang, std::stop_token stop_token);
   Task<bool> commit_single_starts(std::vector<DecidedStart> decided, std::stop_token stop_token);
@@ -181,10 +181,10 @@
   void stop_task(const PlacedTask& task, double grace_s);
 
   // --- what placement sees (holder_view.cpp)
-  void reset_view();
-  void refresh_view();
+  void reset_snapshot();
+  void refresh_snapshot();
   void refresh_job(Job& job);
-  void describe_job(const JobSpec& spec, placing::JobView& view);
+  void describe_job(const JobSpec& spec, scheduling::JobSnapshot& view);
   uint32_t startable_tasks(const Job& job, uint32_t gang);
   void refresh_machine(Machine& m);
   void forget_machine(const std::string& id);
@@ -226,10 +226,10 @@
   bool is_suspected(const Machine& m) const;  // too silent for new tasks
   double suspect_after_s() const;
   double dead_after_s() const;
-  placing::Amounts total_of(const Machine& m) const;
+  scheduling::Resources total_of(const Machine& m) const;
   // Enough for a task that saves, with some room for the message; 0 for one that never does.
   double stop_grace(const JobSpec& s) const;
-  placing::Amounts free_of(const Machine& m) const;
+  scheduling::Resources free_of(const Machine& m) const;
 
   // --- orders (holder_orders.cpp)
   void dispatch(Machine& m, Command command);
@@ -258,12 +258,12 @@
   // Keeps those that must go without a mark, in an outage; false: none.
   bool return_without_tombstone(std::vector<std::string>& machines);
   Task<bool> ask_return(std::vector<std::string> ask);
-  void rent(const std::stop_token& stop_token);
-  sizing::Input sizing_input() const;
-  void expect_arrivals(sizing::Input& in) const;
+  void scale_out(const std::stop_token& stop_token);
+  autoscaling::AutoscalerInput autoscaler_input() const;
+  void expect_arrivals(autoscaling::AutoscalerInput& in) const;
   uint64_t team_limit(const JobSpec& spec) const;
   void drain(Machine& m, const std::string& why);
-  void want_return(const std::string& id, const std::string& why);
+  void request_scale_in(const std::string& id, const std::string& why);
 
   Dependencies deps_;
   Loop& loop_;
@@ -300,36 +300,37 @@
   std::map<TaskId, Stopping> stopping_;
   std::set<std::string> cancelled_;               // jobs, whose tasks may still be there
   std::map<std::string, std::string> to_return_;  // machine -> why
-  std::vector<sizing::Offer> lost_;               // kinds of machines given up, to be replaced
-  std::set<std::string> declared_dead_;           // to be returned for their silence alone
-  std::set<std::string> overdue_;                 // to be returned with a cancelled task on them
-  std::set<std::string> awaiting_tombstone_;      // returned in an outage, to be marked after it
-  std::set<std::string> returned_;                // the cloud has confirmed it
+  std::vector<autoscaling::InstanceOffer>
+      lost_capacity_;                         // kinds of machines given up, to be replaced
+  std::set<std::string> declared_dead_;       // to be returned for their silence alone
+  std::set<std::string> overdue_;             // to be returned with a cancelled task on them
+  std::set<std::string> awaiting_tombstone_;  // returned in an outage, to be marked after it
+  std::set<std::string> returned_;            // the cloud has confirmed it
   std::set<std::string> returning_;
   std::map<std::string, Booting> booting_;
-  Rentals rentals_;
+  ScaleOutRequests scale_out_requests_;
   Rechunker rechunker_;
-  SpendingAccount spending_;
+  CostAccount cost_account_;
   std::deque<std::string> send_queue_;  // machines with orders
   std::set<std::string> probing_;
   int sends_ = 0;
-  std::vector<sizing::Demand> unplaced_;
-  uint64_t waiting_tasks_ = 0;
+  std::vector<autoscaling::ResourceDemand> unschedulable_;
+  uint64_t pending_tasks_ = 0;
   size_t uncommitted_starts_ = 0;  // jobs whose starts the last pass decided and put off
   bool budget_news_ = false, unmet_told_ = false;
   double next_budgets_ = 0;
-  double next_list_ = 0, next_sizing_ = 0;
-  bool place_again_ = true;
-  double next_place_ = 0;
-  double last_pass_s_ = 0;  // how long the last pass of placement took
+  double next_list_ = 0, next_scaling_at_ = 0;
+  bool scheduling_requested_ = true;
+  double next_cycle_at_ = 0;
+  double last_cycle_s_ = 0;  // how long the last pass of placement took
 
   // Kept from pass to pass; only what changed is made anew. Nobody marks what passes with time
   // alone: silence and pauses are looked at in each pass.
-  placing::Input view_;
-  JobSlots job_slots_;
+  scheduling::SchedulerSnapshot snapshot_;
+  SnapshotIndex job_index_;
   std::vector<size_t> free_machine_slots_;
-  std::unordered_set<Job*> dirty_jobs_;
-  std::unordered_set<std::string> dirty_machines_;
+  std::unordered_set<Job*> changed_jobs_;
+  std::unordered_set<std::string> changed_machines_;
   std::set<std::string> held_back_;  // jobs that pause after errors
   std::set<std::string> over_;       // jobs whose end may be committed
 };
--- a/src/coordination/holder_budgets.cpp
+++ b/src/coordination/holder_budgets.cpp
@@ -30,7 +30,7 @@
   }
   transaction.preconditions[keys::shard_table] = cache_.shard_table_version();
   spdlog::debug("budgets of {} teams change", transaction.writes.size());
-  if (co_await commit_and_apply(std::move(transaction), stop_token)) place_again_ = true;
+  if (co_await commit_and_apply(std::move(transaction), stop_token)) scheduling_requested_ = true;
   budget_news_ = true;  // more may be due
   deps_.regions.wake();
   co_return true;
--- a/src/coordination/holder_cancelled.cpp
+++ b/src/coordination/holder_cancelled.cpp
@@ -20,7 +20,7 @@
 void ShardLeader::cancelled_elsewhere(const std::string& id) {
   Job* job = cache_.job(id);
   if (fencing_token_ == 0 || !job) return;
-  dirty_jobs_.insert(job);
+  changed_jobs_.insert(job);
   stop_cancelled(*job);
   deps_.changed.notify();
 }
@@ -66,7 +66,7 @@
       if (exits_.contains(task.name) || has_released(task.machine, task.name, task.attempt))
         continue;
       overdue_.insert(task.machine);
-      want_return(task.machine, "it keeps a task of cancelled " + id);
+      request_scale_in(task.machine, "it keeps a task of cancelled " + id);
     }
   }
 }
--- a/src/coordination/holder_cloud.cpp
+++ b/src/coordination/holder_cloud.cpp
@@ -49,7 +49,7 @@
     return;
   }
   if (listed.state == "failed") {
-    want_return(listed.id, "it failed");
+    request_scale_in(listed.id, "it failed");
   } else if (listed.state == "starting") {
     note_starting(listed);
   } else if (listed.state == "running") {
@@ -74,7 +74,7 @@
   if (machines_.contains(listed.id) && machines_.at(listed.id).agent_epoch != 0) {
     booting_.erase(b);
   } else if (now - b->second.since > boot_s * never_boots) {
-    want_return(listed.id, "it does not boot");
+    request_scale_in(listed.id, "it does not boot");
   }
 }
 
@@ -84,12 +84,12 @@
   m.drain_why = why;
   m.draining = true;
   mark_changed(m.id);
-  place_again_ = true;
+  scheduling_requested_ = true;
 }
 
 // Marked in the state service before the return is asked for, and never used again: a return may
 // be carried out late.
-void ShardLeader::want_return(const std::string& id, const std::string& why) {
+void ShardLeader::request_scale_in(const std::string& id, const std::string& why) {
   if (returned_.contains(id) || !to_return_.try_emplace(id, why).second) return;
   mark_changed(id);
   spdlog::info("returning {}: {}", id, why);
@@ -110,7 +110,7 @@
     if (cache_.has_tombstone(id) || to_return_.contains(id)) continue;
     double silent_s = since_last_heartbeat_s(m);
     if (!is_suspected(m)) continue;
-    place_again_ = true;
+    scheduling_requested_ = true;
     start_probe(id);
     double direct = loop_.now() - std::max(m.last_direct, liveness_base_);
     double limit = patience;
@@ -121,7 +121,7 @@
                    ? report * 2
                    : worker_retry_s * (1 + deps_.peer_network.silent_peers());
     if (silent_s > limit && direct > dead_after) {
-      want_return(id, "silent for " + std::to_string(static_cast<int>(silent_s)) + " s");
+      request_scale_in(id, "silent for " + std::to_string(static_cast<int>(silent_s)) + " s");
       declared_dead_.insert(id);
     }
   }
@@ -158,9 +158,9 @@
     const bool in_dispute = m.failing_since > 0 && now - m.failing_since < settings_.lease_s;
     const bool empty = cache_.assigned(id).empty() && m.tasks.empty() && m.agent_epoch != 0;
     if (m.draining && empty && !in_dispute)
-      want_return(id, "empty and drained (" + m.drain_why + ")");
+      request_scale_in(id, "empty and drained (" + m.drain_why + ")");
     // Its answers don't reach it: sessions end though we answer every report.
-    if (m.failed_sends >= 3 && m.lost_epochs >= 1) want_return(id, "it can't be answered");
+    if (m.failed_sends >= 3 && m.lost_epochs >= 1) request_scale_in(id, "it can't be answered");
   }
 }
 
@@ -189,7 +189,7 @@
       drain(m, "straggler, replaced by " + other->id);
       break;
     }
-    if (!m.draining && (rentals_.refused({m.type, m.zone, m.spot}) ||
+    if (!m.draining && (scale_out_requests_.refused({m.type, m.zone, m.spot}) ||
                         now - m.replacing_since > slow_boot * (type ? type->boot_s : 0)))
       drain(m, "straggler, no replacement to be had");
   }
@@ -254,7 +254,8 @@
   transaction.preconditions[key] = 0;
   transaction.writes.push_back({key, {{"machines", std::move(machines)}}, 0});
   auto writes = transaction.writes;
-  auto reply = co_await deps_.store.compare_and_swap(std::move(transaction), Importance::placing);
+  auto reply =
+      co_await deps_.store.compare_and_swap(std::move(transaction), Importance::scheduling);
   if (reply.outcome != TransactionOutcome::committed) co_return false;
   cache_.apply_writes(writes, reply.revision);
   co_return true;
@@ -272,11 +273,11 @@
   for (auto& id : ask) {
     // The cloud has room for its like again: no pause after an earlier refusal stands against it.
     if (auto m = machines_.find(id); m != machines_.end() && !m->second.type.empty()) {
-      rentals_.forget_refusal({m->second.type, m->second.zone, m->second.spot});
+      scale_out_requests_.forget_refusal({m->second.type, m->second.zone, m->second.spot});
       // What ran on it shows as demand only when its exits are committed, and boots take longer
       // still.
       if (declared_dead_.contains(id))
-        lost_.push_back({m->second.type, m->second.zone, m->second.spot, false});
+        lost_capacity_.push_back({m->second.type, m->second.zone, m->second.spot, false});
     }
     to_return_.erase(id);
     overdue_.erase(id);
@@ -297,7 +298,7 @@
 uint64_t ShardLeader::team_limit(const JobSpec& spec) const {
   auto* team = settings_.team(spec.team);
   double n = 1e6;
-  const auto limit = team ? deps_.budgets.limit(*team) : placing::Amounts{};
+  const auto limit = team ? deps_.budgets.limit(*team) : scheduling::Resources{};
   if (limit.cpus > 0 && spec.cpus > 0) n = std::min(n, limit.cpus / spec.cpus);
   if (limit.gpus > 0 && spec.gpus > 0) n = std::min(n, limit.gpus / spec.gpus);
   return static_cast<uint64_t>(n + 1e-6);
@@ -311,7 +312,7 @@
 }
 
 // From the jobs that are known: a new holder expects what the last one did.
-void ShardLeader::expect_arrivals(sizing::Input& in) const {
+void ShardLeader::expect_arrivals(autoscaling::AutoscalerInput& in) const {
   double gpu_boot_s = 0, cpu_boot_s = 0;
   for (auto& t : in.types) {
     double& boot_s = t.gpus > 0 ? gpu_boot_s : cpu_boot_s;
@@ -332,23 +333,23 @@
   in.expected_cpus = headroom::expected_arrivals(cpus, cpu_boot_s, tuning_.arrival_spreads);
 }
 
-sizing::Input ShardLeader::sizing_input() const {
-  sizing::Input in;
+autoscaling::AutoscalerInput ShardLeader::autoscaler_input() const {
+  autoscaling::AutoscalerInput in;
   const double now = loop_.now();
   in.types = deps_.catalog.types();
-  in.spare_share = tuning_.spare_share;
-  in.cheap_share = tuning_.cheap_spare_share;
+  in.headroom_share = tuning_.headroom_share;
+  in.cheap_share = tuning_.cheap_headroom_share;
   in.idle_replacements = tuning_.idle_replacements;
-  in.demand = unplaced_;
+  in.demand = unschedulable_;
   expect_arrivals(in);
   for (auto& [id, job] : cache_.jobs()) {
     auto& spec = job->spec;
     if (job->cancelled || faults_.is_job_faulty(id)) continue;
     const auto tasks =
         static_cast<uint32_t>(std::min<uint64_t>(spec.tasks - job->done, team_limit(spec)));
-    (spec.gpus > 0 ? in.gpu_work : in.cpu_work) += need_of(spec) * tasks;
+    (spec.gpus > 0 ? in.gpu_work : in.cpu_work) += resources_per_task(spec) * tasks;
     if (spec.spot) {
-      in.spot_work.push_back({need_of(spec), tasks, spec.types, spec.zone, true});
+      in.spot_work.push_back({resources_per_task(spec), tasks, spec.types, spec.zone, true});
       continue;
     }
     in.largest_gpus = std::max(in.largest_gpus, spec.gpus);
@@ -357,15 +358,15 @@
     for (auto& zone : t.zones)
       for (bool spot : {false, true}) {
         const MachineKind kind{t.name, zone, spot};
-        sizing::Offer offer{t.name, zone, spot};
-        offer.refused = rentals_.refused(kind);
-        offer.scarce = rentals_.scarce(kind, scarce_leases * settings_.lease_s);
-        offer.under_way = rentals_.under_way(kind);
+        autoscaling::InstanceOffer offer{t.name, zone, spot};
+        offer.refused = scale_out_requests_.refused(kind);
+        offer.scarce = scale_out_requests_.scarce(kind, scarce_leases * settings_.lease_s);
+        offer.under_way = scale_out_requests_.under_way(kind);
         in.offers.push_back(offer);
       }
   for (auto& [id, m] : machines_) {
     if (cache_.has_tombstone(id) || to_return_.contains(id) || m.type.empty()) continue;
-    sizing::MachineState s;
+    autoscaling::MachineState s;
     s.id = id;
     s.type = m.type;
     s.zone = m.zone;
@@ -385,14 +386,14 @@
       if (!spec.spot) {
         in.machines.back().has_fixed_work = true;
       } else if (spec.checkpoint_s > 0) {
-        in.machines.back().yielding += need_of(spec);
+        in.machines.back().yielding += resources_per_task(spec);
       }
     }
   }
   for (auto& [id, b] : booting_) {
     auto* t = coming_type(id, b);
     if (!t) continue;
-    sizing::MachineState s;
+    autoscaling::MachineState s;
     s.id = id;
     s.type = b.type;
     s.zone = b.zone;
@@ -404,27 +405,28 @@
   return in;
 }
 
-void ShardLeader::rent(const std::stop_token& stop_token) {
-  rentals_.resume(stop_token);
-  auto input = sizing_input();
-  spending_.charge(input.machines, input.types, loop_.now());
-  if (auto line = spending_.report(loop_.now(), settings_.lease_s)) spdlog::info("{}", *line);
+void ShardLeader::scale_out(const std::stop_token& stop_token) {
+  scale_out_requests_.resume(stop_token);
+  auto input = autoscaler_input();
+  cost_account_.charge(input.machines, input.types, loop_.now());
+  if (auto line = cost_account_.report(loop_.now(), settings_.lease_s)) spdlog::info("{}", *line);
   for (auto& [id, m] : machines_) {
     const bool wanted = m.replacing_since > 0 && !m.draining && !m.replacement_asked;
-    if (!wanted || rentals_.under_way({m.type, m.zone, m.spot})) continue;
+    if (!wanted || scale_out_requests_.under_way({m.type, m.zone, m.spot})) continue;
     m.replacement_asked = true;
     input.replacements.push_back({m.type, m.zone, m.spot, false});
   }
-  std::erase_if(lost_, [&](auto& kind) {
-    if (rentals_.under_way({kind.type, kind.zone, kind.spot})) return false;
+  std::erase_if(lost_capacity_, [&](auto& kind) {
+    if (scale_out_requests_.under_way({kind.type, kind.zone, kind.spot})) return false;
     input.replacements.push_back(kind);
     return true;
   });
-  auto plan = sizing::plan(input);
-  for (auto& id : plan.give_back) want_return(id, "idle");
-  for (auto& r : plan.rent) {
+  auto plan = autoscaling::plan(input);
+  for (auto& id : plan.scale_in) request_scale_in(id, "idle");
+  for (auto& r : plan.scale_out) {
     const MachineKind kind{r.type, r.zone, r.spot};
-    if (!rentals_.under_way(kind)) rentals_.rent(kind, r.count, stop_token);
+    if (!scale_out_requests_.under_way(kind))
+      scale_out_requests_.scale_out(kind, r.count, stop_token);
   }
 }
 
--- a/src/coordination/holder_commit.cpp
+++ b/src/coordination/holder_commit.cpp
@@ -18,7 +18,7 @@
 
 Task<void> ShardLeader::reread(std::vector<std::string> failed) {
   for (auto& key : failed) {
-    auto read = co_await deps_.store.get(key, Importance::placing);
+    auto read = co_await deps_.store.get(key, Importance::scheduling);
     // Also that it is absent: a copy that came back from the dead must not be built on again.
     if (read.ok && read.key_value.version) cache_.apply(read.key_value);
   }
@@ -30,13 +30,13 @@
                                          bool starts, std::function<void()> committed) {
   auto writes = transaction.writes;
   auto reply = co_await deps_.store.commit_until_resolved(std::move(transaction),
-                                                          Importance::placing, stop_token);
+                                                          Importance::scheduling, stop_token);
   if (reply.outcome == TransactionOutcome::committed) {
     if (committed) committed();
-    const bool again = place_again_;
+    const bool again = scheduling_requested_;
     cache_.apply_writes(writes, reply.revision);
     // The pass that decided the starts has counted them: they are no reason for another one.
-    if (starts) place_again_ = again;
+    if (starts) scheduling_requested_ = again;
     co_return true;
   }
   if (reply.outcome == TransactionOutcome::conflict) {
@@ -74,7 +74,7 @@
 // Jobs of several records, gangs and cancelled ones are ended by commit_finals().
 bool ShardLeader::ends_with(const Job& job, const TaskChunk& record,
                             const PendingExit& exit) const {
-  if (exit.cause != ExitCause::done || job.spec.kind == Kind::gang || is_cancelled(job))
+  if (exit.cause != ExitCause::done || job.spec.kind == JobKind::gang || is_cancelled(job))
     return false;
   // Complete up to the job's last change: no start before a cancellation is unknown to us.
   if (cache_.revision() < job.version) return false;
@@ -137,7 +137,7 @@
       spdlog::info("job {} is done", name.job);
     }
     finish_exits(taken);
-    place_again_ = true;
+    scheduling_requested_ = true;
   }
   co_return true;
 }
@@ -194,21 +194,22 @@
 
 Task<bool> ShardLeader::commit_starts(std::stop_token stop_token) {
   const double now = loop_.now();
-  if (!records_current() || !deps_.catalog.known() || !place_again_ || now < next_place_)
+  if (!records_current() || !deps_.catalog.known() || !scheduling_requested_ ||
+      now < next_cycle_at_)
     co_return false;
   uncommitted_starts_ = 0;
   // One pass serves all that came meanwhile; passes are spaced so that bursts share them.
-  next_place_ = now + std::min(0.05, settings_.heartbeat_interval_s / 30);
-  place_again_ = false;
+  next_cycle_at_ = now + std::min(0.05, settings_.heartbeat_interval_s / 30);
+  scheduling_requested_ = false;
 
-  refresh_view();
-  const auto decided = placing::place(view_);
-  note_unplaced(decided);
+  refresh_snapshot();
+  const auto decided = scheduling::place(snapshot_);
+  note_unschedulable(decided);
   dispatch_preemptions(decided);
   // A pass over a large fleet that a new holder hears for the first time takes long: half of the
   // time is left to reports and users.
-  last_pass_s_ = loop_.now() - now;
-  next_place_ = std::max(next_place_, now + 2 * last_pass_s_);
+  last_cycle_s_ = loop_.now() - now;
+  next_cycle_at_ = std::max(next_cycle_at_, now + 2 * last_cycle_s_);
 
   // By name from here on: places in the view are used anew while the commits are under way.
   std::vector<DecidedStart> singles;
@@ -220,32 +221,32 @@
   co_return any;
 }
 
-void ShardLeader::note_unplaced(const placing::Decisions& decided) {
-  unplaced_.clear();
-  waiting_tasks_ = 0;
-  for (auto& u : decided.unplaced) {
-    waiting_tasks_ += u.count;
+void ShardLeader::note_unschedulable(const scheduling::Decisions& decided) {
+  unschedulable_.clear();
+  pending_tasks_ = 0;
+  for (auto& u : decided.unschedulable) {
+    pending_tasks_ += u.count;
     if (u.room_coming) continue;
-    auto& s = job_slots_.owner(u.job).job->spec;
-    sizing::Demand demand{need_of(s), u.missing, s.types, s.zone, s.spot};
+    auto& s = job_index_.owner(u.job).job->spec;
+    autoscaling::ResourceDemand demand{resources_per_task(s), u.missing, s.types, s.zone, s.spot};
     if (s.gang_size() > 0) {
       demand.gang = true;
       demand.one_zone = u.one_zone;
       demand.distinct_machines = s.distinct_machines;
       for (auto& zone : settings_.zones)
-        if (u.zone != 0 && view_.zones.id(zone) == u.zone) demand.zone = zone;
+        if (u.zone != 0 && snapshot_.zones.id(zone) == u.zone) demand.zone = zone;
       spdlog::debug("no room for {} of {} tasks of a gang of {}{}", u.missing, u.count, s.id,
                     demand.zone.empty() ? "" : " in " + demand.zone);
     }
-    unplaced_.push_back(std::move(demand));
+    unschedulable_.push_back(std::move(demand));
   }
 }
 
-void ShardLeader::dispatch_preemptions(const placing::Decisions& decided) {
+void ShardLeader::dispatch_preemptions(const scheduling::Decisions& decided) {
   for (auto& s : decided.stops) {
-    auto& live = view_.machines[s.machine].live[s.live];
-    const std::string& machine_id = view_.machines[s.machine].id;
-    const TaskId name{job_slots_.owner(live.job).job->spec.id, live.index};
+    auto& live = snapshot_.machines[s.machine].live[s.live];
+    const std::string& machine_id = snapshot_.machines[s.machine].id;
+    const TaskId name{job_index_.owner(live.job).job->spec.id, live.index};
     spdlog::info("stopping {} attempt {} on {} to make room", name.text(), live.attempt,
                  machine_id);
     stop_task({name, live.attempt, machine_id}, s.grace_s);
@@ -253,13 +254,13 @@
 }
 
 DecidedStart ShardLeader::by_name(size_t job, size_t machine) const {
-  auto& m = view_.machines[machine];
-  auto& j = view_.jobs[job];
-  return {j.id, m.id, placing::holds(m, j.image)};
+  auto& m = snapshot_.machines[machine];
+  auto& j = snapshot_.jobs[job];
+  return {j.id, m.id, scheduling::holds(m, j.image)};
 }
 
-DecidedGang ShardLeader::gang_by_name(const placing::GangStart& decided) const {
-  const auto& owner = job_slots_.owner(decided.job);
+DecidedGang ShardLeader::gang_by_name(const scheduling::GangPlacement& decided) const {
+  const auto& owner = job_index_.owner(decided.job);
   DecidedGang gang{gang_range(owner.job->spec, owner.gang), {}};
   for (size_t machine : decided.machines) gang.starts.push_back(by_name(decided.job, machine));
   return gang;
@@ -299,7 +300,7 @@
 
 // What a long pass has decided is committed for as long as it took, rather than decided again.
 double ShardLeader::starts_may_take_s() const {
-  return std::max(settings_.heartbeat_interval_s * starts_share, last_pass_s_);
+  return std::max(settings_.heartbeat_interval_s * starts_share, last_cycle_s_);
 }
 
 Task<bool> ShardLeader::commit_gang_starts(std::vector<DecidedGang> gangs,
@@ -308,10 +309,10 @@
   for (auto& gang : gangs) {
     if (!is_leading()) break;
     if (loop_.now() - begun > starts_may_take_s()) {
-      place_again_ = true;
+      scheduling_requested_ = true;
       break;
     }
-    if (!co_await commit_gang_start(gang, stop_token)) place_again_ = true;
+    if (!co_await commit_gang_start(gang, stop_token)) scheduling_requested_ = true;
   }
   co_return !gangs.empty();
 }
@@ -324,7 +325,7 @@
   while (next < planned.size() && is_leading()) {
     // A long run of starts must not hold up renewals, exits and what became more urgent meanwhile.
     if (loop_.now() - begun > starts_may_take_s()) {
-      place_again_ = true;
+      scheduling_requested_ = true;
       std::set<std::string> jobs;
       for (size_t left = next; left < planned.size(); ++left) jobs.insert(planned[left].job);
       uncommitted_starts_ = jobs.size();
@@ -349,7 +350,7 @@
     if (started.empty()) break;
     any = true;
     if (!co_await commit_and_apply(edits.finish(), stop_token, true)) {
-      place_again_ = true;
+      scheduling_requested_ = true;
       break;
     }
     dispatch_starts(started);
--- a/src/coordination/holder_gangs.cpp
+++ b/src/coordination/holder_gangs.cpp
@@ -45,9 +45,9 @@
     if (job->live == 0) continue;
     const uint32_t count = gang_count(job->spec);
     for (uint32_t n = 0; n < count; ++n) review_gang(*job, gang_range(job->spec, n));
-    if (count > 0 && job->unstarted() > 0) dirty_jobs_.insert(job.get());
+    if (count > 0 && job->unstarted() > 0) changed_jobs_.insert(job.get());
   }
-  if (replicas_.review()) place_again_ = true;
+  if (replicas_.review()) scheduling_requested_ = true;
   for (auto& machine : replicas_.machines_to_ask()) start_probe(machine);
   for (auto& move : replicas_.take_moves()) stop_gang(*move.job, move.parts, 0);
 }
@@ -69,7 +69,7 @@
     exits_[task] = std::move(exit);
     return;
   }
-  const bool is_gang = job->spec.kind == Kind::gang;
+  const bool is_gang = job->spec.kind == JobKind::gang;
   // Its machine was lost before it could say so.
   if (is_gang && job->done > 0) exit.cause = ExitCause::done;
   const auto [attempt, cause, machine] = exit;
--- a/src/coordination/holder_machines.cpp
+++ b/src/coordination/holder_machines.cpp
@@ -22,9 +22,9 @@
   return it->second;
 }
 
-placing::Amounts ShardLeader::total_of(const Machine& m) const {
+scheduling::Resources ShardLeader::total_of(const Machine& m) const {
   auto* t = deps_.catalog.type(m.type);
-  return t ? placing::Amounts{t->cpus, t->gpus, t->memory_gb} : placing::Amounts{};
+  return t ? scheduling::Resources{t->cpus, t->gpus, t->memory_gb} : scheduling::Resources{};
 }
 
 double ShardLeader::stop_grace(const JobSpec& s) const {
@@ -32,7 +32,7 @@
 }
 
 // Everything that is or may be there counts: what the records place, and whatever else is reported.
-placing::Amounts ShardLeader::free_of(const Machine& m) const {
+scheduling::Resources ShardLeader::free_of(const Machine& m) const {
   auto room = total_of(m);
   auto take = [&](const JobSpec& s) { room -= {s.cpus, s.gpus, s.memory_gb}; };
   auto& assigned = cache_.assigned(m.id);
@@ -113,7 +113,7 @@
 }
 
 void ShardLeader::mark_changed(const std::string& machine) {
-  dirty_machines_.insert(machine);
+  changed_machines_.insert(machine);
   deduplicator_.forget(machine);
 }
 
@@ -122,7 +122,7 @@
   // Notices grow shorter, and a gang's tasks are followed from report to report.
   const bool any_gang = std::any_of(m.tasks.begin(), m.tasks.end(), [&](auto& task) {
     const Job* job = cache_.job(task.first.job);
-    return !job || job->spec.kind == Kind::gang;
+    return !job || job->spec.kind == JobKind::gang;
   });
   return outcome.agrees && r.tasks.size() == m.tasks.size() && !r.notice_s && !any_gang &&
          deps_.catalog.type(m.type);
@@ -143,7 +143,7 @@
   if (epoch_before != 0 && epoch_before != m.agent_epoch)
     spdlog::info("{} began session {}: what ran there is gone", m.id, m.agent_epoch);
   if (epoch_before == 0) {
-    place_again_ = true;
+    scheduling_requested_ = true;
     recall_images(m);
   }
   note_states(m);
@@ -216,7 +216,7 @@
       continue;
     }
     const bool ran = t.state == TaskState::running || t.state == TaskState::saving;
-    if (ran && s.kind == Kind::gang) gangs_.note_ran(*job, gang_range(s, 0), t.attempt);
+    if (ran && s.kind == JobKind::gang) gangs_.note_ran(*job, gang_range(s, 0), t.attempt);
     if (t.state == TaskState::running) note_running(m, name, t.attempt);
   }
   if (!m.tasks.empty()) m.idle_since = now;
@@ -282,7 +282,7 @@
       faults_.worked(task.job, m.id, seen.running_at);
       if (!seen.image_cached || seen.ordered_at == 0) break;
       // A gang's tasks all take the time of its slowest machine: their median says nothing of any.
-      if (job->spec.kind == Kind::gang) break;
+      if (job->spec.kind == JobKind::gang) break;
       double run = std::max(now - seen.ordered_at, settings_.heartbeat_interval_s);
       auto fraction = hints.run_times.add(run, tuning_.straggler_min_successes);
       if (fraction && fold(m.straggler, *fraction, tuning_)) {
--- a/src/coordination/holder_view.cpp
+++ b/src/coordination/holder_view.cpp
@@ -6,46 +6,46 @@
 
 namespace damsonport {
 
-void ShardLeader::reset_view() {
-  view_ = {};
-  view_.guarantee_within_s = settings_.guarantee_within();
-  view_.gang_hold_after_s = settings_.gang_wait_s * tuning_.gang_hold_after_share;
-  view_.gang_hold_for_s = settings_.gang_wait_s * tuning_.gang_hold_for_share;
+void ShardLeader::reset_snapshot() {
+  snapshot_ = {};
+  snapshot_.guarantee_within_s = settings_.guarantee_within();
+  snapshot_.gang_hold_after_s = settings_.gang_wait_s * tuning_.gang_hold_after_share;
+  snapshot_.gang_hold_for_s = settings_.gang_wait_s * tuning_.gang_hold_for_share;
   for (auto& t : settings_.teams)
-    view_.teams.push_back({t.name, deps_.budgets.guarantee(t), deps_.budgets.limit(t)});
-  job_slots_.clear();
+    snapshot_.teams.push_back({t.name, deps_.budgets.guarantee(t), deps_.budgets.limit(t)});
+  job_index_.clear();
   free_machine_slots_.clear();
-  dirty_jobs_.clear();
-  dirty_machines_.clear();
+  changed_jobs_.clear();
+  changed_machines_.clear();
   held_back_.clear();
   over_.clear();
 }
 
 // What doesn't change as long as the job is there.
-void ShardLeader::describe_job(const JobSpec& s, placing::JobView& v) {
+void ShardLeader::describe_job(const JobSpec& s, scheduling::JobSnapshot& v) {
   v.id = s.id;
-  for (size_t t = 0; t < view_.teams.size(); ++t)
-    if (view_.teams[t].name == s.team) v.team = t;
-  v.image = view_.images.id(s.image);
+  for (size_t t = 0; t < snapshot_.teams.size(); ++t)
+    if (snapshot_.teams[t].name == s.team) v.team = t;
+  v.image = snapshot_.images.id(s.image);
   v.image_gb = s.image_gb;
-  v.service = s.kind == Kind::service;
+  v.service = s.kind == JobKind::service;
   v.gang = s.gang_size() > 0;
   v.replica = s.replicated();
   // Also zones of which no machine was heard yet.
   if (v.replica)
-    for (auto& zone : settings_.zones) view_.zones.id(zone);
+    for (auto& zone : settings_.zones) snapshot_.zones.id(zone);
   v.distinct_machines = s.distinct_machines;
   v.priority = static_cast<int>(s.priority);
   v.need = {s.cpus, s.gpus, s.memory_gb};
-  for (auto& type : s.types) v.types.push_back(view_.types.id(type));
-  v.zone = view_.zones.id(s.zone);
+  for (auto& type : s.types) v.types.push_back(snapshot_.types.id(type));
+  v.zone = snapshot_.zones.id(s.zone);
   v.one_zone = s.one_zone;
   v.spread = s.spread;
   v.spot = s.spot;
   v.tasks = s.tasks;
   v.accepted_at = s.accepted_at;
   v.due_at = s.deadline_s >= 0 ? s.accepted_at + s.deadline_s : 0;
-  v.start_within_s = settings_.start_within(s.cls);
+  v.start_within_s = settings_.start_within(s.job_class);
   v.estimate_s = s.estimate_s;
   v.checkpoint_s = s.checkpoint_s;
   v.grace_s = stop_grace(s);
@@ -61,7 +61,7 @@
 
 void ShardLeader::refresh_job(Job& job) {
   bool fresh = false;
-  const auto& slots = job_slots_.take(job, view_.jobs, fresh);
+  const auto& slots = job_index_.take(job, snapshot_.jobs, fresh);
   auto& s = job.spec;
   const bool cancelled = is_cancelled(job);
   auto hint = hints_.find(s.id);
@@ -70,7 +70,7 @@
   // Looked at again until it works.
   if (held_back || faulty) held_back_.insert(s.id);
   for (uint32_t n = 0; n < slots.size(); ++n) {
-    auto& v = view_.jobs[slots[n]];
+    auto& v = snapshot_.jobs[slots[n]];
     if (fresh) {
       describe_job(s, v);
       v.replica_number = n;
@@ -93,12 +93,12 @@
 
 void ShardLeader::refresh_machine(Machine& m) {
   if (!m.slot) {
-    m.slot = take_slot(free_machine_slots_, view_.machines);
-    view_.machines[*m.slot].id = m.id;
+    m.slot = take_slot(free_machine_slots_, snapshot_.machines);
+    snapshot_.machines[*m.slot].id = m.id;
   }
-  auto& v = view_.machines[*m.slot];
-  v.type = view_.types.id(m.type);
-  v.zone = view_.zones.id(m.zone);
+  auto& v = snapshot_.machines[*m.slot];
+  v.type = snapshot_.types.id(m.type);
+  v.zone = snapshot_.zones.id(m.zone);
   v.spot = m.spot;
   v.total = total_of(m);
   v.free = free_of(m);
@@ -109,15 +109,15 @@
     v.price_share = (m.spot ? type->spot_price : type->price) / deps_.catalog.dearest_price();
   }
   v.images.clear();
-  for (auto& [image, use] : m.images.images()) v.images.push_back(view_.images.id(image));
+  for (auto& [image, use] : m.images.images()) v.images.push_back(snapshot_.images.id(image));
   v.fetching.clear();
-  for (auto& [image, since] : m.fetching) v.fetching.push_back(view_.images.id(image));
+  for (auto& [image, since] : m.fetching) v.fetching.push_back(snapshot_.images.id(image));
   v.bad_jobs.clear();
   for (auto& [job, at] : m.failed_jobs) v.bad_jobs.push_back(job);
   v.live.clear();
   for (auto& [a, attempt] : cache_.assigned(m.id)) {
-    placing::LiveView l;
-    l.job = job_slots_.of(a.job, a.index);
+    scheduling::RunningTaskSnapshot l;
+    l.job = job_index_.of(a.job, a.index);
     l.index = a.index;
     l.attempt = attempt;
     const TaskId name{a.job->spec.id, a.index};
@@ -139,44 +139,44 @@
   auto it = machines_.find(id);
   if (it == machines_.end()) return;
   if (it->second.slot) {
-    view_.machines[*it->second.slot] = {};
-    view_.machines[*it->second.slot].open = false;
+    snapshot_.machines[*it->second.slot] = {};
+    snapshot_.machines[*it->second.slot].open = false;
     free_machine_slots_.push_back(*it->second.slot);
   }
   machines_.erase(it);
 }
 
-void ShardLeader::refresh_view() {
+void ShardLeader::refresh_snapshot() {
   const double now = loop_.now();
   for (auto it = held_back_.begin(); it != held_back_.end();) {
-    if (Job* job = cache_.job(*it)) dirty_jobs_.insert(job);
+    if (Job* job = cache_.job(*it)) changed_jobs_.insert(job);
     it = held_back_.erase(it);  // put back if its pause goes on
   }
   for (auto& id : replicas_.offer_repairs())
-    if (Job* job = cache_.job(id)) dirty_jobs_.insert(job);
+    if (Job* job = cache_.job(id)) changed_jobs_.insert(job);
   // Jobs first: the machines' tasks refer to them.
-  std::vector<Job*> dirty(dirty_jobs_.begin(), dirty_jobs_.end());
+  std::vector<Job*> dirty(changed_jobs_.begin(), changed_jobs_.end());
   std::sort(dirty.begin(), dirty.end(), [](Job* a, Job* b) { return a->spec.id < b->spec.id; });
   for (Job* job : dirty) refresh_job(*job);
-  dirty_jobs_.clear();
-  for (auto& id : dirty_machines_)
+  changed_jobs_.clear();
+  for (auto& id : changed_machines_)
     if (auto it = machines_.find(id); it != machines_.end()) refresh_machine(it->second);
-  dirty_machines_.clear();
+  changed_machines_.clear();
   const auto cut_off = unreachable_zones();
   for (auto& [id, m] : machines_)
-    if (m.slot) view_.machines[*m.slot].open = is_schedulable(m) && !cut_off.contains(m.zone);
-  view_.booting.clear();
+    if (m.slot) snapshot_.machines[*m.slot].open = is_schedulable(m) && !cut_off.contains(m.zone);
+  snapshot_.booting.clear();
   for (auto& [id, b] : booting_)
     if (auto* type = coming_type(id, b))
-      view_.booting.push_back({view_.types.id(b.type),
-                               view_.zones.id(b.zone),
-                               b.spot,
-                               {type->cpus, type->gpus, type->memory_gb}});
+      snapshot_.booting.push_back({snapshot_.types.id(b.type),
+                                   snapshot_.zones.id(b.zone),
+                                   b.spot,
+                                   {type->cpus, type->gpus, type->memory_gb}});
   if (deps_.budgets.divided())
-    for (size_t t = 0; t < view_.teams.size(); ++t)
-      view_.teams[t].limit = deps_.budgets.limit(settings_.teams[t]);
-  view_.now = loop_.wall();
-  view_.steady_now = now;
+    for (size_t t = 0; t < snapshot_.teams.size(); ++t)
+      snapshot_.teams[t].limit = deps_.budgets.limit(settings_.teams[t]);
+  snapshot_.now = loop_.wall();
+  snapshot_.steady_now = now;
 }
 
 }  // namespace damsonport
--- a/src/coordination/job_slots.cpp
+++ b/src/coordination/job_slots.cpp
@@ -6,8 +6,9 @@
 
 namespace damsonport {
 
-const std::vector<size_t>& JobSlots::take(Job& job, std::vector<placing::JobView>& views,
-                                          bool& fresh) {
+const std::vector<size_t>& SnapshotIndex::take(Job& job,
+                                               std::vector<scheduling::JobSnapshot>& views,
+                                               bool& fresh) {
   auto [it, added] = slots_.try_emplace(&job);
   fresh = added;
   if (!added) return it->second;
@@ -21,7 +22,7 @@
   return it->second;
 }
 
-void JobSlots::release(const Job* job, std::vector<placing::JobView>& views) {
+void SnapshotIndex::release(const Job* job, std::vector<scheduling::JobSnapshot>& views) {
   auto it = slots_.find(job);
   if (it == slots_.end()) return;
   for (size_t slot : it->second) {
@@ -32,11 +33,11 @@
   slots_.erase(it);
 }
 
-size_t JobSlots::of(const Job* job, uint32_t task) const {
+size_t SnapshotIndex::of(const Job* job, uint32_t task) const {
   return slots_.at(job)[gang_of(job->spec, task)];
 }
 
-void JobSlots::clear() {
+void SnapshotIndex::clear() {
   slots_.clear();
   owners_.clear();
   free_.clear();
--- a/src/coordination/job_slots.hpp
+++ b/src/coordination/job_slots.hpp
@@ -9,15 +9,16 @@
 
 namespace damsonport {
 
-class JobSlots {
+class SnapshotIndex {
  public:
   struct Owner {
     Job* job = nullptr;  // null: the place is empty
     uint32_t gang = 0;
   };
   // The job's places, taken now where it has none yet; `fresh` tells which.
-  const std::vector<size_t>& take(Job& job, std::vector<placing::JobView>& views, bool& fresh);
-  void release(const Job* job, std::vector<placing::JobView>& views);
+  const std::vector<size_t>& take(Job& job, std::vector<scheduling::JobSnapshot>& views,
+                                  bool& fresh);
+  void release(const Job* job, std::vector<scheduling::JobSnapshot>& views);
   // Where the job's task is counted; the job has its places.
   size_t of(const Job* job, uint32_t task) const;
   const Owner& owner(size_t slot) const { return owners_[slot]; }
--- a/src/coordination/node.cpp
+++ b/src/coordination/node.cpp
@@ -137,7 +137,7 @@
   b.node = settings_.node_name;
   b.incarnation = incarnation_;
   b.state_age_ms = static_cast<uint64_t>(std::min(loop_.now() - store_.last_contact(), 1e6) * 1000);
-  b.waiting = shard_leader_.waiting_tasks();
+  b.waiting = shard_leader_.pending_tasks();
   b.loaded = cache_.loaded();
   b.misrouted_machines = shard_leader_.misrouted_machines();
   b.writes = static_cast<uint64_t>(std::ceil(wanted_writes()));
--- a/src/coordination/node.hpp
+++ b/src/coordination/node.hpp
@@ -34,7 +34,7 @@
   KeyValueClient store_;
   Notification changed_;
   RecordCache cache_;
-  Catalog catalog_;
+  MachineTypeCatalog catalog_;
   CancellationGossip cancellations_;
   PeerNetwork peer_network_;
   VersionRegistry versions_;
--- a/src/coordination/placement.cpp
+++ b/src/coordination/placement.cpp
@@ -6,7 +6,7 @@
 
 #include "coordination/placement_pass.hpp"
 
-namespace damsonport::placing {
+namespace damsonport::scheduling {
 
 namespace {
 // A start that is late with a lower chance than this isn't worth a stop.
@@ -14,46 +14,46 @@
 constexpr int at_fault_urgency = -1;  // behind all others
 }  // namespace
 
-PlacementPass::PlacementPass(const Input& in)
+SchedulingCycle::SchedulingCycle(const SchedulerSnapshot& in)
     : in_(in),
       future_(in.machines.size()),
       used_(in.teams.size()),
       replicas_(in.machines.size()),
       least_urgent_(in.machines.size(), std::numeric_limits<int>::max()),
       stopped_(in.machines.size()),
-      tally_of_(in.jobs.size(), nowhere),
+      placement_count_of_(in.jobs.size(), nowhere),
       booting_(in.booting),
       part_on_(in.machines.size()) {
   judge_guarantees();
-  prepare_tallies();
+  prepare_placement_counts();
   free_.reserve(in.machines.size());
   for (size_t m = 0; m < in.machines.size(); ++m) count_machine(m);
   measure_shapes();
 }
 
-void PlacementPass::prepare_tallies() {
+void SchedulingCycle::prepare_placement_counts() {
   std::unordered_map<size_t, size_t> of_family;
   for (size_t j = 0; j < in_.jobs.size(); ++j) {
     auto& job = in_.jobs[j];
     if (job.waiting == 0 || job.cancelled) continue;
     order_.push_back(j);
     if (job.replica) {
-      auto [it, fresh] = of_family.try_emplace(job.family, tallies_.size());
-      tally_of_[j] = it->second;
+      auto [it, fresh] = of_family.try_emplace(job.family, placement_counts_.size());
+      placement_count_of_[j] = it->second;
       if (!fresh) continue;
     }
-    tally_of_[j] = tallies_.size();
-    tallies_.push_back({std::vector<uint32_t>(in_.zones.size()), {}});
+    placement_count_of_[j] = placement_counts_.size();
+    placement_counts_.push_back({std::vector<uint32_t>(in_.zones.size()), {}});
   }
   if (of_family.empty()) return;
   // Those that run count for those that wait.
   for (size_t j = 0; j < in_.jobs.size(); ++j)
     if (auto it = of_family.find(in_.jobs[j].family); in_.jobs[j].replica && it != of_family.end())
-      tally_of_[j] = it->second;
+      placement_count_of_[j] = it->second;
 }
 
-Decisions PlacementPass::run() {
-  std::sort(order_.begin(), order_.end(), [&](size_t a, size_t b) { return before(a, b); });
+Decisions SchedulingCycle::run() {
+  std::sort(order_.begin(), order_.end(), [&](size_t a, size_t b) { return precedes(a, b); });
   for (size_t j : order_) {
     recall_replicas(j);
     if (in_.jobs[j].gang) {
@@ -66,7 +66,7 @@
   return std::move(out_);
 }
 
-void PlacementPass::count_machine(size_t m) {
+void SchedulingCycle::count_machine(size_t m) {
   auto& machine = in_.machines[m];
   free_.push_back(machine.free);
   for (auto& l : machine.live) {
@@ -78,28 +78,28 @@
       least_urgent_[m] = std::min(least_urgent_[m], urgency_[l.job]);
     }
     if (job.gang) gang_parts_[l.job].push_back({m, static_cast<size_t>(&l - machine.live.data())});
-    if (tally_of_[l.job] == nowhere) continue;
-    ++tally(l.job).in_zone[machine.zone];
-    tally(l.job).on.push_back(m);
+    if (placement_count_of_[l.job] == nowhere) continue;
+    ++placement_count(l.job).in_zone[machine.zone];
+    placement_count(l.job).on.push_back(m);
   }
   if (has_room(future_[m])) coming_.push_back(m);
 }
 
-void PlacementPass::recall_replicas(size_t j) {
-  for (size_t m : tally(j).on) ++replicas_[m];
+void SchedulingCycle::recall_replicas(size_t j) {
+  for (size_t m : placement_count(j).on) ++replicas_[m];
   parts_together_ = false;
   parts_zone_ = 0;
   if (in_.jobs[j].replica) bind_replica(j);
 }
 
-void PlacementPass::forget_replicas(size_t j) {
-  for (size_t m : tally(j).on) {
+void SchedulingCycle::forget_replicas(size_t j) {
+  for (size_t m : placement_count(j).on) {
     replicas_[m] = 0;
     part_on_[m] = 0;
   }
 }
 
-void PlacementPass::measure_shapes() {
+void SchedulingCycle::measure_shapes() {
   const bool fixed = std::any_of(in_.jobs.begin(), in_.jobs.end(),
                                  [](auto& j) { return j.need.gpus > 0 && !j.spot; });
   for (auto& j : in_.jobs) {
@@ -110,7 +110,7 @@
   }
 }
 
-void PlacementPass::judge_guarantees() {
+void SchedulingCycle::judge_guarantees() {
   guaranteed_.assign(in_.jobs.size(), false);
   urgency_.assign(in_.jobs.size(), 0);
   std::vector<size_t> order(in_.jobs.size());
@@ -120,7 +120,7 @@
     if (ja.accepted_at != jb.accepted_at) return ja.accepted_at < jb.accepted_at;
     return ja.replica_number < jb.replica_number;
   });
-  std::vector<Amounts> sum(in_.teams.size());
+  std::vector<Resources> sum(in_.teams.size());
   for (size_t j : order) {
     auto& job = in_.jobs[j];
     if (job.team != no_team && !job.cancelled) {
@@ -136,7 +136,7 @@
   }
 }
 
-int PlacementPass::urgency(size_t j) const {
+int SchedulingCycle::urgency(size_t j) const {
   auto& job = in_.jobs[j];
   if (job.faulty) return at_fault_urgency;
   // Urgent ranks first, then what is guaranteed, then the rest; by priority, and among equals
@@ -148,23 +148,23 @@
          job.priority * 10 + (guaranteed_[j] ? 5 : 0);
 }
 
-bool PlacementPass::before(size_t a, size_t b) const {
+bool SchedulingCycle::precedes(size_t a, size_t b) const {
   if (urgency_[a] != urgency_[b]) return urgency_[a] > urgency_[b];
   auto &ja = in_.jobs[a], &jb = in_.jobs[b];
-  double ta = turn(ja), tb = turn(jb);
+  double ta = queue_key(ja), tb = queue_key(jb);
   if (ta != tb) return ta < tb;
   if (ja.id != jb.id) return ja.id < jb.id;
   return ja.replica_number < jb.replica_number;
 }
 
-double PlacementPass::turn(const JobView& job) const {
+double SchedulingCycle::queue_key(const JobSnapshot& job) const {
   if (job.due_at <= 0) return job.accepted_at;
   const double patience = in_.begin_within_s * (job.begun ? 3 : 1);
   const bool behind = in_.now > job.due_at && in_.now < job.accepted_at + patience;
   return behind ? in_.now + job.accepted_at + patience : job.due_at;
 }
 
-bool PlacementPass::team_allows(size_t j) const {
+bool SchedulingCycle::team_allows(size_t j) const {
   auto& job = in_.jobs[j];
   if (job.team == no_team) return false;
   constexpr double eps = 1e-6;
@@ -174,12 +174,12 @@
          (limit.gpus <= 0 || used.gpus + job.need.gpus <= limit.gpus + eps);
 }
 
-bool PlacementPass::zone_allows(size_t j, NameId zone) const {
+bool SchedulingCycle::zone_allows(size_t j, NameId zone) const {
   auto& job = in_.jobs[j];
   if (job.zone != 0 && job.zone != zone) return false;
   if (parts_together_ && parts_zone_ != 0 && parts_zone_ != zone) return false;
   if (!job.one_zone && !job.spread) return true;
-  auto& count = tally(j).in_zone;
+  auto& count = placement_count(j).in_zone;
   // A machine known only from the records, after a change of holder, has no zone yet: its tasks
   // may be in any.
   const uint32_t unknown = count[0];
@@ -193,29 +193,29 @@
   return !job.spread || count[zone] + unknown + needed <= (job.tasks + 1) / 2;
 }
 
-bool PlacementPass::suits(size_t j, NameId type, NameId zone, bool spot) const {
+bool SchedulingCycle::matches_constraints(size_t j, NameId type, NameId zone, bool spot) const {
   auto& job = in_.jobs[j];
   return (!spot || job.spot) && (job.types.empty() || contains(job.types, type)) &&
          zone_allows(j, zone);
 }
 
-bool PlacementPass::allowed(size_t j, size_t m) const {
+bool SchedulingCycle::is_feasible(size_t j, size_t m) const {
   auto& job = in_.jobs[j];
   auto& machine = in_.machines[m];
   if (job.distinct_machines && part_on_[m]) return false;
   return machine.open && job.need.fits(machine.total) &&
-         suits(j, machine.type, machine.zone, machine.spot) &&
+         matches_constraints(j, machine.type, machine.zone, machine.spot) &&
          (machine.bad_jobs.empty() || !contains(machine.bad_jobs, job.id));
 }
 
-void PlacementPass::place_job(size_t j) {
+void SchedulingCycle::place_job(size_t j) {
   auto& job = in_.jobs[j];
   uint32_t left = job.waiting;
   uint32_t coming = 0;
   if (!team_allows(j)) return;
-  if (!known_full(job)) {
+  if (!is_known_unschedulable(job)) {
     left -= start_what_fits(j, left, coming);
-    if (left > 0 && team_allows(j)) note_full(job);
+    if (left > 0 && team_allows(j)) mark_unschedulable(job);
   }
   if (job.faulty) return;
   uint32_t patient = 0;
@@ -229,15 +229,15 @@
         ++patient;
         break;
       case PromisedRoom::none:
-        note_unplaced(j, left + patient, coming);
+        note_unschedulable(j, left + patient, coming);
         return;
     }
     --left;
   }
-  note_unplaced(j, patient, coming);
+  note_unschedulable(j, patient, coming);
 }
 
-PlacementPass::PromisedRoom PlacementPass::promise_room(size_t j) {
+SchedulingCycle::PromisedRoom SchedulingCycle::promise_room(size_t j) {
   // Room that is being made already serves the most urgent first. Standing replicas are stopped
   // only for what no machine on its way has room for: they would come back later than it.
   if (claim_coming(j) || make_room(j, false)) return PromisedRoom::coming;
@@ -245,20 +245,20 @@
   return make_room(j, true) ? PromisedRoom::coming : PromisedRoom::none;
 }
 
-uint32_t PlacementPass::start_what_fits(size_t j, uint32_t most, uint32_t& coming) {
+uint32_t SchedulingCycle::start_what_fits(size_t j, uint32_t most, uint32_t& coming) {
   auto& job = in_.jobs[j];
   struct Candidate {
-    double cost;
+    double score;
     size_t machine;
     // The best on top of the heap, and among equals the first.
     bool operator<(const Candidate& o) const {
-      return cost != o.cost ? cost > o.cost : machine > o.machine;
+      return score != o.score ? score > o.score : machine > o.machine;
     }
   };
   std::vector<Candidate> heap;
   out_.examined += in_.machines.size();
   for (size_t m = 0; m < in_.machines.size(); ++m)
-    if (job.need.fits(free_[m]) && allowed(j, m)) heap.push_back({cost(j, m, free_[m]), m});
+    if (job.need.fits(free_[m]) && is_feasible(j, m)) heap.push_back({score(j, m, free_[m]), m});
   std::make_heap(heap.begin(), heap.end());
   uint32_t started = 0;
   const bool hurries = job.priority >= urgent_priority && job.start_within_s > 0 && !job.faulty;
@@ -266,7 +266,7 @@
   while (started < most && !heap.empty() && team_allows(j)) {
     const double fetch = image_delay(job, in_.machines[heap.front().machine]);
     if (beside_image && miss_chance(fetch, job.start_within_s) > bearable_miss_chance) {
-      beside_image = make_room_beside_image(j, fetch, heap.front().cost);
+      beside_image = make_room_beside_image(j, fetch, heap.front().score);
       if (beside_image) {
         ++started;
         ++coming;
@@ -283,48 +283,48 @@
     out_.starts.push_back({j, m});
     ++started;
     if (!job.need.fits(free_[m])) continue;
-    heap.push_back({cost(j, m, free_[m]), m});
+    heap.push_back({score(j, m, free_[m]), m});
     std::push_heap(heap.begin(), heap.end());
   }
   return started;
 }
 
-bool PlacementPass::same_rules(const JobView& a, const JobView& b) {
+bool SchedulingCycle::same_rules(const JobSnapshot& a, const JobSnapshot& b) {
   return a.spot == b.spot && a.zone == b.zone && a.types == b.types;
 }
 
-bool PlacementPass::known_full(const JobView& job) const {
-  return std::any_of(full_.begin(), full_.end(), [&](const JobView* f) {
+bool SchedulingCycle::is_known_unschedulable(const JobSnapshot& job) const {
+  return std::any_of(full_.begin(), full_.end(), [&](const JobSnapshot* f) {
     return f->need.fits(job.need) && same_rules(*f, job);
   });
 }
 
-bool PlacementPass::speaks_for_others(const JobView& job) const {
+bool SchedulingCycle::represents_class(const JobSnapshot& job) const {
   if (job.one_zone || job.spread) return false;
   return std::none_of(in_.machines.begin(), in_.machines.end(),
                       [&](auto& m) { return !m.bad_jobs.empty() && contains(m.bad_jobs, job.id); });
 }
 
-void PlacementPass::note_full(const JobView& job) {
-  if (speaks_for_others(job)) full_.push_back(&job);
+void SchedulingCycle::mark_unschedulable(const JobSnapshot& job) {
+  if (represents_class(job)) full_.push_back(&job);
 }
 
-void PlacementPass::note_unplaced(size_t j, uint32_t left, uint32_t coming) {
-  if (left) out_.unplaced.push_back({j, left, guaranteed_[j], false, left});
-  if (coming) out_.unplaced.push_back({j, coming, guaranteed_[j], true, coming});
+void SchedulingCycle::note_unschedulable(size_t j, uint32_t left, uint32_t coming) {
+  if (left) out_.unschedulable.push_back({j, left, guaranteed_[j], false, left});
+  if (coming) out_.unschedulable.push_back({j, coming, guaranteed_[j], true, coming});
 }
 
-void PlacementPass::occupy(size_t j, size_t m) {
+void SchedulingCycle::occupy(size_t j, size_t m) {
   used_[in_.jobs[j].team] += in_.jobs[j].need;
-  ++tally(j).in_zone[in_.machines[m].zone];
-  tally(j).on.push_back(m);
+  ++placement_count(j).in_zone[in_.machines[m].zone];
+  placement_count(j).on.push_back(m);
   ++replicas_[m];
   if (!in_.jobs[j].replica) return;
   part_on_[m] = 1;
   if (parts_together_) parts_zone_ = in_.machines[m].zone;
 }
 
-bool PlacementPass::claim_coming(size_t j, std::optional<BesideImage> beside_image) {
+bool SchedulingCycle::claim_coming(size_t j, std::optional<BesideImage> beside_image) {
   out_.examined += coming_.size();
   auto& need = in_.jobs[j].need;
   double bound = never;
@@ -336,10 +336,10 @@
     if (beside_image &&
         !(holds(in_.machines[m], in_.jobs[j].image) && time_to_save(m) < beside_image->within_s))
       continue;
-    Amounts both = free_[m];
+    Resources both = free_[m];
     both += future_[m];
-    if (!need.fits(both) || !allowed(j, m)) continue;
-    double c = cost(j, m, both);
+    if (!need.fits(both) || !is_feasible(j, m)) continue;
+    double c = score(j, m, both);
     if (c < best || (c == best && m < where)) best = c, where = m;
   }
   if (best == bound) return false;
@@ -347,10 +347,10 @@
   return true;
 }
 
-bool PlacementPass::claim_booting(size_t j) {
+bool SchedulingCycle::claim_booting(size_t j) {
   auto& job = in_.jobs[j];
   for (auto& b : booting_) {
-    if (!job.need.fits(b.room) || !suits(j, b.type, b.zone, b.spot)) continue;
+    if (!job.need.fits(b.room) || !matches_constraints(j, b.type, b.zone, b.spot)) continue;
     b.room -= job.need;
     used_[job.team] += job.need;  // it starts there in a moment
     if (parts_together_) parts_zone_ = b.zone;
@@ -359,7 +359,7 @@
   return false;
 }
 
-void PlacementPass::take_future(size_t j, size_t m) {
+void SchedulingCycle::take_future(size_t j, size_t m) {
   auto& need = in_.jobs[j].need;
   auto part = [](double want, double& now, double& later) {
     double first = std::min(want, std::max(now, 0.0));
@@ -372,7 +372,7 @@
   occupy(j, m);
 }
 
-uint32_t count_fitting(const Amounts& need, const Amounts& room) {
+uint32_t count_fitting(const Resources& need, const Resources& room) {
   double n = 1e6;
   auto bound = [&](double want, double have) {
     if (want > 0) n = std::min(n, std::floor(have / want + 1e-6));
@@ -383,10 +383,10 @@
   return static_cast<uint32_t>(std::max(n, 0.0));
 }
 
-bool holds(const MachineView& m, NameId image) {
+bool holds(const MachineSnapshot& m, NameId image) {
   return contains(m.images, image) && !contains(m.fetching, image);
 }
 
-Decisions place(const Input& in) { return PlacementPass(in).run(); }
+Decisions place(const SchedulerSnapshot& in) { return SchedulingCycle(in).run(); }
 
-}  // namespace damsonport::placing
+}  // namespace damsonport::scheduling
--- a/src/coordination/placement.hpp
+++ b/src/coordination/placement.hpp
@@ -5,30 +5,30 @@
 #include <unordered_map>
 #include <vector>
 
-namespace damsonport::placing {
+namespace damsonport::scheduling {
 
-struct Amounts {
+struct Resources {
   double cpus = 0, gpus = 0, memory_gb = 0;
-  bool fits(const Amounts& room) const {
+  bool fits(const Resources& room) const {
     constexpr double eps = 1e-6;
     return cpus <= room.cpus + eps && gpus <= room.gpus + eps && memory_gb <= room.memory_gb + eps;
   }
-  Amounts& operator+=(const Amounts& o) {
+  Resources& operator+=(const Resources& o) {
     cpus += o.cpus, gpus += o.gpus, memory_gb += o.memory_gb;
     return *this;
   }
-  Amounts& operator-=(const Amounts& o) {
+  Resources& operator-=(const Resources& o) {
     cpus -= o.cpus, gpus -= o.gpus, memory_gb -= o.memory_gb;
     return *this;
   }
 };
 
-inline Amounts operator*(const Amounts& one, double times) {
+inline Resources operator*(const Resources& one, double times) {
   return {one.cpus * times, one.gpus * times, one.memory_gb * times};
 }
 
 // How many of the like fit into this room.
-uint32_t count_fitting(const Amounts& need, const Amounts& room);
+uint32_t count_fitting(const Resources& need, const Resources& room);
 
 // Names as small numbers, so that comparing them costs nothing. 0 stands for the empty name.
 using NameId = uint32_t;
@@ -46,7 +46,7 @@
 };
 
 // A task that is or may be on a machine.
-struct LiveView {
+struct RunningTaskSnapshot {
   size_t job = 0;
   uint32_t index = 0;
   uint64_t attempt = 0;
@@ -54,12 +54,12 @@
   bool stopping = false;
 };
 
-struct MachineView {
+struct MachineSnapshot {
   std::string id;
   NameId type = 0, zone = 0;
   bool spot = false;
   bool open = true;  // takes new tasks now
-  Amounts total, free;
+  Resources total, free;
   double fetch_gb_per_s = 1;
   double price_share = 0;             // of the price of the dearest type
   double speed = 1.0;                 // straggler average
@@ -67,24 +67,24 @@
   std::vector<NameId> images;         // held
   std::vector<NameId> fetching;       // under way
   std::vector<std::string> bad_jobs;  // failed here: not again
-  std::vector<LiveView> live;
+  std::vector<RunningTaskSnapshot> live;
 };
 
 // A machine that is expected to take tasks soon.
-struct BootingView {
+struct BootingMachine {
   NameId type = 0, zone = 0;
   bool spot = false;
-  Amounts room;
+  Resources room;
 };
 
 constexpr size_t no_team = static_cast<size_t>(-1);
 
-struct TeamView {
+struct TeamSnapshot {
   std::string name;
-  Amounts guaranteed, limit;  // 0: none
+  Resources guaranteed, limit;  // 0: none
 };
 
-struct JobView {
+struct JobSnapshot {
   std::string id;
   size_t team = no_team;
   NameId image = 0;
@@ -99,7 +99,7 @@
   size_t family = 0;
   bool distinct_machines = false;  // for the parts of a replica
   int priority = 0;                // higher is more urgent
-  Amounts need;
+  Resources need;
   std::vector<NameId> types;
   NameId zone = 0;
   bool one_zone = false, spread = false, spot = false;
@@ -120,12 +120,12 @@
 
 // Kept by the holder from pass to pass, so that a pass costs what changed and not what there is.
 // Places of jobs and machines that are gone stay empty until they are used again.
-struct Input {
+struct SchedulerSnapshot {
   Names types, zones, images;
-  std::vector<MachineView> machines;
-  std::vector<TeamView> teams;
-  std::vector<JobView> jobs;
-  std::vector<BootingView> booting;
+  std::vector<MachineSnapshot> machines;
+  std::vector<TeamSnapshot> teams;
+  std::vector<JobSnapshot> jobs;
+  std::vector<BootingMachine> booting;
   double start_counts_s = 30;  // a start stopped earlier than this was in vain
   double now = 0;              // of the same clock as accepted_at and due_at
   double steady_now = 0;
@@ -138,19 +138,19 @@
   static constexpr double never_held = 1e18;
 };
 
-struct Start {
+struct Placement {
   size_t job, machine;
 };
 // All waiting tasks of a gang: one machine for each.
-struct GangStart {
+struct GangPlacement {
   size_t job;
   std::vector<size_t> machines;
 };
-struct Stop {
+struct Preemption {
   size_t machine, live;  // the place in the machine's list
   double grace_s;
 };
-struct Unplaced {
+struct UnschedulableTasks {
   size_t job;
   uint32_t count;
   bool within_guarantee;
@@ -160,16 +160,16 @@
   bool one_zone = false;  // the gang has to be in one zone
 };
 struct Decisions {
-  std::vector<Start> starts;
-  std::vector<GangStart> gangs;
-  std::vector<Stop> stops;
-  std::vector<Unplaced> unplaced;  // for want of room; team limits excluded
-  size_t examined = 0;             // machines looked at for some task: the work of this pass
+  std::vector<Placement> starts;
+  std::vector<GangPlacement> gangs;
+  std::vector<Preemption> stops;
+  std::vector<UnschedulableTasks> unschedulable;  // for want of room; team limits excluded
+  size_t examined = 0;  // machines looked at for some task: the work of this pass
 };
 
 // The image is there now. One that is being fetched is not, whatever is remembered of the machine.
-bool holds(const MachineView& m, NameId image);
+bool holds(const MachineSnapshot& m, NameId image);
 
-Decisions place(const Input& in);
+Decisions place(const SchedulerSnapshot& in);
 
-}  // namespace damsonport::placing
+}  // namespace damsonport::scheduling
--- a/src/coordination/placement_gang.cpp
+++ b/src/coordination/placement_gang.cpp
@@ -3,7 +3,7 @@
 
 #include "coordination/placement_pass.hpp"
 
-namespace damsonport::placing {
+namespace damsonport::scheduling {
 
 namespace {
 // Seconds that each further machine of a gang counts for: the loss of any one stops all of it.
@@ -16,7 +16,7 @@
 constexpr double slow_machine_cost = 20;
 }  // namespace
 
-bool PlacementPass::team_allows_whole(size_t j) const {
+bool SchedulingCycle::team_allows_whole(size_t j) const {
   auto& job = in_.jobs[j];
   if (job.team == no_team) return false;
   constexpr double eps = 1e-6;
@@ -28,16 +28,16 @@
 }
 
 // How many more tasks of the job this zone may take.
-uint32_t PlacementPass::zone_allowance(size_t j, NameId zone) const {
+uint32_t SchedulingCycle::zone_allowance(size_t j, NameId zone) const {
   auto& job = in_.jobs[j];
   if (!zone_allows(j, zone)) return 0;
   if (!job.spread) return job.waiting;
-  auto& count = tally(j).in_zone;
+  auto& count = placement_count(j).in_zone;
   return (job.tasks + 1) / 2 - count[zone] - count[0];
 }
 
 // The gang starts with its slowest fetch and runs at the speed of its slowest machine.
-double PlacementPass::gang_machine_cost(size_t j, size_t m, uint32_t tasks) const {
+double SchedulingCycle::gang_machine_cost(size_t j, size_t m, uint32_t tasks) const {
   auto& job = in_.jobs[j];
   auto& machine = in_.machines[m];
   double c = image_delay(job, machine);
@@ -45,7 +45,7 @@
   c += machine_cost * std::ceil(static_cast<double>(job.waiting) / tasks);
   if (job.replica) c += sibling_cost * replicas_[m];
   if (machine.total.gpus > 0 && job.need.gpus <= 0) {
-    Amounts left = free_[m];
+    Resources left = free_[m];
     for (uint32_t i = 0; i < tasks; ++i) left -= job.need;
     c += accelerator_machine_cost;
     c += lost_accelerator_cost * (usable_gpus(free_[m]) - usable_gpus(left));
@@ -53,21 +53,21 @@
   return c;
 }
 
-PlacementPass::GangPlan PlacementPass::plan_gang_in(size_t j, NameId zone,
-                                                    bool only_with_image) const {
+SchedulingCycle::GangPlan SchedulingCycle::plan_gang_in(size_t j, NameId zone,
+                                                        bool only_with_image) const {
   auto& job = in_.jobs[j];
   struct Candidate {
-    double cost;
+    double score;
     size_t machine;
     uint32_t fits;
     bool operator<(const Candidate& o) const {
-      return cost != o.cost ? cost < o.cost : machine < o.machine;
+      return score != o.score ? score < o.score : machine < o.machine;
     }
   };
   std::vector<Candidate> candidates;
   for (size_t m = 0; m < in_.machines.size(); ++m) {
     auto& machine = in_.machines[m];
-    if (!job.need.fits(free_[m]) || machine.straggler || !allowed(j, m)) continue;
+    if (!job.need.fits(free_[m]) || machine.straggler || !is_feasible(j, m)) continue;
     if (zone != 0 && machine.zone != zone) continue;
     if (only_with_image && !holds(machine, job.image)) continue;
     const uint32_t most = job.distinct_machines ? 1 : job.waiting;
@@ -86,13 +86,13 @@
     if (tasks == 0) continue;
     in_zone[where] += tasks;
     plan.machines.insert(plan.machines.end(), tasks, c.machine);
-    plan.cost = std::max(plan.cost, c.cost);
+    plan.score = std::max(plan.score, c.score);
     if (plan.machines.size() == job.waiting) break;
   }
   return plan;
 }
 
-PlacementPass::GangPlan PlacementPass::plan_gang(size_t j) const {
+SchedulingCycle::GangPlan SchedulingCycle::plan_gang(size_t j) const {
   auto& job = in_.jobs[j];
   std::vector<NameId> zones{0};
   if (job.one_zone || parts_together_) {
@@ -103,7 +103,7 @@
   GangPlan best;
   auto consider = [&](GangPlan plan) {
     if (plan.machines.size() < best.machines.size()) return;
-    const bool better = plan.machines.size() > best.machines.size() || plan.cost < best.cost;
+    const bool better = plan.machines.size() > best.machines.size() || plan.score < best.score;
     if (better) best = std::move(plan);
   };
   // Machines that all hold the image start the gang at once; one fetch holds all of it up.
@@ -114,24 +114,24 @@
   return best;
 }
 
-void PlacementPass::take_gang_plan(size_t j, const GangPlan& plan) {
+void SchedulingCycle::take_gang_plan(size_t j, const GangPlan& plan) {
   for (size_t m : plan.machines) {
     free_[m] -= in_.jobs[j].need;
     occupy(j, m);
   }
 }
 
-NameId PlacementPass::zone_of(const GangPlan& plan) const {
+NameId SchedulingCycle::zone_of(const GangPlan& plan) const {
   return plan.machines.empty() ? 0 : in_.machines[plan.machines.front()].zone;
 }
 
-bool PlacementPass::may_hold_room(size_t j) const {
+bool SchedulingCycle::may_hold_room(size_t j) const {
   const double waited = in_.now - in_.jobs[j].accepted_at;
   return !room_held_ && waited >= in_.gang_hold_after_s &&
          waited < in_.gang_hold_after_s + in_.gang_hold_for_s;
 }
 
-bool PlacementPass::reserve_for_gang(size_t j, const GangPlan& partial) {
+bool SchedulingCycle::reserve_for_gang(size_t j, const GangPlan& partial) {
   // What a failed try changed is put back: nothing is stopped for a gang that doesn't start.
   auto free = free_, future = future_, used = used_;
   auto replicas = replicas_;
@@ -140,7 +140,7 @@
   auto stopped = stopped_;
   auto coming_machines = coming_;
   auto booting = booting_;
-  auto places = tally(j);
+  auto places = placement_count(j);
   auto hopeless = hopeless_;
   const size_t stops = out_.stops.size();
 
@@ -153,7 +153,7 @@
     ++(promised == PromisedRoom::booting ? booted : coming);
   }
   if (left == 0) {
-    note_unplaced(j, booted, coming);
+    note_unschedulable(j, booted, coming);
     return true;
   }
   free_ = std::move(free);
@@ -165,18 +165,18 @@
   stopped_ = std::move(stopped);
   coming_ = std::move(coming_machines);
   booting_ = std::move(booting);
-  tally(j) = std::move(places);
+  placement_count(j) = std::move(places);
   hopeless_ = std::move(hopeless);
   out_.stops.resize(stops);
   return false;
 }
 
-void PlacementPass::place_gang(size_t j) {
+void SchedulingCycle::place_gang(size_t j) {
   auto& job = in_.jobs[j];
   if (!team_allows_whole(j)) return;
   if (sibling_found_no_room(j)) {
-    out_.unplaced.push_back(*family_without_room_);
-    out_.unplaced.back().job = j;
+    out_.unschedulable.push_back(*family_without_room_);
+    out_.unschedulable.back().job = j;
     return;
   }
   const GangPlan plan = plan_gang(j);
@@ -191,23 +191,23 @@
     room_held_ = true;
     take_gang_plan(j, plan);
   }
-  note_unplaced_gang(j, plan);
+  note_unschedulable_gang(j, plan);
 }
 
-void PlacementPass::note_unplaced_gang(size_t j, const GangPlan& plan) {
+void SchedulingCycle::note_unschedulable_gang(size_t j, const GangPlan& plan) {
   auto& job = in_.jobs[j];
-  note_unplaced(j, job.waiting, 0);
-  Unplaced& unplaced = out_.unplaced.back();
-  unplaced.missing = job.waiting - static_cast<uint32_t>(plan.machines.size());
-  unplaced.one_zone = job.one_zone || parts_together_;
-  if (unplaced.one_zone) unplaced.zone = zone_of(plan);
-  if (unplaced.zone == 0 && job.replica) unplaced.zone = only_zone_for(j, plan);
+  note_unschedulable(j, job.waiting, 0);
+  UnschedulableTasks& unschedulable = out_.unschedulable.back();
+  unschedulable.missing = job.waiting - static_cast<uint32_t>(plan.machines.size());
+  unschedulable.one_zone = job.one_zone || parts_together_;
+  if (unschedulable.one_zone) unschedulable.zone = zone_of(plan);
+  if (unschedulable.zone == 0 && job.replica) unschedulable.zone = only_zone_for(j, plan);
   const bool whole = job.replica && !gang_parts_.contains(j);
-  if (whole) family_without_room_ = unplaced;
+  if (whole) family_without_room_ = unschedulable;
 }
 
 // Room in another zone would be rented in vain.
-NameId PlacementPass::only_zone_for(size_t j, const GangPlan& plan) const {
+NameId SchedulingCycle::only_zone_for(size_t j, const GangPlan& plan) const {
   auto& job = in_.jobs[j];
   const auto missing = job.waiting - static_cast<uint32_t>(plan.machines.size());
   std::vector<uint32_t> planned(in_.zones.size());
@@ -224,12 +224,12 @@
 }
 
 // Free room only shrinks during a pass.
-bool PlacementPass::sibling_found_no_room(size_t j) const {
+bool SchedulingCycle::sibling_found_no_room(size_t j) const {
   if (!in_.jobs[j].replica || !family_without_room_ || gang_parts_.contains(j)) return false;
   return in_.jobs[family_without_room_->job].family == in_.jobs[j].family;
 }
 
-void PlacementPass::bind_replica(size_t j) {
+void SchedulingCycle::bind_replica(size_t j) {
   parts_together_ = true;
   if (auto parts = gang_parts_.find(j); parts != gang_parts_.end())
     for (auto& part : parts->second) {
@@ -243,7 +243,7 @@
 
 // The user's spread is a rule, and parts in one zone are a wish: where no zone may take all that
 // wait, they are divided.
-bool PlacementPass::fits_one_zone(size_t j) const {
+bool SchedulingCycle::fits_one_zone(size_t j) const {
   auto& job = in_.jobs[j];
   if (!job.spread) return true;
   for (NameId zone = 1; zone < in_.zones.size(); ++zone)
@@ -251,4 +251,4 @@
   return false;
 }
 
-}  // namespace damsonport::placing
+}  // namespace damsonport::scheduling
--- a/src/coordination/placement_pass.hpp
+++ b/src/coordination/placement_pass.hpp
@@ -11,7 +11,7 @@
 
 #include "coordination/placement.hpp"
 
-namespace damsonport::placing {
+namespace damsonport::scheduling {
 
 constexpr int urgent_priority = 2;  // high and production
 constexpr double never = std::numeric_limits<double>::infinity();
@@ -22,32 +22,36 @@
   return std::find(list.begin(), list.end(), item) != list.end();
 }
 
-class PlacementPass {
+class SchedulingCycle {
  public:
-  explicit PlacementPass(const Input& in);
+  explicit SchedulingCycle(const SchedulerSnapshot& in);
   // Decides for every waiting job, the most urgent first.
   Decisions run();
 
  private:
   // Where the tasks of a waiting job are.
-  struct Tally {
+  struct PlacementCount {
     std::vector<uint32_t> in_zone;
     std::vector<size_t> on;  // machines, one entry a task
   };
 
-  Tally& tally(size_t j) { return tallies_[tally_of_[j]]; }
+  PlacementCount& placement_count(size_t j) { return placement_counts_[placement_count_of_[j]]; }
 
-  const Tally& tally(size_t j) const { return tallies_[tally_of_[j]]; }
+  const PlacementCount& placement_count(size_t j) const {
+    return placement_counts_[placement_count_of_[j]];
+  }
 
   // Gives each waiting job its tally, and the replicas of a job one together.
-  void prepare_tallies();
+  void prepare_placement_counts();
 
   // The one look at everything that is on the machines.
   void count_machine(size_t m);
 
-  bool is_stopping(const LiveView& l) const { return l.stopping || in_.jobs[l.job].cancelled; }
+  bool is_stopping(const RunningTaskSnapshot& l) const {
+    return l.stopping || in_.jobs[l.job].cancelled;
+  }
 
-  static bool has_room(const Amounts& a) { return a.cpus > 0 || a.gpus > 0 || a.memory_gb > 0; }
+  static bool has_room(const Resources& a) { return a.cpus > 0 || a.gpus > 0 || a.memory_gb > 0; }
 
   // Replicas of the job being placed, by machine; wiped when it is done with.
   void recall_replicas(size_t j);
@@ -59,39 +63,39 @@
   void measure_shapes();
 
   // Accelerators that can be used in this room, going by the CPUs and memory beside them.
-  double usable_gpus(const Amounts& room) const;
+  double usable_gpus(const Resources& room) const;
 
   // A job is within its team's guarantee when it fits into it with the team's earlier ones.
   void judge_guarantees();
 
   int urgency(size_t j) const;
 
-  bool before(size_t a, size_t b) const;
+  bool precedes(size_t a, size_t b) const;
 
   // Among equals by deadline, and by age where there is none. When more is asked than can be done,
   // what can't be in time any more would make the next one late too, so it goes behind for a while;
   // but not for ever, since it has to run as well.
-  double turn(const JobView& job) const;
+  double queue_key(const JobSnapshot& job) const;
 
   bool team_allows(size_t j) const;
 
   bool zone_allows(size_t j, NameId zone) const;
 
   // Type, zone and kind of machine, as the job's rules have them.
-  bool suits(size_t j, NameId type, NameId zone, bool spot) const;
+  bool matches_constraints(size_t j, NameId type, NameId zone, bool spot) const;
 
-  bool allowed(size_t j, size_t m) const;
+  bool is_feasible(size_t j, size_t m) const;
 
-  double image_delay(const JobView& job, const MachineView& m) const;
+  double image_delay(const JobSnapshot& job, const MachineSnapshot& m) const;
 
   // Chance that a fetch of this length, give or take a third, is too long for what is expected.
   static double miss_chance(double fetch, double within);
 
   // The start would use a machine that is empty and could else be given back.
-  bool opens(size_t j, size_t m) const;
+  bool uses_empty_machine(size_t j, size_t m) const;
 
   // Seconds, or what counts like them: the lower, the better the machine for this task.
-  double cost(size_t j, size_t m, const Amounts& room) const;
+  double score(size_t j, size_t m, const Resources& room) const;
 
   void place_job(size_t j);
 
@@ -107,19 +111,19 @@
   // Free room only shrinks during a pass, so where a task found none, no task that needs at least
   // as much under the same rules does: under overload the like are decided as a class. Jobs bound
   // to the zones of their own tasks, or kept off some machines, speak for themselves only.
-  static bool same_rules(const JobView& a, const JobView& b);
+  static bool same_rules(const JobSnapshot& a, const JobSnapshot& b);
 
-  bool known_full(const JobView& job) const;
+  bool is_known_unschedulable(const JobSnapshot& job) const;
 
-  bool speaks_for_others(const JobView& job) const;
+  bool represents_class(const JobSnapshot& job) const;
 
-  void note_full(const JobView& job);
+  void mark_unschedulable(const JobSnapshot& job);
 
   // --- gangs
   // Machines for the tasks of a gang, one entry a task; fewer than wait where room is short.
   struct GangPlan {
     std::vector<size_t> machines;
-    double cost = 0;
+    double score = 0;
   };
   // All of it or nothing: decided once for the whole gang.
   void place_gang(size_t j);
@@ -130,7 +134,7 @@
   bool fits_one_zone(size_t j) const;
   // A replica of the same job, that needs as much, found no room in this pass.
   bool sibling_found_no_room(size_t j) const;
-  void note_unplaced_gang(size_t j, const GangPlan& plan);
+  void note_unschedulable_gang(size_t j, const GangPlan& plan);
   // The only zone that the rest of the gang may go to; 0: there are several, or none.
   NameId only_zone_for(size_t j, const GangPlan& plan) const;
   // The best among the zones that the gang may start in.
@@ -146,7 +150,7 @@
   bool may_hold_room(size_t j) const;
   NameId zone_of(const GangPlan& plan) const;
 
-  void note_unplaced(size_t j, uint32_t left, uint32_t coming);
+  void note_unschedulable(size_t j, uint32_t left, uint32_t coming);
 
   void occupy(size_t j, size_t m);
 
@@ -161,23 +165,23 @@
   // Uses what is free first and takes the rest from what comes free.
   void take_future(size_t j, size_t m);
 
-  static bool standing(const JobView& job);
+  static bool standing(const JobSnapshot& job);
 
-  bool may_stop(size_t j, const LiveView& v) const;
+  bool may_stop(size_t j, const RunningTaskSnapshot& v) const;
 
   // Within how many seconds this job is expected to start.
   double expected_within(size_t j) const;
 
-  double age(const LiveView& v) const { return std::max(in_.steady_now - v.since, 0.0); }
+  double age(const RunningTaskSnapshot& v) const { return std::max(in_.steady_now - v.since, 0.0); }
 
   // Work lost by stopping it without time to save.
-  double abrupt_loss(const LiveView& v) const;
+  double abrupt_loss(const RunningTaskSnapshot& v) const;
 
   // What saves by itself loses half an interval when it is stopped at once, about what the saving
   // would take. It is stopped so for what could not wait for the saving.
-  bool abruptly(size_t j, size_t m, const LiveView& v) const;
+  bool abruptly(size_t j, size_t m, const RunningTaskSnapshot& v) const;
 
-  double loss(const LiveView& v, bool abrupt) const;
+  double loss(const RunningTaskSnapshot& v, bool abrupt) const;
 
   // Where a job found nothing to be stopped, none finds it that needs as much under the same rules
   // and may stop no more.
@@ -186,7 +190,7 @@
   // Tasks to be stopped on one machine so that the job's next one has room there, and what that
   // costs.
   struct Eviction {
-    double cost = never;
+    double score = never;
     size_t machine = nowhere;
     std::vector<size_t> live;  // places in the machine's list
   };
@@ -197,30 +201,30 @@
   bool make_room(size_t j, bool also_standing);
   // Where a fetch would likely make the start late: stops cheaper work, if any, on a machine that
   // holds the image. `fetch_s` and `cost`: of starting on the best machine that has room.
-  bool make_room_beside_image(size_t j, double fetch_s, double cost);
+  bool make_room_beside_image(size_t j, double fetch_s, double score);
   // Until all that is stopped on the machine has saved.
   double time_to_save(size_t m) const;
   // What the machine costs the job once the tasks are stopped.
   double machine_cost_after(size_t j, const Eviction& eviction) const;
-  bool beside_image_in_time(size_t j, const Eviction& eviction, double before) const;
+  bool beside_image_in_time(size_t j, const Eviction& eviction, double precedes) const;
   void stop_task(size_t m, size_t live, double grace_s);
   // Stops every task of a gang at once: one alone could not save.
   void stop_gang(size_t victim_job);
   bool gang_is_stopping(size_t victim_job) const;
 
-  const Input& in_;
-  std::vector<Amounts> free_, future_, used_;
+  const SchedulerSnapshot& in_;
+  std::vector<Resources> free_, future_, used_;
   std::vector<uint32_t> replicas_;
   std::vector<int> least_urgent_;             // of what could be stopped, by machine
   std::vector<std::vector<size_t>> stopped_;  // in this pass, by machine
-  std::vector<size_t> tally_of_;              // by job: its place in tallies_
-  std::vector<Tally> tallies_;
-  std::vector<size_t> order_;         // waiting jobs
-  std::vector<size_t> coming_;        // machines where room comes free; some may stand in it twice
-  std::vector<const JobView*> full_;  // found no free room in this pass
+  std::vector<size_t> placement_count_of_;    // by job: its place in placement_counts_
+  std::vector<PlacementCount> placement_counts_;
+  std::vector<size_t> order_;   // waiting jobs
+  std::vector<size_t> coming_;  // machines where room comes free; some may stand in it twice
+  std::vector<const JobSnapshot*> full_;  // found no free room in this pass
   // Found nothing to be stopped since the last stop: without standing replicas, and with them.
   std::array<std::vector<size_t>, 2> hopeless_;
-  std::vector<BootingView> booting_;
+  std::vector<BootingMachine> booting_;
   std::vector<bool> guaranteed_;
   std::vector<int> urgency_;
   double large_gpus_ = 0, cpus_per_gpu_ = 0, memory_per_gpu_ = 0;
@@ -236,8 +240,8 @@
   NameId parts_zone_ = 0;
   std::vector<uint8_t> part_on_;
   // The family that found no room for a whole replica last, and what was said of it.
-  std::optional<Unplaced> family_without_room_;
+  std::optional<UnschedulableTasks> family_without_room_;
   Decisions out_;
 };
 
-}  // namespace damsonport::placing
+}  // namespace damsonport::scheduling
--- a/src/coordination/placement_preemption.cpp
+++ b/src/coordination/placement_preemption.cpp
@@ -1,13 +1,13 @@
 // What may be stopped to make room, and at what cost.
 #include "coordination/placement_pass.hpp"
 
-namespace damsonport::placing {
+namespace damsonport::scheduling {
 
-bool PlacementPass::standing(const JobView& job) {
+bool SchedulingCycle::standing(const JobSnapshot& job) {
   return job.service && job.priority >= urgent_priority;
 }
 
-bool PlacementPass::may_stop(size_t j, const LiveView& v) const {
+bool SchedulingCycle::may_stop(size_t j, const RunningTaskSnapshot& v) const {
   auto& job = in_.jobs[j];
   auto& victim = in_.jobs[v.job];
   // Only what would also be placed after it: what is placed first would take the room again, and
@@ -21,25 +21,25 @@
          victim.priority < 3;
 }
 
-double PlacementPass::expected_within(size_t j) const {
+double SchedulingCycle::expected_within(size_t j) const {
   double s = never;
   if (in_.jobs[j].start_within_s > 0) s = in_.jobs[j].start_within_s;
   if (guaranteed_[j] && in_.guarantee_within_s > 0) s = std::min(s, in_.guarantee_within_s);
   return s;
 }
 
-double PlacementPass::abrupt_loss(const LiveView& v) const {
+double SchedulingCycle::abrupt_loss(const RunningTaskSnapshot& v) const {
   return std::min(age(v), in_.jobs[v.job].checkpoint_s / 2);
 }
 
-bool PlacementPass::abruptly(size_t j, size_t m, const LiveView& v) const {
+bool SchedulingCycle::abruptly(size_t j, size_t m, const RunningTaskSnapshot& v) const {
   if (in_.jobs[v.job].gang) return false;  // its tasks save together
   const double grace = in_.jobs[v.job].grace_s;
   return grace > 0 && abrupt_loss(v) <= 2 * grace &&
          image_delay(in_.jobs[j], in_.machines[m]) + grace > expected_within(j);
 }
 
-double PlacementPass::loss(const LiveView& v, bool abrupt) const {
+double SchedulingCycle::loss(const RunningTaskSnapshot& v, bool abrupt) const {
   auto& victim = in_.jobs[v.job];
   // Stopped with time to save it loses nothing but that time.
   const double lost =
@@ -53,7 +53,7 @@
   return c;
 }
 
-bool PlacementPass::known_hopeless(size_t j, bool also_standing) const {
+bool SchedulingCycle::known_hopeless(size_t j, bool also_standing) const {
   auto& known = hopeless_[also_standing];
   return std::any_of(known.begin(), known.end(), [&](size_t h) {
     auto &a = in_.jobs[h], &b = in_.jobs[j];
@@ -62,27 +62,28 @@
   });
 }
 
-void PlacementPass::stop_task(size_t m, size_t live, double grace_s) {
+void SchedulingCycle::stop_task(size_t m, size_t live, double grace_s) {
   out_.stops.push_back({m, live, grace_s});
   stopped_[m].push_back(live);
   future_[m] += in_.jobs[in_.machines[m].live[live].job].need;
 }
 
-void PlacementPass::stop_gang(size_t victim_job) {
+void SchedulingCycle::stop_gang(size_t victim_job) {
   for (auto& part : gang_parts_.at(victim_job)) {
     stop_task(part.machine, part.live, in_.jobs[victim_job].grace_s);
     coming_.push_back(part.machine);
   }
 }
 
-bool PlacementPass::gang_is_stopping(size_t victim_job) const {
+bool SchedulingCycle::gang_is_stopping(size_t victim_job) const {
   auto& parts = gang_parts_.at(victim_job);
   return std::any_of(parts.begin(), parts.end(), [&](const GangPart& p) {
     return is_stopping(in_.machines[p.machine].live[p.live]);
   });
 }
 
-PlacementPass::Eviction PlacementPass::eviction_on(size_t j, size_t m, bool also_standing) const {
+SchedulingCycle::Eviction SchedulingCycle::eviction_on(size_t j, size_t m,
+                                                       bool also_standing) const {
   auto& job = in_.jobs[j];
   auto& live = in_.machines[m].live;
   std::vector<size_t> victims;
@@ -92,7 +93,7 @@
       victims.push_back(i);
   auto lost = [&](size_t i) { return loss(live[i], abruptly(j, m, live[i])); };
   std::sort(victims.begin(), victims.end(), [&](size_t a, size_t b) { return lost(a) < lost(b); });
-  Amounts room = free_[m];
+  Resources room = free_[m];
   room += future_[m];
   Eviction eviction{image_delay(job, in_.machines[m]), m, {}};
   for (size_t i : victims) {
@@ -103,26 +104,26 @@
                        (need.memory_gb > 0 && job.need.memory_gb > room.memory_gb);
     if (!helps) continue;
     room += need;
-    eviction.cost += lost(i);
+    eviction.score += lost(i);
     eviction.live.push_back(i);
   }
-  if (eviction.live.empty() || !job.need.fits(room)) eviction.cost = never;
+  if (eviction.live.empty() || !job.need.fits(room)) eviction.score = never;
   return eviction;
 }
 
-PlacementPass::Eviction PlacementPass::cheapest_eviction(size_t j, bool also_standing) {
+SchedulingCycle::Eviction SchedulingCycle::cheapest_eviction(size_t j, bool also_standing) {
   Eviction best;
   for (size_t m = 0; m < in_.machines.size(); ++m) {
     if (least_urgent_[m] >= urgency_[j]) continue;
     ++out_.examined;
-    if (!allowed(j, m)) continue;
+    if (!is_feasible(j, m)) continue;
     auto eviction = eviction_on(j, m, also_standing);
-    if (eviction.cost < best.cost) best = std::move(eviction);
+    if (eviction.score < best.score) best = std::move(eviction);
   }
   return best;
 }
 
-void PlacementPass::evict(size_t j, const Eviction& eviction) {
+void SchedulingCycle::evict(size_t j, const Eviction& eviction) {
   const size_t m = eviction.machine;
   auto& live = in_.machines[m].live;
   for (size_t i : eviction.live) {
@@ -139,18 +140,18 @@
   for (auto& known : hopeless_) known.clear();  // more may be coming now than this job takes
 }
 
-bool PlacementPass::make_room(size_t j, bool also_standing) {
+bool SchedulingCycle::make_room(size_t j, bool also_standing) {
   if (known_hopeless(j, also_standing)) return false;
   const Eviction best = cheapest_eviction(j, also_standing);
-  if (best.cost == never) {
-    if (speaks_for_others(in_.jobs[j])) hopeless_[also_standing].push_back(j);
+  if (best.score == never) {
+    if (represents_class(in_.jobs[j])) hopeless_[also_standing].push_back(j);
     return false;
   }
   evict(j, best);
   return true;
 }
 
-double PlacementPass::time_to_save(size_t m) const {
+double SchedulingCycle::time_to_save(size_t m) const {
   double longest = 0;
   auto& live = in_.machines[m].live;
   for (size_t i = 0; i < live.size(); ++i)
@@ -159,7 +160,8 @@
   return longest;
 }
 
-bool PlacementPass::beside_image_in_time(size_t j, const Eviction& eviction, double before) const {
+bool SchedulingCycle::beside_image_in_time(size_t j, const Eviction& eviction,
+                                           double precedes) const {
   double longest = time_to_save(eviction.machine);
   for (size_t i : eviction.live) {
     auto& victim = in_.machines[eviction.machine].live[i];
@@ -167,34 +169,34 @@
     if (!abruptly(j, eviction.machine, victim))
       longest = std::max(longest, in_.jobs[victim.job].grace_s);
   }
-  return longest < before;
+  return longest < precedes;
 }
 
-double PlacementPass::machine_cost_after(size_t j, const Eviction& eviction) const {
+double SchedulingCycle::machine_cost_after(size_t j, const Eviction& eviction) const {
   const size_t m = eviction.machine;
-  Amounts room = free_[m];
+  Resources room = free_[m];
   room += future_[m];
   for (size_t i : eviction.live) room += in_.jobs[in_.machines[m].live[i].job].need;
-  return cost(j, m, room);
+  return score(j, m, room);
 }
 
-bool PlacementPass::make_room_beside_image(size_t j, double fetch_s, double cost) {
+bool SchedulingCycle::make_room_beside_image(size_t j, double fetch_s, double score) {
   auto& job = in_.jobs[j];
   // Room that takes as long as the fetch, or longer than is expected of the start, is no gain.
-  const double before = std::min(fetch_s, job.start_within_s);
+  const double precedes = std::min(fetch_s, job.start_within_s);
   // Also what an earlier pass decided: it would else start elsewhere meanwhile, with a fetch.
-  if (claim_coming(j, BesideImage{before, cost})) return true;
+  if (claim_coming(j, BesideImage{precedes, score})) return true;
   Eviction best;
-  best.cost = cost;
+  best.score = score;
   for (size_t m = 0; m < in_.machines.size(); ++m) {
     if (least_urgent_[m] >= urgency_[j] || !holds(in_.machines[m], job.image)) continue;
     ++out_.examined;
-    if (!allowed(j, m)) continue;
+    if (!is_feasible(j, m)) continue;
     auto eviction = eviction_on(j, m, false);
     // Where the machine itself costs more than the other one, the task would not start there once
     // the room is free; what was stopped would, and be stopped again.
-    const bool would_start = machine_cost_after(j, eviction) < cost;
-    if (would_start && eviction.cost < best.cost && beside_image_in_time(j, eviction, before))
+    const bool would_start = machine_cost_after(j, eviction) < score;
+    if (would_start && eviction.score < best.score && beside_image_in_time(j, eviction, precedes))
       best = std::move(eviction);
   }
   if (best.machine == nowhere) return false;
@@ -202,4 +204,4 @@
   return true;
 }
 
-}  // namespace damsonport::placing
+}  // namespace damsonport::scheduling
--- a/src/coordination/record_division.cpp
+++ b/src/coordination/record_division.cpp
@@ -81,7 +81,7 @@
 }
 
 Task<bool> Rechunker::commit_new_layout(std::string id, std::stop_token stop_token) {
-  auto read = co_await store_.get(keys::job(id), Importance::placing);
+  auto read = co_await store_.get(keys::job(id), Importance::scheduling);
   Job* job = cache_.job(id);
   if (!read.ok || !read.found || !job || read.key_value.version != dividing_.job_version)
     co_return false;
--- a/src/coordination/rentals.cpp
+++ b/src/coordination/rentals.cpp
@@ -14,7 +14,7 @@
 // Pause after a refusal, in report periods, and how far it grows.
 constexpr double first_pause_reports = 2, longest_pause_factor = 8;
 
-MachineKind kind_of(const RentalRequest& request) {
+MachineKind kind_of(const ScaleOutRequest& request) {
   return {request.type, request.zone, request.spot};
 }
 
@@ -26,8 +26,8 @@
 }
 }  // namespace
 
-Rentals::Rentals(Loop& loop, const Settings& settings, KeyValueClient& store, RecordCache& cache,
-                 HttpClient& http, uint64_t incarnation)
+ScaleOutRequests::ScaleOutRequests(Loop& loop, const Settings& settings, KeyValueClient& store,
+                                   RecordCache& cache, HttpClient& http, uint64_t incarnation)
     : loop_(loop),
       settings_(settings),
       store_(store),
@@ -35,7 +35,7 @@
       http_(http),
       incarnation_(incarnation) {}
 
-void Rentals::begin_lease(uint64_t fencing_token) {
+void ScaleOutRequests::begin_lease(uint64_t fencing_token) {
   fencing_token_ = fencing_token;
   if (fencing_token == 0) return;
   // The kinds of requests of an older term must not stay closed.
@@ -43,24 +43,25 @@
   answered_.clear();
 }
 
-bool Rentals::refused(const MachineKind& kind) const {
+bool ScaleOutRequests::refused(const MachineKind& kind) const {
   auto it = refusals_.find(kind);
   return it != refusals_.end() && it->second.until > loop_.now();
 }
 
-bool Rentals::scarce(const MachineKind& kind, double within_s) const {
+bool ScaleOutRequests::scarce(const MachineKind& kind, double within_s) const {
   auto it = last_refused_.find(kind);
   return it != last_refused_.end() && loop_.now() - it->second < within_s;
 }
 
-void Rentals::resume(const std::stop_token& stop_token) {
-  std::vector<RentalRequest> left;
+void ScaleOutRequests::resume(const std::stop_token& stop_token) {
+  std::vector<ScaleOutRequest> left;
   for (auto& [id, rental] : cache_.rentals())
     if (!under_way(kind_of(rental.request))) left.push_back(rental.request);
   for (auto& request : left) start(std::move(request), stop_token);
 }
 
-void Rentals::rent(const MachineKind& kind, int count, const std::stop_token& stop_token) {
+void ScaleOutRequests::scale_out(const MachineKind& kind, int count,
+                                 const std::stop_token& stop_token) {
   for (int calls = 0; count > 0 && calls < max_requests_a_kind; ++calls) {
     const int now = std::min(count, max_machines_a_request);
     count -= now;
@@ -71,12 +72,12 @@
   }
 }
 
-void Rentals::start(RentalRequest request, std::stop_token stop_token) {
+void ScaleOutRequests::start(ScaleOutRequest request, std::stop_token stop_token) {
   ++under_way_[kind_of(request)];
   loop_.spawn("rental", run(std::move(request), std::move(stop_token)));
 }
 
-Task<void> Rentals::run(RentalRequest request, std::stop_token stop_token) {
+Task<void> ScaleOutRequests::run(ScaleOutRequest request, std::stop_token stop_token) {
   const auto fencing_token = fencing_token_;
   const auto kind = kind_of(request);
   co_await carry_out(std::move(request), std::move(stop_token));
@@ -86,7 +87,7 @@
     under_way_.erase(it);
 }
 
-Task<void> Rentals::carry_out(RentalRequest request, std::stop_token stop_token) {
+Task<void> ScaleOutRequests::carry_out(ScaleOutRequest request, std::stop_token stop_token) {
   const auto fencing_token = fencing_token_;
   // Answered, but the state service could not remove its record: not asked for again and again.
   if (answered_.contains(request.id)) {
@@ -101,7 +102,7 @@
   co_await forget_request(request.id);
 }
 
-Task<bool> Rentals::commit_request(const RentalRequest& request) {
+Task<bool> ScaleOutRequests::commit_request(const ScaleOutRequest& request) {
   Transaction transaction;
   transaction.preconditions[keys::shard_table] = cache_.shard_table_version();
   transaction.preconditions[keys::rental(request.id)] = 0;
@@ -112,30 +113,31 @@
                                  {"count", request.count}},
                                 0});
   auto writes = transaction.writes;
-  auto reply = co_await store_.compare_and_swap(std::move(transaction), Importance::placing);
+  auto reply = co_await store_.compare_and_swap(std::move(transaction), Importance::scheduling);
   if (reply.outcome != TransactionOutcome::committed) co_return false;
   cache_.apply_writes(writes, reply.revision);
   co_return true;
 }
 
-Task<HttpReply> Rentals::ask_cloud(const RentalRequest& request, std::stop_token stop_token) {
+Task<HttpReply> ScaleOutRequests::ask_cloud(const ScaleOutRequest& request,
+                                            std::stop_token stop_token) {
   const auto fencing_token = fencing_token_;
   HttpReply reply;
   for (int tries = 0; fencing_token == fencing_token_ && !stop_token.stop_requested(); ++tries) {
-    reply = co_await http_.request(settings_.cloud, Method::post, "/hosts", encode_rental(request),
-                                   cloud_timeout_s);
+    reply = co_await http_.request(settings_.cloud, Method::post, "/hosts",
+                                   encode_scale_out_request(request), cloud_timeout_s);
     if (is_answer(reply) || tries >= max_repeats) break;
     if (!co_await Sleep(loop_, loop_.uniform(0.3, 1.0) * (tries + 1), stop_token)) break;
   }
   co_return reply;
 }
 
-void Rentals::note_answer(const RentalRequest& request, const HttpReply& reply) {
+void ScaleOutRequests::note_answer(const ScaleOutRequest& request, const HttpReply& reply) {
   const auto kind = kind_of(request);
   std::vector<std::string> machines;
   if (reply.status == 200) {
-    machines = decode_rented(decode_map(reply.body));
-    if (on_rented) on_rented(machines, kind);
+    machines = decode_created_machines(decode_map(reply.body));
+    if (on_machines_created) on_machines_created(machines, kind);
     spdlog::info("rented {} of {} {} in {}{}", machines.size(), request.count, request.type,
                  request.zone, request.spot ? " (spot)" : "");
   }
@@ -154,11 +156,11 @@
                 kind.spot ? " (spot)" : "");
 }
 
-Task<void> Rentals::forget_request(std::string id) {
+Task<void> ScaleOutRequests::forget_request(std::string id) {
   Transaction transaction;
   transaction.writes.push_back({keys::rental(id), Json(), 0});
   auto writes = transaction.writes;
-  auto removed = co_await store_.compare_and_swap(std::move(transaction), Importance::placing);
+  auto removed = co_await store_.compare_and_swap(std::move(transaction), Importance::scheduling);
   if (removed.outcome != TransactionOutcome::committed) co_return;
   cache_.apply_writes(writes, removed.revision);
   answered_.erase(id);
--- a/src/coordination/rentals.hpp
+++ b/src/coordination/rentals.hpp
@@ -20,19 +20,20 @@
   auto operator<=>(const MachineKind&) const = default;
 };
 
-class Rentals {
+class ScaleOutRequests {
  public:
-  Rentals(Loop& loop, const Settings& settings, KeyValueClient& store, RecordCache& cache,
-          HttpClient& http, uint64_t incarnation);
+  ScaleOutRequests(Loop& loop, const Settings& settings, KeyValueClient& store, RecordCache& cache,
+                   HttpClient& http, uint64_t incarnation);
   // Called with the machines that the cloud says it has rented.
-  std::function<void(const std::vector<std::string>& machines, const MachineKind&)> on_rented;
+  std::function<void(const std::vector<std::string>& machines, const MachineKind&)>
+      on_machines_created;
 
   // A grant with this term begins, or ends (0). Requests under way under an older term end without
   // a word.
   void begin_lease(uint64_t fencing_token);
   // Requests that an earlier holder, or this one, sent without getting an answer.
   void resume(const std::stop_token& stop_token);
-  void rent(const MachineKind& kind, int count, const std::stop_token& stop_token);
+  void scale_out(const MachineKind& kind, int count, const std::stop_token& stop_token);
   bool under_way(const MachineKind& kind) const { return under_way_.contains(kind); }
   // The cloud has refused this kind lately.
   bool refused(const MachineKind& kind) const;
@@ -45,12 +46,12 @@
   struct Refusal {
     double until = 0, pause_s = 0;
   };
-  void start(RentalRequest request, std::stop_token stop_token);
-  Task<void> run(RentalRequest request, std::stop_token stop_token);
-  Task<void> carry_out(RentalRequest request, std::stop_token stop_token);
-  Task<bool> commit_request(const RentalRequest& request);
-  Task<HttpReply> ask_cloud(const RentalRequest& request, std::stop_token stop_token);
-  void note_answer(const RentalRequest& request, const HttpReply& reply);
+  void start(ScaleOutRequest request, std::stop_token stop_token);
+  Task<void> run(ScaleOutRequest request, std::stop_token stop_token);
+  Task<void> carry_out(ScaleOutRequest request, std::stop_token stop_token);
+  Task<bool> commit_request(const ScaleOutRequest& request);
+  Task<HttpReply> ask_cloud(const ScaleOutRequest& request, std::stop_token stop_token);
+  void note_answer(const ScaleOutRequest& request, const HttpReply& reply);
   Task<void> forget_request(std::string id);
 
   Loop& loop_;
--- a/src/coordination/replicas/replica_manager.cpp
+++ b/src/coordination/replicas/replica_manager.cpp
@@ -161,7 +161,7 @@
   if (history.failed_attempt == attempt) return;
   history.failed_attempt = attempt;
   ++history.failures;
-  const double pause_s = backoff_s(settings_.replicas.policy(job.spec.cls), history.failures,
+  const double pause_s = backoff_s(settings_.replicas.policy(job.spec.job_class), history.failures,
                                    settings_.lease_s, loop_.uniform(0, 1));
   history.turn.backoff_until = loop_.now() + pause_s;
 }
@@ -177,15 +177,15 @@
 std::vector<ReplicaManager::Replica> ReplicaManager::take_moves() {
   std::map<std::string, uint32_t> down;  // by class
   for (auto& [key, history] : replicas_)
-    if (const Job* job = cache_.job(key.first); job && history.moving) ++down[job->spec.cls];
+    if (const Job* job = cache_.job(key.first); job && history.moving) ++down[job->spec.job_class];
   std::vector<Replica> moves;
   for (auto& [key, history] : replicas_) {
     const Job* job = cache_.job(key.first);
     if (!job || job->cancelled || history.state != ReplicaState::ready) continue;
     const TaskRange replica = gang_range(job->spec, key.second);
     if (!on_leaving_machine(*job, replica)) continue;
-    uint32_t& of_class = down[job->spec.cls];
-    if (of_class >= settings_.replicas.policy(job->spec.cls).moves) continue;
+    uint32_t& of_class = down[job->spec.job_class];
+    if (of_class >= settings_.replicas.policy(job->spec.job_class).moves) continue;
     ++of_class;
     history.moving = true;
     spdlog::info("replica {}:{} is moved off a machine that is going", key.first, key.second);
@@ -223,8 +223,8 @@
     History& history = replicas_.at(key);
     const RangeRecord record = job->record_of(gang_range(job->spec, key.second));
     if (record.last_attempt == 0) continue;
-    OfClass& own = classes[job->spec.cls];
-    own.policy = &settings_.replicas.policy(job->spec.cls);
+    OfClass& own = classes[job->spec.job_class];
+    own.policy = &settings_.replicas.policy(job->spec.job_class);
     if (record.live == 0) {
       own.waiting.push_back(&history);
       concerned.insert(key.first);
@@ -234,7 +234,7 @@
   }
   const double now = loop_.now();
   const double turn_s = turn_reports * settings_.heartbeat_interval_s;
-  for (auto& [cls, own] : classes) {
+  for (auto& [job_class, own] : classes) {
     std::vector<RepairCandidate> candidates;
     for (const History* history : own.waiting) candidates.push_back(history->turn);
     const auto chosen =
--- a/src/coordination/sizing.cpp
+++ b/src/coordination/sizing.cpp
@@ -8,7 +8,7 @@
 
 #include "coordination/headroom.hpp"
 
-namespace damsonport::sizing {
+namespace damsonport::autoscaling {
 
 namespace {
 
@@ -21,12 +21,12 @@
   const MachineType* type;
   std::string zone;
   bool spot;
-  Amounts free;
+  Resources free;
 };
 
 class Planner {
  public:
-  explicit Planner(const Input& in)
+  explicit Planner(const AutoscalerInput& in)
       : in_(in),
         max_new_(std::max(new_at_least,
                           static_cast<int>(new_share * static_cast<double>(in.machines.size())))) {
@@ -37,12 +37,12 @@
     }
   }
 
-  Plan run() {
+  ScalingPlan run() {
     for (auto& r : in_.replacements) add(best_like(r));
     serve_demand();
     keep_spot();
     keep_spare();
-    give_back();
+    scale_in();
     return std::move(out_);
   }
 
@@ -52,11 +52,11 @@
       if (t.name == name) return &t;
     return nullptr;
   }
-  static Amounts whole(const MachineType& t) { return {t.cpus, t.gpus, t.memory_gb}; }
+  static Resources whole(const MachineType& t) { return {t.cpus, t.gpus, t.memory_gb}; }
 
   // The same kind if it can be had, else the other way of renting or another zone.
-  const Offer* best_like(const Offer& wanted) const {
-    const Offer* best = nullptr;
+  const InstanceOffer* best_like(const InstanceOffer& wanted) const {
+    const InstanceOffer* best = nullptr;
     for (auto& o : in_.offers) {
       if (o.refused || o.under_way || o.type != wanted.type) continue;
       if (o.spot && !wanted.spot) continue;
@@ -70,28 +70,28 @@
   int machines_in(const std::string& zone, const std::string& type) const {
     auto it = machines_in_.find({zone, type});
     int n = it == machines_in_.end() ? 0 : it->second;
-    for (auto& r : out_.rent) n += r.zone == zone && r.type == type ? r.count : 0;
+    for (auto& r : out_.scale_out) n += r.zone == zone && r.type == type ? r.count : 0;
     return n;
   }
 
-  void add(const Offer* offer) {
+  void add(const InstanceOffer* offer) {
     if (!offer || added_ >= max_new_) return;
     auto* t = type(offer->type);
     if (!t) return;
     ++added_;
     rooms_.push_back({t, offer->zone, offer->spot, whole(*t)});
-    for (auto& r : out_.rent)
+    for (auto& r : out_.scale_out)
       if (r.type == offer->type && r.zone == offer->zone && r.spot == offer->spot) {
         ++r.count;
         return;
       }
-    out_.rent.push_back({offer->type, offer->zone, offer->spot, 1});
+    out_.scale_out.push_back({offer->type, offer->zone, offer->spot, 1});
   }
 
   // The cheapest kind per task; among equals the zone with fewer machines, so that the fleet stays
   // spread.
-  const Offer* best_for(const Demand& d, bool only_spot = false) const {
-    const Offer* best = nullptr;
+  const InstanceOffer* best_for(const ResourceDemand& d, bool only_spot = false) const {
+    const InstanceOffer* best = nullptr;
     double best_cost = std::numeric_limits<double>::infinity();
     for (auto& o : in_.offers) {
       auto* t = type(o.type);
@@ -112,23 +112,24 @@
     return best;
   }
 
-  static bool suits(const Demand& d, const std::string& type, const std::string& zone, bool spot) {
+  static bool matches_constraints(const ResourceDemand& d, const std::string& type,
+                                  const std::string& zone, bool spot) {
     return (!spot || d.spot) && (d.zone.empty() || d.zone == zone) &&
            (d.types.empty() || std::find(d.types.begin(), d.types.end(), type) != d.types.end());
   }
 
   // Takes room for up to so many tasks of the like; yields how many found some.
-  uint32_t take_room(Room& room, const Demand& d, uint32_t count) {
+  uint32_t take_room(Room& room, const ResourceDemand& d, uint32_t count) {
     ++out_.examined;
-    if (!suits(d, room.type->name, room.zone, room.spot)) return 0;
+    if (!matches_constraints(d, room.type->name, room.zone, room.spot)) return 0;
     const uint32_t most = d.distinct_machines ? std::min(count, 1U) : count;
-    const uint32_t taken = std::min(most, placing::count_fitting(d.need, room.free));
+    const uint32_t taken = std::min(most, scheduling::count_fitting(d.need, room.free));
     room.free -= d.need * taken;
     return taken;
   }
 
   // From the first room on. A room that is passed over has none left for a later task either.
-  uint32_t take_rooms(std::vector<Room>& rooms, const Demand& d, uint32_t count) {
+  uint32_t take_rooms(std::vector<Room>& rooms, const ResourceDemand& d, uint32_t count) {
     uint32_t left = count;
     for (auto& room : rooms) {
       if (left == 0) break;
@@ -138,10 +139,10 @@
   }
 
   // Room for all of the like, renting where there is none; yields how many are left without.
-  uint32_t serve(const Demand& d) {
+  uint32_t serve(const ResourceDemand& d) {
     uint32_t left = d.count - take_rooms(rooms_, d, d.count);
     while (left > 0 && added_ < max_new_) {
-      const Offer* offer = best_for(d);
+      const InstanceOffer* offer = best_for(d);
       // What may use spot machines is not worth a dearer one as long as the cheapest may come.
       if (!offer || offer->under_way) break;
       add(offer);
@@ -153,7 +154,7 @@
   }
 
   // Machines for all of a gang in one of its zones, or none.
-  void serve_gang(const Demand& d) {
+  void serve_gang(const ResourceDemand& d) {
     std::vector<std::string> zones{d.zone};
     if (d.one_zone && d.zone.empty()) {
       zones.clear();
@@ -161,14 +162,14 @@
         if (std::find(zones.begin(), zones.end(), o.zone) == zones.end()) zones.push_back(o.zone);
     }
     for (auto& zone : zones) {
-      Demand in_zone = d;
+      ResourceDemand in_zone = d;
       in_zone.zone = zone;
       const auto rooms = rooms_;
-      const auto rent = out_.rent;
+      const auto scale_out = out_.scale_out;
       const int added = added_;
       if (serve(in_zone) == 0) return;
       rooms_ = rooms;
-      out_.rent = rent;
+      out_.scale_out = scale_out;
       added_ = added;
     }
   }
@@ -203,7 +204,7 @@
     for (auto& m : in_.machines) {
       auto* t = type(m.type);
       if (!t || m.spot || !m.open || !m.has_fixed_work || scarce(m)) continue;
-      Amounts room = m.free;
+      Resources room = m.free;
       room += m.yielding;
       rooms.push_back({{t, m.zone, false, room}, &m});
     }
@@ -213,7 +214,7 @@
         if (!t || !m.spot || m.empty != empty || !(m.open || m.booting)) continue;
         rooms.push_back({{t, m.zone, true, whole(*t)}, &m});
       }
-    for (auto& r : out_.rent) {
+    for (auto& r : out_.scale_out) {
       auto* t = type(r.type);
       if (!r.spot) continue;
       rooms.insert(rooms.end(), static_cast<size_t>(r.count),
@@ -223,8 +224,8 @@
   }
 
   // The least that any task of this work takes, of each kind: what has less room is full.
-  Amounts least_spot_need() const {
-    Amounts least{1e18, 1e18, 1e18};
+  Resources least_spot_need() const {
+    Resources least{1e18, 1e18, 1e18};
     for (auto& d : in_.spot_work) {
       least.cpus = std::min(least.cpus, d.need.cpus);
       least.gpus = std::min(least.gpus, d.need.gpus);
@@ -238,7 +239,7 @@
   void keep_spot() {
     if (in_.spot_work.empty()) return;
     auto rooms = rooms_for_spot_work();
-    const Amounts least = least_spot_need();
+    const Resources least = least_spot_need();
     for (auto& d : in_.spot_work) {
       uint32_t left = d.count;
       auto fill_up = [&](SpotRoom& r) {
@@ -277,15 +278,15 @@
       if (r.spot) continue;
       (r.type->gpus > 0 ? gpus : cpus) += r.type->gpus > 0 ? r.free.gpus : r.free.cpus;
     }
-    const double want_gpus = wanted_spare(true) + in_.largest_gpus;
-    const double want_cpus = wanted_spare(false);
+    const double want_gpus = target_headroom(true) + in_.largest_gpus;
+    const double want_cpus = target_headroom(false);
     fill(gpus, want_gpus, true);
     fill(cpus, want_cpus, false);
     spare_gpus_ = gpus - want_gpus;
     spare_cpus_ = cpus - want_cpus;
   }
 
-  double wanted_spare(bool accelerators) const {
+  double target_headroom(bool accelerators) const {
     headroom::Pool pool;
     pool.in_use = accelerators ? in_.gpu_work.gpus : in_.cpu_work.cpus;
     pool.expected = accelerators ? in_.expected_gpus : in_.expected_cpus;
@@ -295,7 +296,7 @@
       const double units = std::max(accelerators ? m.total.gpus : m.total.cpus, 1.0);
       pool.unit_price = std::max(pool.unit_price, hourly_price(m) / units);
     }
-    return headroom::wanted_spare(pool, in_.spare_share, in_.cheap_share);
+    return headroom::target_headroom(pool, in_.headroom_share, in_.cheap_share);
   }
 
   double hourly_price(const MachineState& m) const {
@@ -306,7 +307,7 @@
 
   void fill(double& have, double want, bool accelerators) {
     while (have < want && added_ < max_new_) {
-      const Offer* best = nullptr;
+      const InstanceOffer* best = nullptr;
       double best_cost = std::numeric_limits<double>::infinity();
       for (auto& o : in_.offers) {
         auto* t = type(o.type);
@@ -323,7 +324,8 @@
   }
 
   bool rents(const std::string& type) const {
-    return std::any_of(out_.rent.begin(), out_.rent.end(), [&](auto& r) { return r.type == type; });
+    return std::any_of(out_.scale_out.begin(), out_.scale_out.end(),
+                       [&](auto& r) { return r.type == type; });
   }
 
   // As long as renting another one would cost: it boots, and fetches the images that this one
@@ -337,22 +339,22 @@
     return t && m.open && m.empty && m.idle_s >= keep_idle_s(m, *t) && !rents(m.type);
   }
 
-  void give_back() {
+  void scale_in() {
     for (auto& m : in_.machines) {
       if (!may_go(m)) continue;
       if (m.spot) {
-        if (!needed_.contains(m.id)) out_.give_back.push_back(m.id);
+        if (!needed_.contains(m.id)) out_.scale_in.push_back(m.id);
         continue;
       }
       double& spare = m.total.gpus > 0 ? spare_gpus_ : spare_cpus_;
       const double unit = m.total.gpus > 0 ? m.total.gpus : m.total.cpus;
       if (spare < unit) continue;
       spare -= unit;
-      out_.give_back.push_back(m.id);
+      out_.scale_in.push_back(m.id);
     }
   }
 
-  const Input& in_;
+  const AutoscalerInput& in_;
   const int max_new_;
   std::vector<Room> rooms_;
   int added_ = 0;
@@ -360,11 +362,11 @@
   std::map<std::pair<std::string, std::string>, int> machines_in_;
   double spare_gpus_ = 0, spare_cpus_ = 0;
   std::set<std::string> needed_;  // machines that work which may use spot machines has room on
-  Plan out_;
+  ScalingPlan out_;
 };
 
 }  // namespace
 
-Plan plan(const Input& in) { return Planner(in).run(); }
+ScalingPlan plan(const AutoscalerInput& in) { return Planner(in).run(); }
 
-}  // namespace damsonport::sizing
+}  // namespace damsonport::autoscaling
--- a/src/coordination/sizing.hpp
+++ b/src/coordination/sizing.hpp
@@ -9,15 +9,15 @@
 namespace damsonport {
 
 // What each task of the job takes of its machine.
-inline placing::Amounts need_of(const JobSpec& spec) {
+inline scheduling::Resources resources_per_task(const JobSpec& spec) {
   return {spec.cpus, spec.gpus, spec.memory_gb};
 }
 
 }  // namespace damsonport
 
-namespace damsonport::sizing {
+namespace damsonport::autoscaling {
 
-using placing::Amounts;
+using scheduling::Resources;
 
 struct MachineState {
   std::string id, type, zone;
@@ -27,14 +27,14 @@
   bool empty = false;
   double idle_s = 0;
   double images_gb = 0;  // held
-  Amounts total, free;
+  Resources total, free;
   // Held by tasks that may use spot machines and save by themselves: they give way to urgent work.
-  Amounts yielding;
+  Resources yielding;
   bool has_fixed_work = false;  // runs tasks that may not use spot machines
 };
 
-struct Demand {
-  Amounts need;
+struct ResourceDemand {
+  Resources need;
   uint32_t count = 0;
   std::vector<std::string> types;
   std::string zone;
@@ -44,7 +44,7 @@
   bool one_zone = false;           // all of it in the same zone
 };
 
-struct Offer {  // one kind of machine that the cloud may have
+struct InstanceOffer {  // one kind of machine that the cloud may have
   std::string type, zone;
   bool spot = false;
   bool refused = false;  // lately
@@ -53,39 +53,39 @@
   bool under_way = false;  // a request for it is not answered yet
 };
 
-struct Input {
+struct AutoscalerInput {
   std::vector<MachineType> types;
-  std::vector<Offer> offers;
+  std::vector<InstanceOffer> offers;
   std::vector<MachineState> machines;
-  std::vector<Demand> demand;  // could not be placed
+  std::vector<ResourceDemand> demand;  // could not be placed
   // All unfinished work that may use spot machines, whether it runs already or not.
-  std::vector<Demand> spot_work;
-  std::vector<Offer> replacements;  // machines to be replaced before they are drained
+  std::vector<ResourceDemand> spot_work;
+  std::vector<InstanceOffer> replacements;  // machines to be replaced before they are drained
   // The spare room: a share of what is in use, of which what costs more than the second share of
   // the fleet's price is kept only as far as arrivals are expected.
-  double spare_share = 0.25, cheap_share = 0.05;
+  double headroom_share = 0.25, cheap_share = 0.05;
   // An idle machine is given back after so many times what another one would take to replace it: to
   // boot and to fetch the images.
   double idle_replacements = 1;
   // Of all unfinished tasks, with and without accelerators.
-  Amounts gpu_work, cpu_work;
+  Resources gpu_work, cpu_work;
   double largest_gpus = 0;  // the largest task that may not use spot machines
   // Accelerators, and CPUs of work without them, likely to be asked for while a machine boots.
   double expected_gpus = 0, expected_cpus = 0;
 };
 
-struct Rent {
+struct ScaleOut {
   std::string type, zone;
   bool spot = false;
   int count = 0;
 };
 
-struct Plan {
-  std::vector<Rent> rent;
-  std::vector<std::string> give_back;
+struct ScalingPlan {
+  std::vector<ScaleOut> scale_out;
+  std::vector<std::string> scale_in;
   size_t examined = 0;  // rooms and machines looked at: the work of this plan
 };
 
-Plan plan(const Input& in);
+ScalingPlan plan(const AutoscalerInput& in);
 
-}  // namespace damsonport::sizing
+}  // namespace damsonport::autoscaling
--- a/src/coordination/spending.cpp
+++ b/src/coordination/spending.cpp
@@ -10,13 +10,13 @@
 
 constexpr double seconds_an_hour = 3600;
 
-double price_of(const std::vector<MachineType>& types, const sizing::MachineState& machine) {
+double price_of(const std::vector<MachineType>& types, const autoscaling::MachineState& machine) {
   for (auto& type : types)
     if (type.name == machine.type) return machine.spot ? type.spot_price : type.price;
   return 0;
 }
 
-Cost hourly_cost(const sizing::MachineState& machine, double price) {
+Cost hourly_cost(const autoscaling::MachineState& machine, double price) {
   if (machine.booting) return {price, 0, 0};
   const double in_use = price * utilisation(machine);
   return {0, in_use, price - in_use};
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-double utilisation(const sizing::MachineState& machine) {
+double utilisation(const autoscaling::MachineState& machine) {
   auto share = [](double total, double free) { return total > 0 ? 1 - free / total : 0; };
   const double most = std::max({share(machine.total.cpus, machine.free.cpus),
                                 share(machine.total.gpus, machine.free.gpus),
@@ -43,13 +43,13 @@
   return std::clamp(most, 0.0, 1.0);
 }
 
-void SpendingAccount::begin_lease(double now) {
+void CostAccount::begin_lease(double now) {
   *this = {};
   began_at_ = charged_until_ = next_report_ = now;
 }
 
-void SpendingAccount::charge(const std::vector<sizing::MachineState>& machines,
-                             const std::vector<MachineType>& types, double now) {
+void CostAccount::charge(const std::vector<autoscaling::MachineState>& machines,
+                         const std::vector<MachineType>& types, double now) {
   const double hours = (now - charged_until_) / seconds_an_hour;
   charged_until_ = now;
   hourly_ = {};
@@ -69,7 +69,7 @@
   }
 }
 
-std::optional<std::string> SpendingAccount::report(double now, double every_s) {
+std::optional<std::string> CostAccount::report(double now, double every_s) {
   if (now < next_report_) return std::nullopt;
   next_report_ = now + every_s;
   auto line = fmt::format("costs: {} an hour, {} in the {:.0f} s of this term", text_of(hourly_),
--- a/src/coordination/spending.hpp
+++ b/src/coordination/spending.hpp
@@ -19,14 +19,14 @@
 };
 
 // The largest share of a machine's CPUs, accelerators or memory that its tasks occupy.
-double utilisation(const sizing::MachineState& machine);
+double utilisation(const autoscaling::MachineState& machine);
 
-class SpendingAccount {
+class CostAccount {
  public:
   // Forgets what was charged before.
   void begin_lease(double now);
   // Charges the time since the last call for the machines that are there now, at these prices.
-  void charge(const std::vector<sizing::MachineState>& machines,
+  void charge(const std::vector<autoscaling::MachineState>& machines,
               const std::vector<MachineType>& types, double now);
   // A line for the log, when one is due; its times are `every_s` apart.
   std::optional<std::string> report(double now, double every_s);
--- a/src/coordination/user_api.cpp
+++ b/src/coordination/user_api.cpp
@@ -34,7 +34,7 @@
 };
 
 UserApi::UserApi(Loop& loop, const Settings& settings, KeyValueClient& store, RecordCache& cache,
-                 Catalog& catalog, const VersionRegistry& versions)
+                 MachineTypeCatalog& catalog, const VersionRegistry& versions)
     : loop_(loop),
       settings_(settings),
       store_(store),
@@ -208,7 +208,7 @@
     co_return known;
   }
   // An older controller would run a gang's tasks one by one.
-  if (spec->kind == Kind::gang && !versions_.all_have(VersionRegistry::gangs)) co_return busy();
+  if (spec->kind == JobKind::gang && !versions_.all_have(VersionRegistry::gangs)) co_return busy();
   if (spec->replicated() && !versions_.all_have(VersionRegistry::replicas)) co_return busy();
   write_arrivals_.note(loop_.now());
   // Nobody is held beyond what can be written soon; whoever comes later is told when to come back.
@@ -299,7 +299,7 @@
     if (fresh) {
       cache_.apply_writes(writes, reply.revision);
       for (auto* s : batch)
-        spdlog::debug("accepted {}: {} x {} of {}", s->spec.id, s->spec.tasks, s->spec.cls,
+        spdlog::debug("accepted {}: {} x {} of {}", s->spec.id, s->spec.tasks, s->spec.job_class,
                       s->spec.team);
     }
     finish(batch, fresh ? Accepted::fresh : Accepted::unavailable);
--- a/src/coordination/user_api.hpp
+++ b/src/coordination/user_api.hpp
@@ -17,7 +17,7 @@
 class UserApi {
  public:
   UserApi(Loop& loop, const Settings& settings, KeyValueClient& store, RecordCache& cache,
-          Catalog& catalog, const VersionRegistry& versions);
+          MachineTypeCatalog& catalog, const VersionRegistry& versions);
   Task<void> run_accept_loop(std::stop_token stop_token);
   Task<void> run_confirm_loop(std::stop_token stop_token);
   // Writes that users ask for: those that wait, those told to come back a moment ago, and what is
@@ -57,7 +57,7 @@
   const Settings& settings_;
   KeyValueClient& store_;
   RecordCache& cache_;
-  Catalog& catalog_;
+  MachineTypeCatalog& catalog_;
   const VersionRegistry& versions_;
   Notification submitted_, asked_;
   std::deque<Submission*> submissions_;
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -131,7 +131,8 @@
   std::string text;
   auto bad = [](const char* name) { return Error{std::string(name) + " is missing or invalid"}; };
   if (!get(m, "ref", s.id) || !valid_job_id(s.id)) return bad("ref");
-  if (!get(m, "berth", s.cls) || s.cls.empty() || s.cls.size() > max_text) return bad("berth");
+  if (!get(m, "berth", s.job_class) || s.job_class.empty() || s.job_class.size() > max_text)
+    return bad("berth");
   if (!get(m, "owner", s.team) || s.team.empty() || s.team.size() > max_text) return bad("owner");
   if (!get(m, "shape", text) || !parse_enum(kinds, text, s.kind)) return bad("shape");
   if (!get(m, "rank", text) || !parse_enum(priorities, text, s.priority)) return bad("rank");
@@ -181,7 +182,7 @@
 
 Json encode_job(const JobSpec& s) {
   Json m = {{"ref", s.id},
-            {"berth", s.cls},
+            {"berth", s.job_class},
             {"owner", s.team},
             {"shape", kinds[static_cast<size_t>(s.kind)]},
             {"rank", priorities[static_cast<size_t>(s.priority)]},
@@ -321,7 +322,7 @@
   return out;
 }
 
-std::string encode_rental(const RentalRequest& r) {
+std::string encode_scale_out_request(const ScaleOutRequest& r) {
   return encode({{"charter", r.id},
                  {"hull", r.type},
                  {"dock", r.zone},
@@ -329,7 +330,7 @@
                  {"count", r.count}});
 }
 
-std::vector<std::string> decode_rented(const Json& m) {
+std::vector<std::string> decode_created_machines(const Json& m) {
   std::vector<std::string> out;
   if (m.is_object()) get(m, "vessels", out);
   return out;
--- a/src/protocol/messages.hpp
+++ b/src/protocol/messages.hpp
@@ -17,13 +17,13 @@
 std::string encode(const Json& value);
 
 // A gang's tasks run only together: all of them at the same time, or none.
-enum class Kind : uint8_t { batch, service, gang };
+enum class JobKind : uint8_t { batch, service, gang };
 // Higher is more urgent.
 enum class Priority : uint8_t { idle, normal, high, production };
 
 struct JobSpec {
-  std::string id, cls, team;
-  Kind kind = Kind::batch;
+  std::string id, job_class, team;
+  JobKind kind = JobKind::batch;
   Priority priority = Priority::normal;
   uint32_t tasks = 1;
   double cpus = 0, gpus = 0, memory_gb = 0;
@@ -41,10 +41,10 @@
   bool distinct_machines = false;  // no two parts of a replica on one machine
 
   // A service whose replicas have several parts.
-  bool replicated() const { return kind == Kind::service && parts > 1; }
+  bool replicated() const { return kind == JobKind::service && parts > 1; }
   // Tasks that start and end as one: all of a gang, or the parts of a replica; 0: each for itself.
   uint32_t gang_size() const {
-    if (kind == Kind::gang) return tasks;
+    if (kind == JobKind::gang) return tasks;
     return replicated() ? parts : 0;
   }
 };
@@ -123,13 +123,13 @@
 };
 Result<MachineList> decode_machine_list(const Json& m);
 
-struct RentalRequest {
+struct ScaleOutRequest {
   std::string id, type, zone;
   bool spot = false;
   int count = 0;
 };
-std::string encode_rental(const RentalRequest& r);
-std::vector<std::string> decode_rented(const Json& m);
+std::string encode_scale_out_request(const ScaleOutRequest& r);
+std::vector<std::string> decode_created_machines(const Json& m);
 std::string encode_return(const std::vector<std::string>& machines);
 
 std::string encode_job_status(const std::string& id, std::string_view status);
--- a/src/protocol/replica_settings.cpp
+++ b/src/protocol/replica_settings.cpp
@@ -29,26 +29,28 @@
   explicit ClassReader(const SexpDocument& document) : document_(document) {}
 
   // The class's name, as far as it was read.
-  const std::string& name() const { return policy_.cls; }
+  const std::string& name() const { return policy_.job_class; }
 
   Result<ReplicaPolicy> read(const sexp_t* entry) {
     const std::string word = SexpDocument::atom(SexpDocument::is_list(entry) ? entry->list : entry);
     if (!SexpDocument::is_list(entry) || word != "class")
       return Error{document_.at_line(word) + "expected (class NAME ...)"};
     const sexp_t* name = entry->list->next;
-    policy_.cls = SexpDocument::atom(name);
-    if (policy_.cls.empty()) return Error{document_.at_line("class") + "a class needs a name"};
+    policy_.job_class = SexpDocument::atom(name);
+    if (policy_.job_class.empty())
+      return Error{document_.at_line("class") + "a class needs a name"};
     for (const sexp_t* part = name->next; part; part = part->next) read_entry(part);
-    if (!seen_.contains("parts")) fail(policy_.cls, "parts is missing");
+    if (!seen_.contains("parts")) fail(policy_.job_class, "parts is missing");
     if (policy_.first_backoff_leases > policy_.longest_backoff_leases)
-      fail(policy_.cls, "the first backoff is longer than the longest");
+      fail(policy_.job_class, "the first backoff is longer than the longest");
     if (!problems_.text.empty()) return problems_;
     return policy_;
   }
 
  private:
   void fail(const std::string& word, const std::string& what) {
-    problems_.add(document_.at_line(word, policy_.cls) + "class " + policy_.cls + ": " + what);
+    problems_.add(document_.at_line(word, policy_.job_class) + "class " + policy_.job_class + ": " +
+                  what);
   }
 
   void read_entry(const sexp_t* entry) {
@@ -108,21 +110,21 @@
 
 }  // namespace
 
-const ReplicaPolicy* ReplicaSettings::find(const std::string& cls) const {
+const ReplicaPolicy* ReplicaSettings::find(const std::string& job_class) const {
   for (auto& policy : classes)
-    if (policy.cls == cls) return &policy;
+    if (policy.job_class == job_class) return &policy;
   return nullptr;
 }
 
-const ReplicaPolicy& ReplicaSettings::policy(const std::string& cls) const {
+const ReplicaPolicy& ReplicaSettings::policy(const std::string& job_class) const {
   static const ReplicaPolicy defaults;
-  const ReplicaPolicy* named = find(cls);
+  const ReplicaPolicy* named = find(job_class);
   return named ? *named : defaults;
 }
 
 void ReplicaSettings::describe(JobSpec& spec) const {
-  const ReplicaPolicy* policy = find(spec.cls);
-  if (!policy || spec.kind != Kind::service) return;
+  const ReplicaPolicy* policy = find(spec.job_class);
+  if (!policy || spec.kind != JobKind::service) return;
   spec.parts = policy->parts;
   spec.distinct_machines = policy->distinct_machines;
 }
--- a/src/protocol/replica_settings.hpp
+++ b/src/protocol/replica_settings.hpp
@@ -19,7 +19,7 @@
 
 // How replicas of a class are repaired and moved.
 struct ReplicaPolicy {
-  std::string cls;
+  std::string job_class;
   uint32_t parts = 1;  // of a replica
   bool distinct_machines = false;
   // Replicas that may be under repair, and that may be down for a move, at a time.
@@ -32,9 +32,9 @@
   std::vector<ReplicaPolicy> classes;
 
   // Of this class, or null.
-  const ReplicaPolicy* find(const std::string& cls) const;
+  const ReplicaPolicy* find(const std::string& job_class) const;
   // Of this class, or the defaults where the file doesn't name it.
-  const ReplicaPolicy& policy(const std::string& cls) const;
+  const ReplicaPolicy& policy(const std::string& job_class) const;
   // Writes into a service's description of how many parts its replicas are, as the file has its
   // class.
   void describe(JobSpec& spec) const;
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -90,9 +90,9 @@
 
 }  // namespace
 
-double Settings::within(const std::string& kind, const std::string& cls) const {
+double Settings::within(const std::string& kind, const std::string& job_class) const {
   for (auto& o : objectives)
-    if (o.kind == kind && o.cls == cls) return o.within_s;
+    if (o.kind == kind && o.job_class == job_class) return o.within_s;
   return 0;
 }
 
--- a/src/protocol/settings.hpp
+++ b/src/protocol/settings.hpp
@@ -26,7 +26,7 @@
 
 struct Objective {
   std::string kind;  // wait, deadline, guarantee, ...
-  std::string cls;
+  std::string job_class;
   double within_s = 0;
 };
 
@@ -52,11 +52,11 @@
   const TeamSettings* team(const std::string& name) const;
   // Within how many seconds tasks of this class, or work within a guarantee, should start; 0: none
   // is stated.
-  double start_within(const std::string& cls) const { return within("wait", cls); }
+  double start_within(const std::string& job_class) const { return within("wait", job_class); }
   double guarantee_within() const { return within("guarantee", {}); }
 
  private:
-  double within(const std::string& kind, const std::string& cls) const;
+  double within(const std::string& kind, const std::string& job_class) const;
 };
 
 Result<Settings> parse_settings(const std::string& toml_text);
--- a/src/protocol/tuning.cpp
+++ b/src/protocol/tuning.cpp
@@ -30,8 +30,8 @@
     {"gang-hold-after-share", 0, 100, &Tuning::gang_hold_after_share, nullptr},
     {"gang-hold-for-share", 0, 100, &Tuning::gang_hold_for_share, nullptr},
     {"gang-replacement-share", 0, 0.9, &Tuning::gang_replacement_share, nullptr},
-    {"spare-share", 0, 4, &Tuning::spare_share, nullptr},
-    {"cheap-spare-share", 0, 1, &Tuning::cheap_spare_share, nullptr},
+    {"spare-share", 0, 4, &Tuning::headroom_share, nullptr},
+    {"cheap-spare-share", 0, 1, &Tuning::cheap_headroom_share, nullptr},
     {"arrival-spreads", 0, 20, &Tuning::arrival_spreads, nullptr},
     {"idle-replacements", 0, 1000, &Tuning::idle_replacements, nullptr},
 };
--- a/src/protocol/tuning.hpp
+++ b/src/protocol/tuning.hpp
@@ -33,10 +33,10 @@
   double gang_hold_for_share = 4.0;
   double gang_replacement_share = 0.5;
   // Spare room to keep rented, as a share of what is in use.
-  double spare_share = 0.25;
+  double headroom_share = 0.25;
   // Spare room that costs more than this share of the fleet's price is kept only as far as arrivals
   // are expected: their mean during a boot, and so many standard deviations.
-  double cheap_spare_share = 0.05;
+  double cheap_headroom_share = 0.05;
   double arrival_spreads = 2;
   // An idle machine is given back after so many times what another one would take to replace it.
   double idle_replacements = 1;
--- a/src/storage/cache.cpp
+++ b/src/storage/cache.cpp
@@ -159,12 +159,13 @@
   } else if (key.starts_with(keys::rentals)) {
     auto id = tail(keys::rentals);
     if (key_value.value.is_null()) {
-      rentals_.erase(id);
+      scale_out_requests_.erase(id);
     } else {
       auto& v = key_value.value;
-      rentals_[id] = {{id, v.value("type", std::string()), v.value("zone", std::string()),
-                       v.value("spot", false), v.value("count", 0)},
-                      key_value.version};
+      scale_out_requests_[id] = {
+          {id, v.value("type", std::string()), v.value("zone", std::string()),
+           v.value("spot", false), v.value("count", 0)},
+          key_value.version};
     }
   } else if (key.starts_with(keys::exits)) {
     if (key_value.value.is_object()) {
@@ -337,7 +338,7 @@
   std::set<std::string> seen;
   for (;;) {
     if (!first) begun = loop_.now();
-    auto page = co_await store_.range(keys::cached, after, Importance::placing);
+    auto page = co_await store_.range(keys::cached, after, Importance::scheduling);
     if (!page.ok) {
       if (auto times = warning_.note("unreadable", loop_.now()))
         spdlog::warn("the state service can't be read yet ({} times)", *times);
@@ -357,7 +358,7 @@
   std::vector<std::string> gone;
   for (auto& [id, job] : jobs_)
     if (!seen.contains(keys::job(id)) && job->version <= first) gone.push_back(keys::job(id));
-  for (auto& [id, rental] : rentals_)
+  for (auto& [id, rental] : scale_out_requests_)
     if (!seen.contains(keys::rental(id)) && rental.version <= first)
       gone.push_back(keys::rental(id));
   for (auto& key : orphaned_chunks_)
--- a/src/storage/cache.hpp
+++ b/src/storage/cache.hpp
@@ -120,10 +120,10 @@
   // Machine -> the record that marks it.
   const std::map<std::string, std::string>& tombstones() const { return tombstones_; }
   struct Rental {
-    RentalRequest request;
+    ScaleOutRequest request;
     uint64_t version = 0;
   };
-  const std::map<std::string, Rental>& rentals() const { return rentals_; }
+  const std::map<std::string, Rental>& rentals() const { return scale_out_requests_; }
 
   // The version that each controller has recorded of itself.
   const std::map<std::string, uint64_t>& versions() const { return versions_; }
@@ -185,7 +185,7 @@
   uint64_t leader_version_ = 0;
   bool has_leader_ = false;
   std::map<std::string, std::string> tombstones_;
-  std::map<std::string, Rental> rentals_;
+  std::map<std::string, Rental> scale_out_requests_;
   std::map<std::string, uint64_t> versions_;
   std::map<std::string, ForwardedExits> forwarded_exits_;
   std::map<std::string, Budget> budgets_;
--- a/src/storage/rate_limit.hpp
+++ b/src/storage/rate_limit.hpp
@@ -12,7 +12,7 @@
 // Lower is served first.
 // Watching goes before placing: a holder that writes all the time must still hear of cancellations.
 // Users' submissions and cancellations do too: they are few beside what a holder may have to write.
-enum class Importance : uint8_t { lease, watching, accepting, placing, polling };
+enum class Importance : uint8_t { lease, watching, accepting, scheduling, polling };
 
 // A node's share of the writes: a little for each node in any case, the rest by what is wanted.
 // Shares that are worked out from the same figures never add up to more than 1.
--- a/src/transport/event_http.hpp
+++ b/src/transport/event_http.hpp
@@ -69,7 +69,7 @@
     double since;
   };
   evhttp_connection* take(const Endpoint& to);
-  void give_back(const std::string& to, evhttp_connection* connection);
+  void scale_in(const std::string& to, evhttp_connection* connection);
   void discard(evhttp_connection* connection);
   void close_oldest();
   EventLoop& loop_;
--- a/src/transport/event_http_client.cpp
+++ b/src/transport/event_http_client.cpp
@@ -81,7 +81,7 @@
     }
     if (connection) {
       if (reply.answered()) {
-        client.give_back(to.text(), connection);
+        client.scale_in(to.text(), connection);
       } else {
         client.discard(connection);
       }
@@ -112,7 +112,7 @@
   return connection;
 }
 
-void EventHttpClient::give_back(const std::string& to, evhttp_connection* connection) {
+void EventHttpClient::scale_in(const std::string& to, evhttp_connection* connection) {
   --in_use_;
   by_age_.push_back({to, connection, loop_.now()});
   idle_[to].push_back(std::prev(by_age_.end()));
--- a/tests/gangs_test.cpp
+++ b/tests/gangs_test.cpp
@@ -46,7 +46,7 @@
 
 Job gang_of(uint32_t tasks, uint32_t chunk_size) {
   Job job;
-  job.spec.kind = Kind::gang;
+  job.spec.kind = JobKind::gang;
   job.spec.tasks = tasks;
   job.chunk_size = chunk_size;
   return job;
--- a/tests/placing_work_test.cpp
+++ b/tests/placing_work_test.cpp
@@ -5,25 +5,25 @@
 #include "coordination/placement.hpp"
 #include "coordination/sizing.hpp"
 
-namespace damsonport::placing {
+namespace damsonport::scheduling {
 namespace {
 
 constexpr size_t machines = 1800, jobs = 2500;
 
 // A full fleet: every machine runs replicas that nothing may stop.
-Input full_fleet() {
-  Input in;
+SchedulerSnapshot full_fleet() {
+  SchedulerSnapshot in;
   in.teams.push_back({"t", {}, {}});
-  JobView standing;
+  JobSnapshot standing;
   standing.id = "run-standing", standing.team = 0, standing.service = true;
   standing.priority = 3, standing.need = {8, 1, 30};
   in.jobs.push_back(standing);
   for (size_t i = 0; i < machines; ++i) {
-    MachineView m;
+    MachineSnapshot m;
     m.id = "i-" + std::to_string(i), m.type = in.types.id("g"), m.zone = in.zones.id("a");
     m.total = {64, 8, 512};
     for (uint32_t n = 0; n < 8; ++n) {
-      LiveView l;
+      RunningTaskSnapshot l;
       l.index = static_cast<uint32_t>(i) * 8 + n;
       m.live.push_back(l);
     }
@@ -32,9 +32,9 @@
   return in;
 }
 
-void add_waiting(Input& in, size_t count, uint32_t tasks) {
+void add_waiting(SchedulerSnapshot& in, size_t count, uint32_t tasks) {
   for (size_t i = 0; i < count; ++i) {
-    JobView j;
+    JobSnapshot j;
     j.id = "run-" + std::to_string(i), j.team = 0, j.priority = 1;
     j.need = {4, 1, 12}, j.tasks = j.waiting = j.unfinished = tasks;
     j.accepted_at = static_cast<double>(i);
@@ -49,7 +49,7 @@
   auto out = place(in);
   EXPECT_TRUE(out.starts.empty());
   EXPECT_TRUE(out.stops.empty());
-  ASSERT_EQ(out.unplaced.size(), jobs);
+  ASSERT_EQ(out.unschedulable.size(), jobs);
   // The first of them looked at every machine.
   EXPECT_LE(out.examined, machines);
 }
@@ -92,7 +92,7 @@
 // job may have, in a fleet of the largest size, of whose machines a quarter may be rented anew.
 TEST(SizingWork, GrowsWithTheRoomsAndNotWithTheTasksTimesRooms) {
   constexpr size_t fleet = 6000, tasks = 100000, kinds = 8;
-  sizing::Input in;
+  autoscaling::AutoscalerInput in;
   for (size_t k = 0; k < kinds; ++k) {
     MachineType type;
     type.name = "g" + std::to_string(k), type.cpus = 96, type.gpus = 8, type.memory_gb = 768;
@@ -101,16 +101,16 @@
     in.offers.push_back({type.name, "a"});
   }
   for (size_t i = 0; i < fleet; ++i) {
-    sizing::MachineState m;
+    autoscaling::MachineState m;
     m.id = "i-" + std::to_string(i), m.type = "g0", m.zone = "a", m.open = true;
     m.total = {96, 8, 768};
     in.machines.push_back(m);
   }
   for (int i = 0; i < 3; ++i)
     in.demand.push_back({{1, 0, 1}, static_cast<uint32_t>(tasks), {}, "", false});
-  const auto plan = sizing::plan(in);
+  const auto plan = autoscaling::plan(in);
   int rented = 0;
-  for (auto& r : plan.rent) rented += r.count;
+  for (auto& r : plan.scale_out) rented += r.count;
   EXPECT_EQ(rented, static_cast<int>(fleet / 4));
   // Each of the rented is looked at for each demand, and each machine of the fleet once.
   EXPECT_LT(plan.examined, fleet * 3);
@@ -119,22 +119,22 @@
 // Many small jobs that may use spot machines, in a large fleet: full rooms are looked at once.
 TEST(SizingWork, SpotWorkGrowsWithTheRoomsAndNotWithTheJobsTimesRooms) {
   constexpr size_t fleet = 6000, spot_jobs = 2500;
-  sizing::Input in;
+  autoscaling::AutoscalerInput in;
   MachineType type;
   type.name = "g", type.cpus = 64, type.gpus = 8, type.memory_gb = 512, type.zones = {"a"};
   in.types.push_back(type);
   for (size_t i = 0; i < fleet; ++i) {
-    sizing::MachineState m;
+    autoscaling::MachineState m;
     m.id = "i-" + std::to_string(i), m.type = "g", m.zone = "a", m.open = true, m.spot = i % 2 == 0;
     m.total = {64, 8, 512};
     m.has_fixed_work = !m.spot;
     in.machines.push_back(m);
   }
   for (size_t i = 0; i < spot_jobs; ++i) in.spot_work.push_back({{5, 1, 18}, 60, {}, "", true});
-  const auto plan = sizing::plan(in);
-  EXPECT_TRUE(plan.rent.empty());
+  const auto plan = autoscaling::plan(in);
+  EXPECT_TRUE(plan.scale_out.empty());
   EXPECT_LT(plan.examined, fleet * 3 + spot_jobs);
 }
 
 }  // namespace
-}  // namespace damsonport::placing
+}  // namespace damsonport::scheduling
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -93,9 +93,9 @@
   other = spec;
   other.tasks = 9;
   EXPECT_EQ(judge_job(other, s, {g}), Verdict::ok) << "of an array one task has to fit";
-  other.kind = Kind::service;
+  other.kind = JobKind::service;
   EXPECT_EQ(judge_job(other, s, {g}), Verdict::over_limit);
-  other.kind = Kind::gang;
+  other.kind = JobKind::gang;
   EXPECT_EQ(judge_job(other, s, {g}), Verdict::over_limit) << "a gang runs whole or not at all";
   other.tasks = 8;
   EXPECT_EQ(judge_job(other, s, {g}), Verdict::ok);
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -48,13 +48,13 @@
 TEST(Records, AJobWhoseRecordCanNeverFitIsTold) {
   JobSpec spec;
   spec.id = "run-" + long_name(60);
-  spec.cls = spec.team = spec.image = long_name(200);
+  spec.job_class = spec.team = spec.image = long_name(200);
   spec.zone = long_name(64);
   spec.types = {long_name(64), long_name(64)};
   EXPECT_TRUE(job_record_fits(spec, 2));
   EXPECT_FALSE(job_record_fits(spec, 1));
   // Control characters are stored escaped.
-  spec.cls = spec.image = std::string(200, '\x01');
+  spec.job_class = spec.image = std::string(200, '\x01');
   EXPECT_FALSE(job_record_fits(spec, 2));
 }
 
@@ -198,7 +198,7 @@
 
 JobSpec two_tasks() {
   JobSpec s;
-  s.id = "run-1", s.cls = "c", s.team = "t", s.image = "img", s.tasks = 2, s.cpus = 1;
+  s.id = "run-1", s.job_class = "c", s.team = "t", s.image = "img", s.tasks = 2, s.cpus = 1;
   return s;
 }
 
--- a/tests/regions/region_cluster.cpp
+++ b/tests/regions/region_cluster.cpp
@@ -103,8 +103,8 @@
 void RegionCluster::submit(size_t region, const std::string& job, uint32_t tasks, double gpus,
                            double run_s, Priority priority) {
   JobSpec spec;
-  spec.id = job, spec.cls = "c", spec.team = plan_.team.name;
-  spec.kind = run_s > 0 ? Kind::batch : Kind::service;
+  spec.id = job, spec.job_class = "c", spec.team = plan_.team.name;
+  spec.kind = run_s > 0 ? JobKind::batch : JobKind::service;
   spec.priority = priority;
   spec.tasks = tasks, spec.cpus = 1, spec.gpus = gpus, spec.memory_gb = 1;
   spec.image = "img", spec.image_gb = 1;
--- a/tests/replicas/gang_tracker_test.cpp
+++ b/tests/replicas/gang_tracker_test.cpp
@@ -32,7 +32,7 @@
     settings.gang_wait_s = 40;
     settings.lease_s = 12;
     job.spec.id = "run-1";
-    job.spec.kind = Kind::service;
+    job.spec.kind = JobKind::service;
     job.spec.tasks = job.spec.parts = 2;
     job.chunk_size = 2;
     for (const char* id : {"i-1", "i-2", "i-3"}) facts.machines[id].agent_epoch = 1;
--- a/tests/replicas/replicas_test.cpp
+++ b/tests/replicas/replicas_test.cpp
@@ -68,10 +68,10 @@
 JobSpec replicated_job() {
   JobSpec spec;
   spec.id = "run-1";
-  spec.cls = "big";
+  spec.job_class = "big";
   spec.team = "t";
   spec.image = "img";
-  spec.kind = Kind::service;
+  spec.kind = JobKind::service;
   spec.tasks = 6;
   spec.parts = 2;
   spec.distinct_machines = true;
@@ -112,7 +112,7 @@
   EXPECT_EQ(judge_job(spec, settings, {type}), Verdict::ok);
   spec.tasks = 5;
   EXPECT_EQ(judge_job(spec, settings, {type}), Verdict::indivisible);
-  spec.kind = Kind::batch;
+  spec.kind = JobKind::batch;
   EXPECT_EQ(judge_job(spec, settings, {type}), Verdict::ok) << "services alone have replicas";
 }
 
--- a/tests/scenarios/fault_scenario.cpp
+++ b/tests/scenarios/fault_scenario.cpp
@@ -126,10 +126,10 @@
     auto w = words(in);
     for (auto& id : spell_out(name)) {
       JobSpec s;
-      s.id = id, s.cls = str(w, "class", "c"), s.team = str(w, "team", "t");
-      s.kind = w.contains("service") ? Kind::service
-               : w.contains("gang")  ? Kind::gang
-                                     : Kind::batch;
+      s.id = id, s.job_class = str(w, "class", "c"), s.team = str(w, "team", "t");
+      s.kind = w.contains("service") ? JobKind::service
+               : w.contains("gang")  ? JobKind::gang
+                                     : JobKind::batch;
       for (auto [word, p] : {std::pair{"idle", Priority::idle},
                              {"normal", Priority::normal},
                              {"high", Priority::high},
@@ -145,7 +145,7 @@
       s.checkpoint_s = num(w, "checkpoint"), s.save_s = num(w, "save");
       run_s_[id] = num(w, "run", 60);
       if (w.contains("broken")) broken_jobs_.insert(id);
-      s.estimate_s = s.kind == Kind::service ? 0 : run_s_[id];
+      s.estimate_s = s.kind == JobKind::service ? 0 : run_s_[id];
       settings_.replicas.describe(s);
       jobs_[id] = s;
     }
@@ -499,14 +499,14 @@
       auto& spec = jobs_.at(id);
       int running = 0, present = 0;
       count_tasks(id, running, present);
-      if (spec.kind == Kind::service && running != static_cast<int>(spec.tasks))
+      if (spec.kind == JobKind::service && running != static_cast<int>(spec.tasks))
         complain("of " + id + " " + std::to_string(running) + " of " + std::to_string(spec.tasks) +
                  " replicas run");
       // Not all who know of a job ask on: what counts is what was done.
-      for (uint32_t i = 0; spec.kind != Kind::service && i < spec.tasks; ++i)
+      for (uint32_t i = 0; spec.kind != JobKind::service && i < spec.tasks; ++i)
         if (!fleet_->rules().is_done({id, i}))
           complain(id + "/" + std::to_string(i) + " is not done");
-      if (spec.kind == Kind::service &&
+      if (spec.kind == JobKind::service &&
           world_.now() - fleet_->rules().last_answered(id) > forgotten_after_s)
         complain("nobody answers about " + id);
     }
--- a/tests/spending_and_headroom_test.cpp
+++ b/tests/spending_and_headroom_test.cpp
@@ -15,8 +15,8 @@
   return t;
 }
 
-sizing::MachineState machine(const std::string& type, bool spot, double free_gpus) {
-  sizing::MachineState m;
+autoscaling::MachineState machine(const std::string& type, bool spot, double free_gpus) {
+  autoscaling::MachineState m;
   m.type = type, m.zone = "a", m.spot = spot;
   m.total = {64, 8, 256};
   m.free = {64, free_gpus, 256};
@@ -24,7 +24,7 @@
 }
 
 TEST(Spending, IsDividedByWhatMachinesDoAndAddsUp) {
-  SpendingAccount account;
+  CostAccount account;
   account.begin_lease(100);
   auto booting = machine("g", false, 8);
   booting.booting = true;
@@ -43,7 +43,7 @@
 }
 
 TEST(Spending, ANewTermBeginsAtNothing) {
-  SpendingAccount account;
+  CostAccount account;
   account.begin_lease(0);
   account.charge({machine("g", false, 8)}, {type("g", 20, 8)}, 3600);
   account.begin_lease(7200);
@@ -52,7 +52,7 @@
 }
 
 TEST(Spending, IsReportedAtIntervals) {
-  SpendingAccount account;
+  CostAccount account;
   account.begin_lease(0);
   account.charge({machine("g", false, 2)}, {type("g", 20, 8)}, 3600);
   const auto line = account.report(3600, 22);
@@ -78,13 +78,13 @@
   headroom::Pool pool;
   pool.in_use = 100, pool.unit_price = 2, pool.fleet_price = 200;
   pool.expected = 15;
-  EXPECT_DOUBLE_EQ(headroom::wanted_spare(pool, 0.25, 0.05), 15);
+  EXPECT_DOUBLE_EQ(headroom::target_headroom(pool, 0.25, 0.05), 15);
   pool.expected = 60;
-  EXPECT_DOUBLE_EQ(headroom::wanted_spare(pool, 0.25, 0.05), 25);
+  EXPECT_DOUBLE_EQ(headroom::target_headroom(pool, 0.25, 0.05), 25);
   pool.expected = 0;
-  EXPECT_DOUBLE_EQ(headroom::wanted_spare(pool, 0.25, 0.05), 5);
+  EXPECT_DOUBLE_EQ(headroom::target_headroom(pool, 0.25, 0.05), 5);
   pool.unit_price = 0.05;
-  EXPECT_DOUBLE_EQ(headroom::wanted_spare(pool, 0.25, 0.05), 25);
+  EXPECT_DOUBLE_EQ(headroom::target_headroom(pool, 0.25, 0.05), 25);
 }
 
 }  // namespace
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -67,7 +67,7 @@
     in >> name;
     auto w = pairs(in);
     if (verb == "machine") {
-      placing::MachineView m;
+      scheduling::MachineSnapshot m;
       m.id = name;
       m.type = input_.types.id(str(w, "type")), m.zone = input_.zones.id(str(w, "zone"));
       m.spot = w.contains("spot");
@@ -89,7 +89,7 @@
       input_.teams.push_back(
           {name, {num(w, "cpus"), num(w, "gpus"), 0}, {num(w, "cpus_max"), num(w, "gpus_max"), 0}});
     } else if (verb == "job") {
-      placing::JobView j;
+      scheduling::JobSnapshot j;
       j.id = name, j.image = input_.images.id(str(w, "image")), j.image_gb = num(w, "gb");
       for (size_t t = 0; t < input_.teams.size(); ++t)
         if (input_.teams[t].name == str(w, "team")) j.team = t;
@@ -116,7 +116,7 @@
       j.grace_s = num(w, "grace");
       input_.jobs.push_back(j);
     } else if (verb == "live") {  // live JOB machine=M [age=S] [stopping]
-      placing::LiveView l;
+      scheduling::RunningTaskSnapshot l;
       for (size_t i = 0; i < input_.jobs.size(); ++i)
         if (input_.jobs[i].id == name) l.job = i;
       l.since = -num(w, "age", 100);
@@ -191,7 +191,7 @@
       fleet_.gpu_work.gpus = num(w, "gpus"), fleet_.cpu_work.cpus = num(w, "cpus");
     } else if (verb == "has") {
       // has MACHINE type=T zone=Z [spot] [booting] [idle=S] [images=GB] [gpus=FREE] [yielding=GPUS]
-      sizing::MachineState m;
+      autoscaling::MachineState m;
       m.id = name, m.type = str(w, "type"), m.zone = str(w, "zone"), m.spot = w.contains("spot");
       m.booting = w.contains("booting"), m.open = !m.booting;
       for (auto& t : fleet_.types)
@@ -208,11 +208,11 @@
                                   "",
                                   true});
     } else if (verb == "demand") {  // demand NAME count=N cpus=N [gang] [one_zone] [zone=Z]
-      sizing::Demand d{{num(w, "cpus"), num(w, "gpus"), 0},
-                       static_cast<uint32_t>(num(w, "count")),
-                       {},
-                       str(w, "zone"),
-                       w.contains("spot")};
+      autoscaling::ResourceDemand d{{num(w, "cpus"), num(w, "gpus"), 0},
+                                    static_cast<uint32_t>(num(w, "count")),
+                                    {},
+                                    str(w, "zone"),
+                                    w.contains("spot")};
       d.gang = w.contains("gang"), d.one_zone = w.contains("one_zone");
       d.distinct_machines = w.contains("distinct");
       fleet_.demand.push_back(d);
@@ -240,7 +240,7 @@
     // place now=S hold_after=S hold_for=S: gangs older than the first keep room for the second
     if (w.contains("hold_after")) input_.gang_hold_after_s = num(w, "hold_after");
     input_.gang_hold_for_s = num(w, "hold_for");
-    auto d = placing::place(input_);
+    auto d = scheduling::place(input_);
     for (auto& s : d.starts)
       actual_.push_back("start " + input_.jobs[s.job].id + " on " + input_.machines[s.machine].id);
     for (auto& gang : d.gangs)
@@ -253,23 +253,23 @@
       actual_.push_back("stop " + input_.jobs[m.live[s.live].job].id + " on " + m.id + " grace " +
                         grace.str());
     }
-    for (auto& u : d.unplaced)
+    for (auto& u : d.unschedulable)
       actual_.push_back("wait " + input_.jobs[u.job].id + " " + std::to_string(u.count) +
                         (u.room_coming ? " (room coming)" : "") +
                         (u.zone != 0 ? " in " + zone_name(u.zone) : ""));
   }
   // Of those that the trace names.
-  std::string zone_name(placing::NameId zone) {
+  std::string zone_name(scheduling::NameId zone) {
     for (const char* name : {"a", "b", "c"})
       if (input_.zones.id(name) == zone) return name;
     return "?";
   }
   void run_plan() {
-    auto plan = sizing::plan(fleet_);
-    for (auto& r : plan.rent)
+    auto plan = autoscaling::plan(fleet_);
+    for (auto& r : plan.scale_out)
       actual_.push_back("rent " + std::to_string(r.count) + " " + r.type + " in " + r.zone +
                         (r.spot ? " (spot)" : ""));
-    for (auto& id : plan.give_back) actual_.push_back("give back " + id);
+    for (auto& id : plan.scale_in) actual_.push_back("give back " + id);
   }
   void run_reconcile(const Words& w) {
     auto out = reconcile(machine_, records_, static_cast<uint64_t>(num(w, "term", 1)),
@@ -283,8 +283,8 @@
       actual_.push_back("gone " + e.task.text() + " " + std::to_string(e.attempt) +
                         (e.cause == ExitCause::done ? " done" : ""));
   }
-  placing::Input input_;
-  sizing::Input fleet_;
+  scheduling::SchedulerSnapshot input_;
+  autoscaling::AutoscalerInput fleet_;
   DeadMachineTimeout patience_;
   Machine machine_;
   std::vector<DesiredTask> records_;
--- a/tools/fleet/controllers.cpp
+++ b/tools/fleet/controllers.cpp
@@ -131,7 +131,7 @@
     out << fmt::format(
         "\n  (class {} (parts {}) (distinct-machines {}) (repairs {}) (moves {}) "
         "(backoff-leases {} {}))",
-        policy.cls, policy.parts, policy.distinct_machines ? "yes" : "no", policy.repairs,
+        policy.job_class, policy.parts, policy.distinct_machines ? "yes" : "no", policy.repairs,
         policy.moves, policy.first_backoff_leases, policy.longest_backoff_leases);
   out << ")\n";
 }
--- a/tools/fleet/users.cpp
+++ b/tools/fleet/users.cpp
@@ -45,12 +45,12 @@
   constexpr uint64_t jobs_of_a_region = 10000000;
   JobSpec spec;
   spec.id = fmt::format("run-{}", (region_ + 1) * jobs_of_a_region + next_job_++);
-  spec.cls = load.name;
+  spec.job_class = load.name;
   auto& teams = plan_.settings.teams;
   const size_t team = load.teams.empty() ? world_.random64() % teams.size()
                                          : load.teams[world_.random64() % load.teams.size()];
   spec.team = teams[team].name;
-  spec.kind = load.service ? Kind::service : Kind::batch;
+  spec.kind = load.service ? JobKind::service : JobKind::batch;
   spec.priority = load.priority;
   const double factor = 1 + load.tasks_spread * world_.uniform(-1, 1);
   spec.tasks = static_cast<uint32_t>(std::max(1.0, std::round(load.tasks * factor)));
