--- a/src/coordination/budgets/budget_policy.cpp
+++ b/src/coordination/budgets/budget_policy.cpp
@@ -5,17 +5,17 @@
 
 #include "protocol/budget_parts.hpp"
 
-namespace damsonport::budgets {
+namespace damsonport::quotas {
 
 namespace {
 
 uint64_t spare_beyond(const Standing& standing, uint64_t kept) {
-  return excess(standing.budget, std::max({kept, standing.used, standing.guaranteed}));
+  return excess(standing.quota, std::max({kept, standing.used, standing.guaranteed}));
 }
 
 // Takes up to `wanted` from what each has, those with most first.
-void take(const std::vector<uint64_t>& left, uint64_t wanted, std::vector<Ask>& asks,
-          uint64_t Ask::*field) {
+void take(const std::vector<uint64_t>& left, uint64_t wanted, std::vector<QuotaRequest>& requests,
+          uint64_t QuotaRequest::*field) {
   std::vector<size_t> order(left.size());
   std::iota(order.begin(), order.end(), 0);
   std::stable_sort(order.begin(), order.end(),
@@ -23,45 +23,46 @@
   for (size_t i : order) {
     const uint64_t part = std::min(left[i], wanted);
     wanted -= part;
-    asks[i].*field += part;
+    requests[i].*field += part;
   }
 }
 
 }  // namespace
 
-Spare spare(const Standing& s, bool yields) {
+Surplus surplus(const Standing& s, bool defers) {
   const uint64_t for_urgent = spare_beyond(s, s.used + s.urgent_need);
   uint64_t for_any = spare_beyond(s, std::max(s.used + s.need, s.recent_peak));
   // Too little to start anything here, and elsewhere it may be enough.
-  if (yields && excess(s.budget, s.used) < s.smallest) for_any = spare_beyond(s, s.used);
+  if (defers && excess(s.quota, s.used) < s.smallest) for_any = spare_beyond(s, s.used);
   return {std::max(for_urgent, for_any), for_any};
 }
 
-Unmet unmet(const Standing& s) {
-  return {excess(s.used + s.urgent_need, s.budget), excess(s.used + s.need, s.budget)};
+Deficit deficit(const Standing& s) {
+  return {excess(s.used + s.urgent_need, s.quota), excess(s.used + s.need, s.quota)};
 }
 
-std::vector<Ask> divide_asks(const Unmet& unmet, const std::vector<Spare>& told) {
-  std::vector<Ask> asks(told.size());
+std::vector<QuotaRequest> divide_requests(const Deficit& deficit,
+                                          const std::vector<Surplus>& told) {
+  std::vector<QuotaRequest> requests(told.size());
   std::vector<uint64_t> urgent_left, any_left;
-  for (auto& spare : told) {
-    urgent_left.push_back(spare.urgent);
-    any_left.push_back(spare.any);
+  for (auto& surplus : told) {
+    urgent_left.push_back(surplus.urgent);
+    any_left.push_back(surplus.any);
   }
-  take(urgent_left, unmet.urgent, asks, &Ask::urgent);
-  uint64_t rest = unmet.any;
+  take(urgent_left, deficit.urgent, requests, &QuotaRequest::urgent);
+  uint64_t rest = deficit.any;
   for (size_t i = 0; i < told.size(); ++i) {
-    asks[i].any = asks[i].urgent;
-    rest -= asks[i].urgent;
-    any_left[i] = excess(any_left[i], asks[i].urgent);
+    requests[i].any = requests[i].urgent;
+    rest -= requests[i].urgent;
+    any_left[i] = excess(any_left[i], requests[i].urgent);
   }
-  take(any_left, rest, asks, &Ask::any);
-  return asks;
+  take(any_left, rest, requests, &QuotaRequest::any);
+  return requests;
 }
 
-uint64_t decide_gift(const Spare& spare, const Ask& ask, uint64_t on_the_way) {
-  const uint64_t urgent = std::min(ask.urgent, spare.urgent);
-  const uint64_t any = std::min(ask.any, spare.any);
+uint64_t decide_transfer(const Surplus& surplus, const QuotaRequest& request, uint64_t on_the_way) {
+  const uint64_t urgent = std::min(request.urgent, surplus.urgent);
+  const uint64_t any = std::min(request.any, surplus.any);
   return excess(std::max(urgent, any), on_the_way);
 }
 
@@ -74,4 +75,4 @@
   current_ = std::max(current_, value);
 }
 
-}  // namespace damsonport::budgets
+}  // namespace damsonport::quotas
--- a/src/coordination/budgets/budget_policy.hpp
+++ b/src/coordination/budgets/budget_policy.hpp
@@ -13,11 +13,11 @@
 #include <string>
 #include <vector>
 
-namespace damsonport::budgets {
+namespace damsonport::quotas {
 
 // One region's stand in one team's limit.
 struct Standing {
-  uint64_t budget = 0;
+  uint64_t quota = 0;
   uint64_t used = 0;         // by tasks in the records
   uint64_t guaranteed = 0;   // the region's share of the guarantee: never given
   uint64_t urgent_need = 0;  // of waiting work of an urgent rank
@@ -27,28 +27,28 @@
 };
 
 // What could be given for urgent work and for any work elsewhere; the second is part of the first.
-struct Spare {
+struct Surplus {
   uint64_t urgent = 0, any = 0;
 };
 // `yields`: of two regions that each hold too little for their smallest waiting task, this one
 // gives way to the other.
-Spare spare(const Standing& standing, bool yields);
+Surplus surplus(const Standing& standing, bool defers);
 
 // What waits beyond the budget.
-struct Unmet {
+struct Deficit {
   uint64_t urgent = 0, any = 0;  // the first is part of the second
 };
-Unmet unmet(const Standing& standing);
+Deficit deficit(const Standing& standing);
 
 // What is asked of one region, from the spare that it told of.
-struct Ask {
+struct QuotaRequest {
   uint64_t urgent = 0, any = 0;  // the first is part of the second
 };
 // Asks those first that can spare most. Nothing is asked twice, and nobody for more than it told.
-std::vector<Ask> divide_asks(const Unmet& unmet, const std::vector<Spare>& told);
+std::vector<QuotaRequest> divide_requests(const Deficit& deficit, const std::vector<Surplus>& told);
 
 // Parts to give to a region that asks. `on_the_way`: given before and not yet acknowledged.
-uint64_t decide_gift(const Spare& spare, const Ask& ask, uint64_t on_the_way);
+uint64_t decide_transfer(const Surplus& surplus, const QuotaRequest& request, uint64_t on_the_way);
 
 // The most that was seen over a period, give or take half of it.
 class RecentPeak {
@@ -61,4 +61,4 @@
   double begun_ = 0;
 };
 
-}  // namespace damsonport::budgets
+}  // namespace damsonport::quotas
--- a/src/coordination/budgets/initial_parts.cpp
+++ b/src/coordination/budgets/initial_parts.cpp
@@ -4,23 +4,23 @@
 #include <cmath>
 #include <numeric>
 
-namespace damsonport::budgets {
+namespace damsonport::quotas {
 
-std::vector<uint64_t> initial_parts(const std::vector<Region>& regions) {
+std::vector<uint64_t> initial_units(const std::vector<Region>& regions) {
   uint64_t shares = 0;
   for (auto& region : regions) shares += region.share;
   // Differences of rounded sums, so that all of them add up to all parts. The quotient and the rest
   // are multiplied apart, since the product with all parts needn't fit into 64 bits.
-  const uint64_t quotient = all_parts / shares, rest = all_parts % shares;
-  std::vector<uint64_t> parts;
+  const uint64_t quotient = all_quota_units / shares, rest = all_quota_units % shares;
+  std::vector<uint64_t> units;
   uint64_t sum = 0, before = 0;
   for (auto& region : regions) {
     sum += region.share;
     const uint64_t upto = quotient * sum + rest * sum / shares;
-    parts.push_back(upto - before);
+    units.push_back(upto - before);
     before = upto;
   }
-  return parts;
+  return units;
 }
 
 std::vector<double> guarantee_shares(double guarantee, const std::vector<Region>& regions) {
@@ -48,4 +48,4 @@
   }
 }
 
-}  // namespace damsonport::budgets
+}  // namespace damsonport::quotas
--- a/src/coordination/budgets/initial_parts.hpp
+++ b/src/coordination/budgets/initial_parts.hpp
@@ -5,11 +5,11 @@
 #include "protocol/budget_parts.hpp"
 #include "protocol/region_settings.hpp"
 
-namespace damsonport::budgets {
+namespace damsonport::quotas {
 
 // The parts of a limit that each region starts with, together all parts exactly. They depend on the
 // shares alone: regions may write their first records under different limits.
-std::vector<uint64_t> initial_parts(const std::vector<Region>& regions);
+std::vector<uint64_t> initial_units(const std::vector<Region>& regions);
 
 // Each region's share of a guarantee, in whole units where there are as many, together the
 // guarantee.
@@ -19,4 +19,4 @@
 // run in this region is refused.
 void keep_guarantees_elsewhere(Settings& settings, const RegionSettings& regions);
 
-}  // namespace damsonport::budgets
+}  // namespace damsonport::quotas
--- a/src/coordination/budgets/region_network.cpp
+++ b/src/coordination/budgets/region_network.cpp
@@ -2,7 +2,7 @@
 
 #include <spdlog/spdlog.h>
 
-namespace damsonport::budgets {
+namespace damsonport::quotas {
 
 namespace {
 // Between two messages to a region, in report periods: at the most, and when there is news.
@@ -12,8 +12,8 @@
 }  // namespace
 
 RegionNetwork::RegionNetwork(Loop& loop, Network& network, const Settings& settings,
-                             const RegionSettings* regions, TeamBudgets& budgets)
-    : loop_(loop), settings_(settings), regions_(regions), budgets_(budgets), wake_(loop) {
+                             const RegionSettings* regions, TeamQuotas& quotas)
+    : loop_(loop), settings_(settings), regions_(regions), quotas_(quotas), wake_(loop) {
   if (!regions_) return;
   size_t peers = 0;
   for (size_t i = 0; i < regions_->regions.size(); ++i) {
@@ -43,7 +43,7 @@
     if (framed == Framed::bad) return -1;
     if (framed == Framed::partial) break;
     taken += static_cast<long>(used);
-    news |= budgets_.hear(message, loop_.now());
+    news |= quotas_.receive_message(message, loop_.now());
   }
   if (news && on_news) on_news();
   return taken;
@@ -51,14 +51,14 @@
 
 void RegionNetwork::tell_all(uint64_t fencing_token) {
   for (auto& [region, links] : links_) {
-    const auto bytes = encode_region_message(budgets_.message_to(region, fencing_token));
+    const auto bytes = encode_region_message(quotas_.message_to(region, fencing_token));
     for (auto& link : links) link->send(bytes);
   }
 }
 
 void RegionNetwork::note_silence() {
   for (auto& [region, links] : links_) {
-    const bool silent = !budgets_.fresh(region, loop_.now());
+    const bool silent = !quotas_.fresh(region, loop_.now());
     if (silent && silent_.insert(region).second)
       spdlog::warn("region {} isn't heard: budgets stay as they are between it and this one",
                    regions_->regions[region].name);
@@ -79,4 +79,4 @@
   }
 }
 
-}  // namespace damsonport::budgets
+}  // namespace damsonport::quotas
--- a/src/coordination/budgets/region_network.hpp
+++ b/src/coordination/budgets/region_network.hpp
@@ -10,13 +10,13 @@
 #include "coordination/budgets/team_budgets.hpp"
 #include "transport/network.hpp"
 
-namespace damsonport::budgets {
+namespace damsonport::quotas {
 
 class RegionNetwork {
  public:
   // `regions`: null where limits are not divided; then there is no listener and no message.
   RegionNetwork(Loop& loop, Network& network, const Settings& settings,
-                const RegionSettings* regions, TeamBudgets& budgets);
+                const RegionSettings* regions, TeamQuotas& quotas);
   bool listening() const { return !regions_ || (listener_ && listener_->listening()); }
   // Tells the other regions as long as `term` yields one: that of the grant held here.
   Task<void> run(std::function<uint64_t()> fencing_token, std::stop_token stop_token);
@@ -34,11 +34,11 @@
   Loop& loop_;
   const Settings& settings_;
   const RegionSettings* regions_;
-  TeamBudgets& budgets_;
+  TeamQuotas& quotas_;
   Notification wake_;
   std::map<size_t, std::vector<std::unique_ptr<StreamLink>>> links_;  // by region
   std::unique_ptr<StreamListener> listener_;
   std::set<size_t> silent_;  // regions that were said not to be heard
 };
 
-}  // namespace damsonport::budgets
+}  // namespace damsonport::quotas
--- a/src/coordination/budgets/team_budgets.cpp
+++ b/src/coordination/budgets/team_budgets.cpp
@@ -6,7 +6,7 @@
 
 #include "coordination/budgets/initial_parts.hpp"
 
-namespace damsonport::budgets {
+namespace damsonport::quotas {
 
 namespace {
 
@@ -19,57 +19,57 @@
 
 }  // namespace
 
-const std::vector<TeamBudgets::Resource> TeamBudgets::resources = {
-    {&BudgetParts::cpus, &scheduling::Resources::cpus, &TeamSettings::cpus_max},
-    {&BudgetParts::gpus, &scheduling::Resources::gpus, &TeamSettings::gpus_max}};
+const std::vector<TeamQuotas::Resource> TeamQuotas::resources = {
+    {&QuotaUnits::cpus, &scheduling::Resources::cpus, &TeamSettings::cpus_max},
+    {&QuotaUnits::gpus, &scheduling::Resources::gpus, &TeamSettings::gpus_max}};
 
-TeamBudgets::TeamBudgets(const Settings& settings, const RegionSettings* regions,
-                         const RecordCache& cache)
+TeamQuotas::TeamQuotas(const Settings& settings, const RegionSettings* regions,
+                       const RecordCache& cache)
     : settings_(settings), regions_(regions), cache_(cache) {
   if (!regions_) return;
   auto& all = regions_->regions;
   const size_t own = regions_->own_index;
-  const uint64_t parts = initial_parts(all)[own];
-  initial_ = {parts, parts};
+  const uint64_t units = initial_units(all)[own];
+  initial_ = {units, units};
   for (auto& team : settings_.teams)
     guarantees_[team.name] = {guarantee_shares(team.cpus, all)[own],
                               guarantee_shares(team.gpus, all)[own], 0};
 }
 
-BudgetRecord TeamBudgets::first_record() const {
-  BudgetRecord record;
+QuotaRecord TeamQuotas::first_record() const {
+  QuotaRecord record;
   // Without a file there is no telling what other regions have: nothing, until one is given.
   if (regions_) record.initial = initial_;
   return record;
 }
 
-BudgetRecord TeamBudgets::record_of(const TeamSettings& team) const {
-  auto it = cache_.budgets().find(team.name);
-  return it == cache_.budgets().end() ? first_record() : it->second.record;
+QuotaRecord TeamQuotas::record_of(const TeamSettings& team) const {
+  auto it = cache_.quotas().find(team.name);
+  return it == cache_.quotas().end() ? first_record() : it->second.record;
 }
 
-scheduling::Resources TeamBudgets::limit(const TeamSettings& team) const {
+scheduling::Resources TeamQuotas::limit(const TeamSettings& team) const {
   if (!divided()) return {team.cpus_max, team.gpus_max, 0};
   scheduling::Resources out;
-  const auto parts = record_of(team).parts();
+  const auto units = record_of(team).units();
   for (auto& r : resources)
     if (team.*r.limit > 0)
-      out.*r.amount = std::max(amount_of(parts.*r.parts, team.*r.limit), nothing);
+      out.*r.amount = std::max(amount_of(units.*r.units, team.*r.limit), nothing);
   return out;
 }
 
-scheduling::Resources TeamBudgets::guarantee(const TeamSettings& team) const {
+scheduling::Resources TeamQuotas::guarantee(const TeamSettings& team) const {
   if (!regions_) return {team.cpus, team.gpus, 0};
   return guarantees_.at(team.name);
 }
 
-void TeamBudgets::begin_lease() {
+void TeamQuotas::begin_lease() {
   peaks_.clear();
   demands_.clear();
   measured_at_ = never;
 }
 
-void TeamBudgets::measure(double now) {
+void TeamQuotas::measure(double now) {
   measured_at_ = now;
   demands_ = measure_demands(cache_);
   for (auto& team : settings_.teams) {
@@ -80,36 +80,36 @@
     for (size_t i = 0; i < resources.size(); ++i) {
       auto& r = resources[i];
       const double wanted = demand.used.*r.amount + demand.need.*r.amount;
-      peaks[i].note(parts_covering(wanted, team.*r.limit), now, settings_.lease_s * kept_leases);
+      peaks[i].note(units_covering(wanted, team.*r.limit), now, settings_.lease_s * kept_leases);
     }
   }
 }
 
-Standing TeamBudgets::standing(const TeamSettings& team, const BudgetRecord& record,
-                               const Resource& r) const {
+Standing TeamQuotas::standing(const TeamSettings& team, const QuotaRecord& record,
+                              const Resource& r) const {
   Standing s;
   const double limit = team.*r.limit;
-  s.budget = record.parts().*r.parts;
-  s.guaranteed = parts_covering(guarantee(team).*r.amount, limit);
+  s.quota = record.units().*r.units;
+  s.guaranteed = units_covering(guarantee(team).*r.amount, limit);
   if (auto it = demands_.find(team.name); it != demands_.end()) {
-    s.used = parts_covering(it->second.used.*r.amount, limit);
-    s.urgent_need = parts_covering(it->second.urgent_need.*r.amount, limit);
-    s.need = parts_covering(it->second.need.*r.amount, limit);
-    s.smallest = parts_covering(it->second.smallest.*r.amount, limit);
+    s.used = units_covering(it->second.used.*r.amount, limit);
+    s.urgent_need = units_covering(it->second.urgent_need.*r.amount, limit);
+    s.need = units_covering(it->second.need.*r.amount, limit);
+    s.smallest = units_covering(it->second.smallest.*r.amount, limit);
   }
   if (auto it = peaks_.find(team.name); it != peaks_.end())
     s.recent_peak = it->second[static_cast<size_t>(&r - resources.data())].value();
   return s;
 }
 
-const TeamExchange* TeamBudgets::heard_of(size_t region, const std::string& team) const {
+const TeamExchange* TeamQuotas::received_from(size_t region, const std::string& team) const {
   auto it = received_.find(regions_->regions[region].name);
   if (it == received_.end()) return nullptr;
   auto exchange = it->second.teams.find(team);
   return exchange == it->second.teams.end() ? nullptr : &exchange->second;
 }
 
-bool TeamBudgets::fresh(size_t region, double now) const {
+bool TeamQuotas::fresh(size_t region, double now) const {
   auto it = received_.find(regions_->regions[region].name);
   return it != received_.end() &&
          now - it->second.at < settings_.heartbeat_interval_s * fresh_reports;
@@ -118,16 +118,16 @@
 // --- changes of records
 
 // More than all parts can't be: only a peer that doesn't speak the truth brings it.
-bool TeamBudgets::plausible(const BudgetRecord& record, const std::string& region,
-                            const BudgetParts& sent) {
-  const auto parts = record.parts(), counted = record.received_from(region);
-  return parts.cpus + excess(sent.cpus, counted.cpus) <= all_parts &&
-         parts.gpus + excess(sent.gpus, counted.gpus) <= all_parts;
+bool TeamQuotas::plausible(const QuotaRecord& record, const std::string& region,
+                           const QuotaUnits& sent) {
+  const auto units = record.units(), counted = record.received_from(region);
+  return units.cpus + excess(sent.cpus, counted.cpus) <= all_quota_units &&
+         units.gpus + excess(sent.gpus, counted.gpus) <= all_quota_units;
 }
 
-void TeamBudgets::receive(const TeamSettings& team, BudgetRecord& record) const {
+void TeamQuotas::receive(const TeamSettings& team, QuotaRecord& record) const {
   for (size_t i = 0; i < regions_->regions.size(); ++i) {
-    auto* exchange = heard_of(i, team.name);
+    auto* exchange = received_from(i, team.name);
     const auto& region = regions_->regions[i].name;
     if (!exchange || !plausible(record, region, exchange->sent)) continue;
     const auto before = record.received_from(region);
@@ -137,78 +137,78 @@
   }
 }
 
-void TeamBudgets::give(const TeamSettings& team, BudgetRecord& record) const {
+void TeamQuotas::give(const TeamSettings& team, QuotaRecord& record) const {
   for (size_t i = 0; i < regions_->regions.size(); ++i) {
-    auto* exchange = heard_of(i, team.name);
+    auto* exchange = received_from(i, team.name);
     if (i == regions_->own_index || !exchange || !fresh(i, measured_at_)) continue;
     const auto& region = regions_->regions[i].name;
     for (auto& r : resources) {
-      const Ask ask{exchange->urgent_ask.*r.parts, exchange->ask.*r.parts};
-      const uint64_t sent = record.sent_to(region).*r.parts;
-      const uint64_t on_the_way = excess(sent, exchange->received.*r.parts);
-      const auto can = spare(standing(team, record, r), yields_to(i));
-      const uint64_t gift = decide_gift(can, ask, on_the_way);
-      if (gift == 0) continue;
-      record.sent[region].*r.parts += gift;
+      const QuotaRequest request{exchange->urgent_request.*r.units, exchange->request.*r.units};
+      const uint64_t sent = record.sent_to(region).*r.units;
+      const uint64_t on_the_way = excess(sent, exchange->received.*r.units);
+      const auto can = surplus(standing(team, record, r), defers_to(i));
+      const uint64_t transfer = decide_transfer(can, request, on_the_way);
+      if (transfer == 0) continue;
+      record.sent[region].*r.units += transfer;
     }
   }
 }
 
-Transaction TeamBudgets::next_changes(int most) const {
+Transaction TeamQuotas::next_changes(int most) const {
   Transaction transaction;
   if (!regions_) return transaction;
   for (auto& team : settings_.teams) {
     if (static_cast<int>(transaction.writes.size()) >= most) break;
     if (!limited(team)) continue;
-    auto known = cache_.budgets().find(team.name);
-    const bool first = known == cache_.budgets().end();
+    auto known = cache_.quotas().find(team.name);
+    const bool first = known == cache_.quotas().end();
     auto record = record_of(team);
     const auto before = record;
     receive(team, record);
     // Nothing is given from a record that isn't there yet.
     if (!first && exchanging()) give(team, record);
     if (!first && record == before) continue;
-    transaction.preconditions[keys::budget(team.name)] = first ? 0 : known->second.version;
-    transaction.writes.push_back({keys::budget(team.name), encode_budget(record), 0});
+    transaction.preconditions[keys::quota(team.name)] = first ? 0 : known->second.version;
+    transaction.writes.push_back({keys::quota(team.name), encode_quota(record), 0});
   }
   return transaction;
 }
 
 // --- messages
 
-void TeamBudgets::add_spare(const TeamSettings& team, const BudgetRecord& record, size_t region,
-                            TeamExchange& out) const {
+void TeamQuotas::add_surplus(const TeamSettings& team, const QuotaRecord& record, size_t region,
+                             TeamExchange& out) const {
   for (auto& r : resources) {
-    const auto can = spare(standing(team, record, r), yields_to(region));
-    out.urgent_spare.*r.parts = can.urgent;
-    out.spare.*r.parts = can.any;
+    const auto can = surplus(standing(team, record, r), defers_to(region));
+    out.urgent_surplus.*r.units = can.urgent;
+    out.surplus.*r.units = can.any;
   }
 }
 
-void TeamBudgets::add_asks(const TeamSettings& team, const BudgetRecord& record, size_t region,
-                           TeamExchange& out) const {
+void TeamQuotas::add_requests(const TeamSettings& team, const QuotaRecord& record, size_t region,
+                              TeamExchange& out) const {
   for (auto& r : resources) {
-    std::vector<Spare> told(regions_->regions.size());
+    std::vector<Surplus> told(regions_->regions.size());
     for (size_t i = 0; i < told.size(); ++i)
-      if (auto* exchange = heard_of(i, team.name); exchange && fresh(i, measured_at_))
-        told[i] = {exchange->urgent_spare.*r.parts, exchange->spare.*r.parts};
-    const auto ask = divide_asks(unmet(standing(team, record, r)), told)[region];
-    out.urgent_ask.*r.parts = ask.urgent;
-    out.ask.*r.parts = ask.any;
+      if (auto* exchange = received_from(i, team.name); exchange && fresh(i, measured_at_))
+        told[i] = {exchange->urgent_surplus.*r.units, exchange->surplus.*r.units};
+    const auto request = divide_requests(deficit(standing(team, record, r)), told)[region];
+    out.urgent_request.*r.units = request.urgent;
+    out.request.*r.units = request.any;
   }
 }
 
-bool TeamBudgets::any_unmet() const {
+bool TeamQuotas::any_deficit() const {
   return std::any_of(settings_.teams.begin(), settings_.teams.end(), [&](auto& team) {
     if (!limited(team)) return false;
     const auto record = record_of(team);
     return std::any_of(resources.begin(), resources.end(), [&](auto& r) {
-      return team.*r.limit > 0 && unmet(standing(team, record, r)).any > 0;
+      return team.*r.limit > 0 && deficit(standing(team, record, r)).any > 0;
     });
   });
 }
 
-RegionMessage TeamBudgets::message_to(size_t region, uint64_t fencing_token) {
+RegionMessage TeamQuotas::message_to(size_t region, uint64_t fencing_token) {
   RegionMessage message;
   message.region = regions_->own().name;
   message.receiver = regions_->regions[region].name;
@@ -216,20 +216,20 @@
   message.fencing_token = fencing_token;
   message.number = next_number_++;
   for (auto& team : settings_.teams) {
-    auto known = cache_.budgets().find(team.name);
-    if (!limited(team) || known == cache_.budgets().end()) continue;
+    auto known = cache_.quotas().find(team.name);
+    if (!limited(team) || known == cache_.quotas().end()) continue;
     auto& record = known->second.record;
     auto& exchange = message.teams.emplace_back();
     exchange.team = team.name;
     exchange.sent = record.sent_to(message.receiver);
     exchange.received = record.received_from(message.receiver);
-    add_spare(team, record, region, exchange);
-    add_asks(team, record, region, exchange);
+    add_surplus(team, record, region, exchange);
+    add_requests(team, record, region, exchange);
   }
   return message;
 }
 
-bool TeamBudgets::hear(const RegionMessage& message, double now) {
+bool TeamQuotas::receive_message(const RegionMessage& message, double now) {
   if (!regions_ || message.receiver != regions_->own().name) return false;
   const auto region = regions_->index_of(message.region);
   if (!region || *region == regions_->own_index) return false;
@@ -255,7 +255,7 @@
     const auto sent = larger(known.sent, exchange.sent);
     calls_for_change |= !(sent == known.sent);
     if (newer) {
-      calls_for_change |= !exchange.ask.none();
+      calls_for_change |= !exchange.request.none();
       known = exchange;
     }
     known.sent = sent;
@@ -263,4 +263,4 @@
   return calls_for_change;
 }
 
-}  // namespace damsonport::budgets
+}  // namespace damsonport::quotas
--- a/src/coordination/budgets/team_budgets.hpp
+++ b/src/coordination/budgets/team_budgets.hpp
@@ -15,15 +15,15 @@
 #include "protocol/region_message.hpp"
 #include "protocol/region_settings.hpp"
 
-namespace damsonport::budgets {
+namespace damsonport::quotas {
 
-class TeamBudgets {
+class TeamQuotas {
  public:
   // `regions`: null where limits are not divided.
-  TeamBudgets(const Settings& settings, const RegionSettings* regions, const RecordCache& cache);
+  TeamQuotas(const Settings& settings, const RegionSettings* regions, const RecordCache& cache);
 
   // The limits are divided: by the regions file, or by an earlier holder according to the records.
-  bool divided() const { return regions_ || !cache_.budgets().empty(); }
+  bool divided() const { return regions_ || !cache_.quotas().empty(); }
   // Budgets can be moved from here.
   bool exchanging() const { return regions_ && regions_->regions.size() > 1; }
 
@@ -43,12 +43,12 @@
   // What to tell this region.
   RegionMessage message_to(size_t region, uint64_t fencing_token);
   // Some team's work waits for budget.
-  bool any_unmet() const;
+  bool any_deficit() const;
 
   // The region was heard lately; its hints are heeded only then.
   bool fresh(size_t region, double now) const;
   // True if something in it calls for a change of records.
-  bool hear(const RegionMessage& message, double now);
+  bool receive_message(const RegionMessage& message, double now);
 
  private:
   struct Received {
@@ -60,34 +60,34 @@
 
   // One resource of a team: where its figures are in the records of several kinds.
   struct Resource {
-    uint64_t BudgetParts::*parts;
+    uint64_t QuotaUnits::*units;
     double scheduling::Resources::*amount;
     double TeamSettings::*limit;
   };
   static const std::vector<Resource> resources;
 
   static bool limited(const TeamSettings& team) { return team.cpus_max > 0 || team.gpus_max > 0; }
-  BudgetRecord first_record() const;
-  BudgetRecord record_of(const TeamSettings& team) const;
-  Standing standing(const TeamSettings& team, const BudgetRecord& record,
+  QuotaRecord first_record() const;
+  QuotaRecord record_of(const TeamSettings& team) const;
+  Standing standing(const TeamSettings& team, const QuotaRecord& record,
                     const Resource& resource) const;
-  const TeamExchange* heard_of(size_t region, const std::string& team) const;
+  const TeamExchange* received_from(size_t region, const std::string& team) const;
   // Of two regions with too little each, the later one in the file gives way.
-  bool yields_to(size_t region) const { return regions_->own_index > region; }
+  bool defers_to(size_t region) const { return regions_->own_index > region; }
 
-  static bool plausible(const BudgetRecord& record, const std::string& region,
-                        const BudgetParts& sent);
-  void receive(const TeamSettings& team, BudgetRecord& record) const;
-  void give(const TeamSettings& team, BudgetRecord& record) const;
-  void add_spare(const TeamSettings& team, const BudgetRecord& record, size_t region,
-                 TeamExchange& out) const;
-  void add_asks(const TeamSettings& team, const BudgetRecord& record, size_t region,
-                TeamExchange& out) const;
+  static bool plausible(const QuotaRecord& record, const std::string& region,
+                        const QuotaUnits& sent);
+  void receive(const TeamSettings& team, QuotaRecord& record) const;
+  void give(const TeamSettings& team, QuotaRecord& record) const;
+  void add_surplus(const TeamSettings& team, const QuotaRecord& record, size_t region,
+                   TeamExchange& out) const;
+  void add_requests(const TeamSettings& team, const QuotaRecord& record, size_t region,
+                    TeamExchange& out) const;
 
   const Settings& settings_;
   const RegionSettings* regions_;
   const RecordCache& cache_;
-  BudgetParts initial_;                                      // this region's, of every limit
+  QuotaUnits initial_;                                       // this region's, of every limit
   std::map<std::string, scheduling::Resources> guarantees_;  // its shares, by team
   std::map<std::string, Received> received_;                 // by region
   Demands demands_;
@@ -96,4 +96,4 @@
   uint64_t next_number_ = 1;
 };
 
-}  // namespace damsonport::budgets
+}  // namespace damsonport::quotas
--- a/src/coordination/budgets/team_demand.cpp
+++ b/src/coordination/budgets/team_demand.cpp
@@ -1,6 +1,6 @@
 #include "coordination/budgets/team_demand.hpp"
 
-namespace damsonport::budgets {
+namespace damsonport::quotas {
 
 namespace {
 
@@ -31,4 +31,4 @@
   return demands;
 }
 
-}  // namespace damsonport::budgets
+}  // namespace damsonport::quotas
--- a/src/coordination/budgets/team_demand.hpp
+++ b/src/coordination/budgets/team_demand.hpp
@@ -6,7 +6,7 @@
 #include "coordination/placement.hpp"
 #include "storage/cache.hpp"
 
-namespace damsonport::budgets {
+namespace damsonport::quotas {
 
 struct TeamDemand {
   scheduling::Resources used;         // by tasks that the records place on machines
@@ -21,4 +21,4 @@
 // Teams without any unfinished job are left out.
 Demands measure_demands(const RecordCache& cache);
 
-}  // namespace damsonport::budgets
+}  // namespace damsonport::quotas
--- a/src/coordination/holder.cpp
+++ b/src/coordination/holder.cpp
@@ -92,8 +92,8 @@
   // Machines that an earlier holder rented are heard first. The first one of all has none.
   const bool first_of_all = cache_.shard_table().renewals <= 1;
   next_scaling_at_ = lease_acquired_at_ + (first_of_all ? 0 : 2 * settings_.heartbeat_interval_s);
-  deps_.budgets.begin_lease();
-  budget_news_ = true;
+  deps_.quotas.begin_lease();
+  quota_news_ = true;
   reset_snapshot();
   for (auto& [id, assigned] : cache_.assignments()) machine(id);
   // Marked by an earlier holder, who may not have got round to it.
@@ -109,7 +109,7 @@
   }
   spdlog::info("holding the grant with term {}: {} machines named in records, {} jobs",
                fencing_token_, machines_.size(), cache_.jobs().size());
-  if (deps_.budgets.divided() && !deps_.budgets.exchanging())
+  if (deps_.quotas.divided() && !deps_.quotas.exchanging())
     spdlog::warn(
         "the teams' limits are divided by the records, but no regions file is given: "
         "nothing is moved between regions from here");
@@ -208,7 +208,7 @@
       if (is_leading()) busy = co_await commit_finals(stop_token) || busy;
       if (is_leading() && records_current())
         busy = co_await rechunker_.commit_next(stop_token) || busy;
-      if (is_leading()) busy = co_await commit_budgets(stop_token) || busy;
+      if (is_leading()) busy = co_await commit_quotas(stop_token) || busy;
       if (is_leading()) busy = co_await commit_starts(stop_token) || busy;
     }
     if (busy) continue;
--- a/src/coordination/holder.hpp
+++ b/src/coordination/holder.hpp
@@ -48,8 +48,8 @@
     Election& election;
     const VersionRegistry& versions;
     ExitForwarder& exit_forwarder;
-    budgets::TeamBudgets& budgets;
-    budgets::RegionNetwork& regions;
+    quotas::TeamQuotas& quotas;
+    quotas::RegionNetwork& regions;
     Notification& changed;
     uint64_t incarnation;
   };
@@ -81,7 +81,7 @@
   void job_changed(Job* job);
   void job_gone(Job* job);
   // Another region has given budget, or asks for some.
-  void budget_news();
+  void on_quota_news();
   // Another controller says that the job is cancelled; the records may follow.
   void cancelled_elsewhere(const std::string& job);
   // Replicas of several parts, as this holder knows them; none where it holds nothing.
@@ -162,8 +162,8 @@
   static bool is_over(const Job& job) { return job.cancelled ? job.live == 0 : job.finished(); }
 
   // --- the teams' limits among regions (holder_budgets.cpp)
-  Task<bool> commit_budgets(std::stop_token stop_token);
-  void tell_of_unmet_need();
+  Task<bool> commit_quotas(std::stop_token stop_token);
+  void send_deficits();
 
   // --- gangs (holder_gangs.cpp)
   // Takes note of a proven exit; of a gang it says something about the other tasks too.
@@ -317,8 +317,8 @@
   std::vector<autoscaling::ResourceDemand> unschedulable_;
   uint64_t pending_tasks_ = 0;
   size_t uncommitted_starts_ = 0;  // jobs whose starts the last pass decided and put off
-  bool budget_news_ = false, unmet_told_ = false;
-  double next_budgets_ = 0;
+  bool quota_news_ = false, deficit_sent_ = false;
+  double next_quotas_at_ = 0;
   double next_list_ = 0, next_scaling_at_ = 0;
   bool scheduling_requested_ = true;
   double next_cycle_at_ = 0;
--- a/src/coordination/holder_budgets.cpp
+++ b/src/coordination/holder_budgets.cpp
@@ -13,38 +13,38 @@
 
 // A gift counts on the records alone: none of this holder's starts is under way or in doubt here,
 // since it writes one transaction at a time, and an older holder's fail on `blocks`.
-Task<bool> ShardLeader::commit_budgets(std::stop_token stop_token) {
-  if (!deps_.budgets.exchanging() || !records_current()) co_return false;
+Task<bool> ShardLeader::commit_quotas(std::stop_token stop_token) {
+  if (!deps_.quotas.exchanging() || !records_current()) co_return false;
   // An older version that takes over would count the whole limit as its own.
-  if (!deps_.versions.all_have(VersionRegistry::budgets)) co_return false;
+  if (!deps_.versions.all_have(VersionRegistry::quotas)) co_return false;
   const double now = loop_.now();
-  if (!budget_news_ && now < next_budgets_) co_return false;
-  budget_news_ = false;
-  next_budgets_ = now + settings_.heartbeat_interval_s * measure_reports;
-  deps_.budgets.measure(now);
+  if (!quota_news_ && now < next_quotas_at_) co_return false;
+  quota_news_ = false;
+  next_quotas_at_ = now + settings_.heartbeat_interval_s * measure_reports;
+  deps_.quotas.measure(now);
   // One put fewer than the service takes at once.
-  Transaction transaction = deps_.budgets.next_changes(limits().txn_writes - 1);
+  Transaction transaction = deps_.quotas.next_changes(limits().txn_writes - 1);
   if (transaction.writes.empty()) {
-    tell_of_unmet_need();
+    send_deficits();
     co_return false;
   }
   transaction.preconditions[keys::shard_table] = cache_.shard_table_version();
   spdlog::debug("budgets of {} teams change", transaction.writes.size());
   if (co_await commit_and_apply(std::move(transaction), stop_token)) scheduling_requested_ = true;
-  budget_news_ = true;  // more may be due
+  quota_news_ = true;  // more may be due
   deps_.regions.wake();
   co_return true;
 }
 
 // Other regions hear at once that a team wants more than it has here.
-void ShardLeader::tell_of_unmet_need() {
-  const bool unmet = deps_.budgets.any_unmet();
-  if (unmet && !unmet_told_) deps_.regions.wake();
-  unmet_told_ = unmet;
+void ShardLeader::send_deficits() {
+  const bool unmet = deps_.quotas.any_deficit();
+  if (unmet && !deficit_sent_) deps_.regions.wake();
+  deficit_sent_ = unmet;
 }
 
-void ShardLeader::budget_news() {
-  budget_news_ = true;
+void ShardLeader::on_quota_news() {
+  quota_news_ = true;
   deps_.changed.notify();
 }
 
--- a/src/coordination/holder_cloud.cpp
+++ b/src/coordination/holder_cloud.cpp
@@ -298,7 +298,7 @@
 uint64_t ShardLeader::team_limit(const JobSpec& spec) const {
   auto* team = settings_.team(spec.team);
   double n = 1e6;
-  const auto limit = team ? deps_.budgets.limit(*team) : scheduling::Resources{};
+  const auto limit = team ? deps_.quotas.limit(*team) : scheduling::Resources{};
   if (limit.cpus > 0 && spec.cpus > 0) n = std::min(n, limit.cpus / spec.cpus);
   if (limit.gpus > 0 && spec.gpus > 0) n = std::min(n, limit.gpus / spec.gpus);
   return static_cast<uint64_t>(n + 1e-6);
--- a/src/coordination/holder_view.cpp
+++ b/src/coordination/holder_view.cpp
@@ -12,7 +12,7 @@
   snapshot_.gang_hold_after_s = settings_.gang_wait_s * tuning_.gang_hold_after_share;
   snapshot_.gang_hold_for_s = settings_.gang_wait_s * tuning_.gang_hold_for_share;
   for (auto& t : settings_.teams)
-    snapshot_.teams.push_back({t.name, deps_.budgets.guarantee(t), deps_.budgets.limit(t)});
+    snapshot_.teams.push_back({t.name, deps_.quotas.guarantee(t), deps_.quotas.limit(t)});
   job_index_.clear();
   free_machine_slots_.clear();
   changed_jobs_.clear();
@@ -172,9 +172,9 @@
                                    snapshot_.zones.id(b.zone),
                                    b.spot,
                                    {type->cpus, type->gpus, type->memory_gb}});
-  if (deps_.budgets.divided())
+  if (deps_.quotas.divided())
     for (size_t t = 0; t < snapshot_.teams.size(); ++t)
-      snapshot_.teams[t].limit = deps_.budgets.limit(settings_.teams[t]);
+      snapshot_.teams[t].limit = deps_.quotas.limit(settings_.teams[t]);
   snapshot_.now = loop_.wall();
   snapshot_.steady_now = now;
 }
--- a/src/coordination/node.cpp
+++ b/src/coordination/node.cpp
@@ -63,11 +63,11 @@
       peer_network_(loop, network, settings, cancellations_),
       versions_(loop, settings, store_, cache_),
       exit_forwarder_(loop, settings, store_, cache_),
-      budgets_(settings, regions, cache_),
-      regions_(loop, network, settings, regions, budgets_),
+      quotas_(settings, regions, cache_),
+      regions_(loop, network, settings, regions, quotas_),
       election_(loop, settings, store_, cache_, incarnation_, changed_),
       shard_leader_({loop, settings, store_, cache_, *http_, catalog_, peer_network_,
-                     cancellations_, election_, versions_, exit_forwarder_, budgets_, regions_,
+                     cancellations_, election_, versions_, exit_forwarder_, quotas_, regions_,
                      changed_, incarnation_}),
       api_(loop, settings, store_, cache_, catalog_, versions_),
       server_(network.server(max_read, max_connections(settings), idle_connection_s,
@@ -88,7 +88,7 @@
   peer_network_.on_cancelled = [this](const std::string& job) {
     shard_leader_.cancelled_elsewhere(job);
   };
-  regions_.on_news = [this] { shard_leader_.budget_news(); };
+  regions_.on_news = [this] { shard_leader_.on_quota_news(); };
   cache_.on_assignment = [this](const std::string& machine, const Job& job, bool added) {
     shard_leader_.assignment_changed(machine, job, added);
   };
--- a/src/coordination/node.hpp
+++ b/src/coordination/node.hpp
@@ -39,8 +39,8 @@
   PeerNetwork peer_network_;
   VersionRegistry versions_;
   ExitForwarder exit_forwarder_;
-  budgets::TeamBudgets budgets_;
-  budgets::RegionNetwork regions_;
+  quotas::TeamQuotas quotas_;
+  quotas::RegionNetwork regions_;
   Election election_;
   ShardLeader shard_leader_;
   UserApi api_;
--- a/src/coordination/version_registry.hpp
+++ b/src/coordination/version_registry.hpp
@@ -15,7 +15,7 @@
   // The first version whose gangs are started, stopped and restarted as a whole.
   static constexpr uint64_t gangs = 1;
   // The first version that divides the teams' limits among regions.
-  static constexpr uint64_t budgets = 2;
+  static constexpr uint64_t quotas = 2;
   // The first version that starts and repairs replicas of several parts as a whole.
   static constexpr uint64_t replicas = 3;
   static constexpr uint64_t current = replicas;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -93,7 +93,7 @@
       return exit_bad_settings;
     }
     regions = std::move(*loaded);
-    damsonport::budgets::keep_guarantees_elsewhere(*settings, *regions);
+    damsonport::quotas::keep_guarantees_elsewhere(*settings, *regions);
   }
   spdlog::info("damsonport {} starts as {}", DAMSONPORT_VERSION, settings->node_name);
   if (check) {
--- a/src/protocol/budget_parts.cpp
+++ b/src/protocol/budget_parts.cpp
@@ -5,12 +5,12 @@
 
 namespace damsonport {
 
-uint64_t parts_covering(double amount, double limit) {
+uint64_t units_covering(double amount, double limit) {
   if (limit <= 0 || amount <= 0) return 0;
   // What rounding errors add must not ask for one part more.
   constexpr double rounding = 1e-3;
-  const double parts = std::ceil(amount / limit * static_cast<double>(all_parts) - rounding);
-  return static_cast<uint64_t>(std::clamp(parts, 0.0, static_cast<double>(all_parts)));
+  const double units = std::ceil(amount / limit * static_cast<double>(all_quota_units) - rounding);
+  return static_cast<uint64_t>(std::clamp(units, 0.0, static_cast<double>(all_quota_units)));
 }
 
 }  // namespace damsonport
--- a/src/protocol/budget_parts.hpp
+++ b/src/protocol/budget_parts.hpp
@@ -5,29 +5,29 @@
 namespace damsonport {
 
 // All parts of a limit. Every region starts with some of them, and they are only moved.
-inline constexpr uint64_t all_parts = uint64_t{1} << 40;
+inline constexpr uint64_t all_quota_units = uint64_t{1} << 40;
 
 // Parts of the limit on CPUs and of the one on accelerators.
-struct BudgetParts {
+struct QuotaUnits {
   uint64_t cpus = 0, gpus = 0;
-  bool operator==(const BudgetParts&) const = default;
+  bool operator==(const QuotaUnits&) const = default;
   bool none() const { return cpus == 0 && gpus == 0; }
-  BudgetParts& operator+=(const BudgetParts& o) {
+  QuotaUnits& operator+=(const QuotaUnits& o) {
     cpus += o.cpus;
     gpus += o.gpus;
     return *this;
   }
-  BudgetParts& operator-=(const BudgetParts& o) {
+  QuotaUnits& operator-=(const QuotaUnits& o) {
     cpus -= o.cpus;
     gpus -= o.gpus;
     return *this;
   }
 };
-inline BudgetParts operator+(BudgetParts a, const BudgetParts& b) { return a += b; }
-inline BudgetParts operator-(BudgetParts a, const BudgetParts& b) { return a -= b; }
+inline QuotaUnits operator+(QuotaUnits a, const QuotaUnits& b) { return a += b; }
+inline QuotaUnits operator-(QuotaUnits a, const QuotaUnits& b) { return a -= b; }
 
 // The larger of both, for each resource.
-inline BudgetParts larger(const BudgetParts& a, const BudgetParts& b) {
+inline QuotaUnits larger(const QuotaUnits& a, const QuotaUnits& b) {
   return {a.cpus > b.cpus ? a.cpus : b.cpus, a.gpus > b.gpus ? a.gpus : b.gpus};
 }
 
@@ -35,10 +35,10 @@
 inline uint64_t excess(uint64_t a, uint64_t b) { return a > b ? a - b : 0; }
 
 // What so many parts of a limit are worth, in its own unit.
-inline double amount_of(uint64_t parts, double limit) {
-  return static_cast<double>(parts) / static_cast<double>(all_parts) * limit;
+inline double amount_of(uint64_t units, double limit) {
+  return static_cast<double>(units) / static_cast<double>(all_quota_units) * limit;
 }
 // The parts that cover an amount, all of them at the most; 0 where there is no limit.
-uint64_t parts_covering(double amount, double limit);
+uint64_t units_covering(double amount, double limit);
 
 }  // namespace damsonport
--- a/src/protocol/region_message.cpp
+++ b/src/protocol/region_message.cpp
@@ -12,9 +12,9 @@
 constexpr uint64_t max_frame = uint64_t{1024} * 1024;
 constexpr uint64_t max_teams = 100000;
 
-constexpr std::array<BudgetParts TeamExchange::*, 6> exchange_fields = {
-    &TeamExchange::sent,  &TeamExchange::received,   &TeamExchange::urgent_spare,
-    &TeamExchange::spare, &TeamExchange::urgent_ask, &TeamExchange::ask};
+constexpr std::array<QuotaUnits TeamExchange::*, 6> exchange_fields = {
+    &TeamExchange::sent,    &TeamExchange::received,       &TeamExchange::urgent_surplus,
+    &TeamExchange::surplus, &TeamExchange::urgent_request, &TeamExchange::request};
 
 std::string encode_exchange(const TeamExchange& exchange) {
   VarintWriter body;
--- a/src/protocol/region_message.hpp
+++ b/src/protocol/region_message.hpp
@@ -14,12 +14,12 @@
 
 struct TeamExchange {
   std::string team;
-  BudgetParts sent;      // by the sender's region to the receiver's, as committed
-  BudgetParts received;  // by the sender's region from the receiver's, as committed
+  QuotaUnits sent;      // by the sender's region to the receiver's, as committed
+  QuotaUnits received;  // by the sender's region from the receiver's, as committed
   // What the sender could give, and what it wants of the receiver. The urgent amounts are for work
   // of an urgent rank, the others for any.
-  BudgetParts urgent_spare, spare;
-  BudgetParts urgent_ask, ask;
+  QuotaUnits urgent_surplus, surplus;
+  QuotaUnits urgent_request, request;
 };
 
 struct RegionMessage {
--- a/src/storage/budget_record.cpp
+++ b/src/storage/budget_record.cpp
@@ -4,58 +4,56 @@
 
 namespace {
 
-using Totals = std::map<std::string, BudgetParts>;
+using Totals = std::map<std::string, QuotaUnits>;
 
-BudgetParts total_of(const Totals& totals, const std::string& region) {
+QuotaUnits total_of(const Totals& totals, const std::string& region) {
   auto it = totals.find(region);
-  return it == totals.end() ? BudgetParts{} : it->second;
+  return it == totals.end() ? QuotaUnits{} : it->second;
 }
 
-Json encode_parts(const BudgetParts& parts) { return {parts.cpus, parts.gpus}; }
+Json encode_units(const QuotaUnits& units) { return {units.cpus, units.gpus}; }
 
-BudgetParts decode_parts(const Json& value) {
+QuotaUnits decode_units(const Json& value) {
   return {value.at(0).get<uint64_t>(), value.at(1).get<uint64_t>()};
 }
 
 Json encode_totals(const Totals& totals) {
   Json out = Json::object();
-  for (auto& [region, parts] : totals) out[region] = encode_parts(parts);
+  for (auto& [region, units] : totals) out[region] = encode_units(units);
   return out;
 }
 
 Totals decode_totals(const Json& value, const char* field) {
   Totals out;
   if (auto it = value.find(field); it != value.end())
-    for (auto& [region, parts] : it->items()) out[region] = decode_parts(parts);
+    for (auto& [region, units] : it->items()) out[region] = decode_units(units);
   return out;
 }
 
 }  // namespace
 
-BudgetParts BudgetRecord::parts() const {
-  BudgetParts sum = initial;
-  for (auto& [region, parts] : received) sum += parts;
-  for (auto& [region, parts] : sent) sum -= parts;
+QuotaUnits QuotaRecord::units() const {
+  QuotaUnits sum = initial;
+  for (auto& [region, units] : received) sum += units;
+  for (auto& [region, units] : sent) sum -= units;
   return sum;
 }
 
-BudgetParts BudgetRecord::sent_to(const std::string& region) const {
-  return total_of(sent, region);
-}
+QuotaUnits QuotaRecord::sent_to(const std::string& region) const { return total_of(sent, region); }
 
-BudgetParts BudgetRecord::received_from(const std::string& region) const {
+QuotaUnits QuotaRecord::received_from(const std::string& region) const {
   return total_of(received, region);
 }
 
-Json encode_budget(const BudgetRecord& record) {
-  return {{"initial", encode_parts(record.initial)},
+Json encode_quota(const QuotaRecord& record) {
+  return {{"initial", encode_units(record.initial)},
           {"sent", encode_totals(record.sent)},
           {"received", encode_totals(record.received)}};
 }
 
-BudgetRecord decode_budget(const Json& value) {
-  BudgetRecord record;
-  record.initial = decode_parts(value.at("initial"));
+QuotaRecord decode_quota(const Json& value) {
+  QuotaRecord record;
+  record.initial = decode_units(value.at("initial"));
   record.sent = decode_totals(value, "sent");
   record.received = decode_totals(value, "received");
   return record;
--- a/src/storage/budget_record.hpp
+++ b/src/storage/budget_record.hpp
@@ -11,17 +11,17 @@
 
 namespace damsonport {
 
-struct BudgetRecord {
-  BudgetParts initial;
-  std::map<std::string, BudgetParts> sent, received;  // by the other region
+struct QuotaRecord {
+  QuotaUnits initial;
+  std::map<std::string, QuotaUnits> sent, received;  // by the other region
 
-  BudgetParts parts() const;
-  BudgetParts sent_to(const std::string& region) const;
-  BudgetParts received_from(const std::string& region) const;
-  bool operator==(const BudgetRecord&) const = default;
+  QuotaUnits units() const;
+  QuotaUnits sent_to(const std::string& region) const;
+  QuotaUnits received_from(const std::string& region) const;
+  bool operator==(const QuotaRecord&) const = default;
 };
 
-Json encode_budget(const BudgetRecord& record);
-BudgetRecord decode_budget(const Json& value);
+Json encode_quota(const QuotaRecord& record);
+QuotaRecord decode_quota(const Json& value);
 
 }  // namespace damsonport
--- a/src/storage/cache.cpp
+++ b/src/storage/cache.cpp
@@ -173,8 +173,8 @@
     } else {
       forwarded_exits_.erase(tail(keys::exits));
     }
-  } else if (key.starts_with(keys::budgets)) {
-    apply_budget(tail(keys::budgets), key_value);
+  } else if (key.starts_with(keys::quotas)) {
+    apply_quota(tail(keys::quotas), key_value);
   } else if (key.starts_with(keys::versions)) {
     if (key_value.value.is_object())
       versions_[tail(keys::versions)] = key_value.value.value("v", uint64_t{0});
@@ -197,10 +197,10 @@
 }
 
 // Never removed: without it the team's limit would count as undivided.
-void RecordCache::apply_budget(const std::string& team, const KeyValue& key_value) {
-  auto& budget = budgets_[team];
-  if (key_value.value.is_object() && key_value.version > budget.version)
-    budget = {decode_budget(key_value.value), key_value.version};
+void RecordCache::apply_quota(const std::string& team, const KeyValue& key_value) {
+  auto& quota = quotas_[team];
+  if (key_value.value.is_object() && key_value.version > quota.version)
+    quota = {decode_quota(key_value.value), key_value.version};
 }
 
 void RecordCache::apply_job(const std::string& id, const KeyValue& key_value) {
--- a/src/storage/cache.hpp
+++ b/src/storage/cache.hpp
@@ -132,11 +132,11 @@
   const std::map<std::string, ForwardedExits>& forwarded_exits() const { return forwarded_exits_; }
 
   // This region's budgets of the teams' limits, by team; none where limits are not divided.
-  struct Budget {
-    BudgetRecord record;
+  struct Quota {
+    QuotaRecord record;
     uint64_t version = 0;
   };
-  const std::map<std::string, Budget>& budgets() const { return budgets_; }
+  const std::map<std::string, Quota>& quotas() const { return quotas_; }
 
   // Called after every applied change; the argument is the job concerned, or null.
   std::function<void(Job*)> on_change;
@@ -149,7 +149,7 @@
   Task<bool> load(std::stop_token stop_token);
   bool is_stale_write(const KeyValue& key_value);
   void apply_job(const std::string& id, const KeyValue& key_value);
-  void apply_budget(const std::string& team, const KeyValue& key_value);
+  void apply_quota(const std::string& team, const KeyValue& key_value);
   void apply_chunk(const std::string& rest, const KeyValue& key_value);
   void set_chunk(Job& job, uint32_t n, TaskChunk record, uint64_t version);
   void assign(Job& job, uint32_t index, const LiveTask& task, bool add);
@@ -188,7 +188,7 @@
   std::map<std::string, Rental> scale_out_requests_;
   std::map<std::string, uint64_t> versions_;
   std::map<std::string, ForwardedExits> forwarded_exits_;
-  std::map<std::string, Budget> budgets_;
+  std::map<std::string, Quota> quotas_;
 };
 
 }  // namespace damsonport
--- a/src/storage/records.hpp
+++ b/src/storage/records.hpp
@@ -22,7 +22,7 @@
 inline const std::string rentals = "d/r/";
 inline const std::string versions = "d/v/";
 inline const std::string exits = "d/e/";
-inline const std::string budgets = "d/q/";
+inline const std::string quotas = "d/q/";
 inline std::string job(const std::string& id) { return jobs + id; }
 // `layout`: how often the job's tasks were divided anew. The first one's keys have no number of it.
 inline std::string chunk(const std::string& id, uint32_t n, uint32_t chunk_layout = 0) {
@@ -33,7 +33,7 @@
 inline std::string rental(const std::string& id) { return rentals + id; }
 inline std::string version(const std::string& node) { return versions + node; }
 inline std::string forwarded_exits(const std::string& node) { return exits + node; }
-inline std::string budget(const std::string& team) { return budgets + team; }
+inline std::string quota(const std::string& team) { return quotas + team; }
 inline std::string final_state(const std::string& id) { return "f/" + id; }
 }  // namespace keys
 
--- a/tests/regions/budgets_test.cpp
+++ b/tests/regions/budgets_test.cpp
@@ -6,7 +6,7 @@
 #include "protocol/region_message.hpp"
 #include "storage/budget_record.hpp"
 
-namespace damsonport::budgets {
+namespace damsonport::quotas {
 namespace {
 
 const char* const two_regions = R"(; a comment
@@ -52,16 +52,16 @@
   regions.push_back({"later", 0, {"d"}, {}});
   for (uint64_t share : {1, 2, 3, 7, 999983, 1000000}) {
     regions[1].share = share;
-    const auto parts = initial_parts(regions);
-    EXPECT_EQ(parts[0] + parts[1] + parts[2], all_parts) << share;
-    EXPECT_EQ(parts[2], 0u);
+    const auto units = initial_units(regions);
+    EXPECT_EQ(units[0] + units[1] + units[2], all_quota_units) << share;
+    EXPECT_EQ(units[2], 0u);
     const double expected = static_cast<double>(share) / static_cast<double>(share + 2);
-    EXPECT_NEAR(amount_of(parts[1], 1), expected, 1e-9) << share;
+    EXPECT_NEAR(amount_of(units[1], 1), expected, 1e-9) << share;
   }
   regions.assign(8, {"all", 1000000, {"z"}, {}});
   uint64_t sum = 0;
-  for (uint64_t parts : initial_parts(regions)) sum += parts;
-  EXPECT_EQ(sum, all_parts);
+  for (uint64_t units : initial_units(regions)) sum += units;
+  EXPECT_EQ(sum, all_quota_units);
 }
 
 TEST(InitialParts, SharesOfAGuaranteeAreTheGuarantee) {
@@ -75,7 +75,7 @@
 
 TEST(RegionMessage, IsReadAsItWasWritten) {
   RegionMessage message{"north", "south", "quay-0", 41, 7, {}};
-  message.teams.push_back({"t", {1, 2}, {3, 4}, {5, 6}, {7, 8}, {9, 10}, {11, all_parts}});
+  message.teams.push_back({"t", {1, 2}, {3, 4}, {5, 6}, {7, 8}, {9, 10}, {11, all_quota_units}});
   const auto bytes = encode_region_message(message);
   RegionMessage read;
   size_t used = 0;
@@ -88,8 +88,8 @@
   EXPECT_EQ(read.receiver, "south");
   EXPECT_EQ(read.fencing_token, 41u);
   ASSERT_EQ(read.teams.size(), 1u);
-  EXPECT_EQ(read.teams[0].ask, (BudgetParts{11, all_parts}));
-  EXPECT_EQ(read.teams[0].received, (BudgetParts{3, 4}));
+  EXPECT_EQ(read.teams[0].request, (QuotaUnits{11, all_quota_units}));
+  EXPECT_EQ(read.teams[0].received, (QuotaUnits{3, 4}));
 }
 
 TEST(RegionMessage, AnotherVersionIsPassedOver) {
@@ -112,52 +112,52 @@
     EXPECT_EQ(decode_region_message(encode_frame(body.substr(0, size)), read, used), Framed::bad);
 }
 
-TEST(BudgetRecord, IsReadAsItWasWritten) {
-  BudgetRecord record{{10, 20}, {{"south", {1, 2}}}, {{"south", {3, 4}}, {"west", {5, 6}}}};
-  EXPECT_EQ(decode_budget(encode_budget(record)), record);
-  EXPECT_EQ(record.parts(), (BudgetParts{17, 28}));
+TEST(QuotaRecord, IsReadAsItWasWritten) {
+  QuotaRecord record{{10, 20}, {{"south", {1, 2}}}, {{"south", {3, 4}}, {"west", {5, 6}}}};
+  EXPECT_EQ(decode_quota(encode_quota(record)), record);
+  EXPECT_EQ(record.units(), (QuotaUnits{17, 28}));
 }
 
 TEST(BudgetPolicy, KeepsWhatItUsesNeedsAndHasGuaranteed) {
-  Standing s{.budget = 100, .used = 30, .guaranteed = 20, .urgent_need = 5, .need = 25};
-  EXPECT_EQ(spare(s, false).urgent, 65u);
-  EXPECT_EQ(spare(s, false).any, 45u);
+  Standing s{.quota = 100, .used = 30, .guaranteed = 20, .urgent_need = 5, .need = 25};
+  EXPECT_EQ(surplus(s, false).urgent, 65u);
+  EXPECT_EQ(surplus(s, false).any, 45u);
   s.recent_peak = 90;
-  EXPECT_EQ(spare(s, false).any, 10u);
-  EXPECT_EQ(spare(s, false).urgent, 65u) << "what was needed lately gives way to urgent work";
+  EXPECT_EQ(surplus(s, false).any, 10u);
+  EXPECT_EQ(surplus(s, false).urgent, 65u) << "what was needed lately gives way to urgent work";
   s.guaranteed = 80;
-  EXPECT_EQ(spare(s, false).urgent, 20u);
+  EXPECT_EQ(surplus(s, false).urgent, 20u);
   s.used = 120;
-  EXPECT_EQ(spare(s, false).urgent, 0u) << "more in use than the budget: nothing to give";
+  EXPECT_EQ(surplus(s, false).urgent, 0u) << "more in use than the budget: nothing to give";
 }
 
 TEST(BudgetPolicy, GivesWhatWasAskedAndNotYetGiven) {
-  const Spare can{50, 10};
-  EXPECT_EQ(decide_gift(can, {0, 30}, 0), 10u);
-  EXPECT_EQ(decide_gift(can, {30, 30}, 0), 30u);
-  EXPECT_EQ(decide_gift(can, {80, 80}, 0), 50u);
-  EXPECT_EQ(decide_gift(can, {30, 30}, 25), 5u);
-  EXPECT_EQ(decide_gift(can, {30, 30}, 40), 0u);
+  const Surplus can{50, 10};
+  EXPECT_EQ(decide_transfer(can, {0, 30}, 0), 10u);
+  EXPECT_EQ(decide_transfer(can, {30, 30}, 0), 30u);
+  EXPECT_EQ(decide_transfer(can, {80, 80}, 0), 50u);
+  EXPECT_EQ(decide_transfer(can, {30, 30}, 25), 5u);
+  EXPECT_EQ(decide_transfer(can, {30, 30}, 40), 0u);
 }
 
 TEST(BudgetPolicy, AsksNobodyForMoreThanItToldAndNothingTwice) {
-  const auto asks = divide_asks({20, 50}, {{0, 0}, {15, 10}, {40, 30}});
+  const auto requests = divide_requests({20, 50}, {{0, 0}, {15, 10}, {40, 30}});
   uint64_t urgent = 0, any = 0;
-  for (auto& ask : asks) urgent += ask.urgent, any += ask.any;
+  for (auto& request : requests) urgent += request.urgent, any += request.any;
   EXPECT_EQ(urgent, 20u);
   EXPECT_LE(any, 50u);
-  EXPECT_EQ(asks[0].any, 0u);
-  EXPECT_EQ(asks[2].urgent, 20u) << "the one that can spare most is asked first";
-  EXPECT_LE(asks[1].any, 15u);
+  EXPECT_EQ(requests[0].any, 0u);
+  EXPECT_EQ(requests[2].urgent, 20u) << "the one that can spare most is asked first";
+  EXPECT_LE(requests[1].any, 15u);
   EXPECT_GE(any, 40u);
 }
 
 TEST(BudgetPolicy, OfTwoWithTooLittleOneGivesWay) {
-  Standing s{.budget = 10, .used = 8, .need = 40, .smallest = 4};
-  EXPECT_EQ(spare(s, false).any, 0u);
-  EXPECT_EQ(spare(s, true).any, 2u);
-  s.budget = 12;
-  EXPECT_EQ(spare(s, true).any, 0u) << "a task fits";
+  Standing s{.quota = 10, .used = 8, .need = 40, .smallest = 4};
+  EXPECT_EQ(surplus(s, false).any, 0u);
+  EXPECT_EQ(surplus(s, true).any, 2u);
+  s.quota = 12;
+  EXPECT_EQ(surplus(s, true).any, 0u) << "a task fits";
 }
 
 TEST(BudgetPolicy, ThePeakIsForgotten) {
@@ -172,4 +172,4 @@
 }
 
 }  // namespace
-}  // namespace damsonport::budgets
+}  // namespace damsonport::quotas
--- a/tests/regions/region_cluster.cpp
+++ b/tests/regions/region_cluster.cpp
@@ -73,7 +73,7 @@
     nodes.emplace_back(controller_name(index, n), controller_host(index, n));
   region.state = std::make_unique<StateService>(world_, s.state.host, limits);
   region.state->on_change = [this, index](const std::string& key, const Json& value) {
-    if (key == keys::budget(plan_.team.name)) budget_changed(index, value);
+    if (key == keys::quota(plan_.team.name)) budget_changed(index, value);
   };
   region.fleet = std::make_unique<Fleet>(world_, s, std::vector<MachineType>{machine_type(plan_)},
                                          nodes, fmt::format("10.{}.", 100 + index));
@@ -82,7 +82,7 @@
   for (int i = 0; i < plan_.machines; ++i) region.fleet->add_up("g", region.zone, false);
   auto with_elsewhere = s;
   const auto regions = region_settings(index);
-  budgets::keep_guarantees_elsewhere(with_elsewhere, regions);
+  quotas::keep_guarantees_elsewhere(with_elsewhere, regions);
   for (size_t n = 0; n < plan_.controllers; ++n) {
     Settings own = with_elsewhere;
     own.node_name = nodes[n].first;
@@ -223,21 +223,21 @@
 
 // --- what is checked
 
-BudgetRecord RegionCluster::budget(size_t region) const {
-  auto it = budgets_.find(region);
-  return it == budgets_.end() ? BudgetRecord{} : it->second;
+QuotaRecord RegionCluster::quota(size_t region) const {
+  auto it = quotas_.find(region);
+  return it == quotas_.end() ? QuotaRecord{} : it->second;
 }
 
 double RegionCluster::budget_gpus(size_t region) const {
-  return amount_of(budget(region).parts().gpus, plan_.team.gpus_max);
+  return amount_of(quota(region).units().gpus, plan_.team.gpus_max);
 }
 
 uint64_t RegionCluster::gpu_parts_on_the_way() const {
   uint64_t sum = 0;
-  for (auto& [from, record] : budgets_)
+  for (auto& [from, record] : quotas_)
     for (auto& [to, parts] : record.sent) {
       const auto receiver = static_cast<size_t>(std::stoul(to.substr(to.find('-') + 1)));
-      sum += parts.gpus - budget(receiver).received_from(regions_[from].name).gpus;
+      sum += parts.gpus - quota(receiver).received_from(regions_[from].name).gpus;
     }
   return sum;
 }
@@ -266,27 +266,27 @@
 
 void RegionCluster::budget_changed(size_t region, const Json& value) {
   if (!value.is_object()) return broken_.push_back("a budget's record was removed");
-  const auto before = budget(region);
-  budgets_[region] = decode_budget(value);
+  const auto before = quota(region);
+  quotas_[region] = decode_quota(value);
   check_totals();
   if (used_gpus(region) > budget_gpus(region) + eps && checked_limit_ >= plan_.team.gpus_max)
     broken_.push_back(fmt::format("at {} {} uses {} accelerators of a budget of {}", world_.now(),
                                   regions_[region].name, used_gpus(region), budget_gpus(region)));
-  if (on_budget) on_budget(region, before, budgets_[region]);
+  if (on_budget) on_budget(region, before, quotas_[region]);
 }
 
 // All parts are with some region or on the way between two; nothing is received that wasn't sent.
 void RegionCluster::check_totals() {
-  if (budgets_.size() < regions_.size()) return;
+  if (quotas_.size() < regions_.size()) return;
   uint64_t sum = 0;
-  for (auto& [region, record] : budgets_) {
-    const uint64_t parts = record.parts().gpus;
-    if (parts > all_parts)
+  for (auto& [region, record] : quotas_) {
+    const uint64_t parts = record.units().gpus;
+    if (parts > all_quota_units)
       broken_.push_back(fmt::format("{} has given more than it had", regions_[region].name));
     sum += parts;
   }
   if (const uint64_t moving = gpu_parts_on_the_way();
-      moving > all_parts || sum + moving != all_parts)
+      moving > all_quota_units || sum + moving != all_quota_units)
     broken_.push_back(fmt::format("at {} {} parts and {} on the way", world_.now(), sum, moving));
 }
 
--- a/tests/regions/region_cluster.hpp
+++ b/tests/regions/region_cluster.hpp
@@ -50,15 +50,14 @@
   Fleet& fleet(size_t region) { return *regions_[region].fleet; }
 
   // Called for each change of a budget's record.
-  std::function<void(size_t region, const BudgetRecord& before, const BudgetRecord& after)>
-      on_budget;
+  std::function<void(size_t region, const QuotaRecord& before, const QuotaRecord& after)> on_budget;
   // Every message between regions arrives once more after a while, drawn up to `seconds`.
   void repeat_messages_within(double seconds);
   // Somebody on the link says this to a region's controllers.
   void deliver(size_t region, const RegionMessage& message);
   std::string region_name(size_t region) const { return regions_[region].name; }
 
-  BudgetRecord budget(size_t region) const;
+  QuotaRecord quota(size_t region) const;
   double budget_gpus(size_t region) const;
   // Parts that were sent and not received yet.
   uint64_t gpu_parts_on_the_way() const;
@@ -96,7 +95,7 @@
   double checked_limit_;
   VirtualNetwork::Streams streams_;
   std::vector<RegionWorld> regions_;
-  std::map<size_t, BudgetRecord> budgets_;
+  std::map<size_t, QuotaRecord> quotas_;
   std::map<std::string, JobSpec> jobs_;
   std::vector<std::string> broken_;
   double most_used_ = 0;
--- a/tests/regions/regions_test.cpp
+++ b/tests/regions/regions_test.cpp
@@ -14,10 +14,10 @@
     ADD_FAILURE() << "seed " << cluster.plan().seed << ": " << what;
 }
 
-bool gave(const BudgetRecord& before, const BudgetRecord& after) {
+bool gave(const QuotaRecord& before, const QuotaRecord& after) {
   return !before.sent.empty() || !after.sent.empty() ? before.sent != after.sent : false;
 }
-bool took(const BudgetRecord& before, const BudgetRecord& after) {
+bool took(const QuotaRecord& before, const QuotaRecord& after) {
   return before.received != after.received;
 }
 
@@ -412,7 +412,7 @@
 // Somebody on the link claims to have sent all there is, or says what is meant for others.
 TEST(Regions, AFalseClaimIsNotCounted) {
   RegionCluster cluster({.regions = 3});
-  const BudgetParts all{all_parts, all_parts};
+  const QuotaUnits all{all_quota_units, all_quota_units};
   auto claim = [&](const std::string& from, const std::string& to) {
     RegionMessage message{from, to, "r1n0", 1, 1, {}};
     message.teams.push_back({"t", all, {}, {}, {}, {}, {}});
@@ -427,17 +427,17 @@
   cluster.run_until(40);
   EXPECT_EQ(cluster.running("run-1"), 16) << "what was really sent still comes";
   for (size_t region : {1, 2})
-    EXPECT_LT(cluster.budget(0).received_from(cluster.region_name(region)).gpus, all_parts);
+    EXPECT_LT(cluster.quota(0).received_from(cluster.region_name(region)).gpus, all_quota_units);
   expect_no_rule_broken(cluster);
 }
 
 TEST(Regions, AMessageMeantForAnotherRegionIsNotCounted) {
   RegionCluster cluster({.regions = 3});
   RegionMessage message{cluster.region_name(2), cluster.region_name(1), "r2n0", 1000000, 1, {}};
-  message.teams.push_back({"t", {all_parts / 16, all_parts / 16}, {}, {}, {}, {}, {}});
+  message.teams.push_back({"t", {all_quota_units / 16, all_quota_units / 16}, {}, {}, {}, {}, {}});
   cluster.at(acknowledged, [&] { cluster.deliver(0, message); });
   cluster.run_until(acknowledged + 2);
-  EXPECT_TRUE(cluster.budget(0).received_from(cluster.region_name(2)).none());
+  EXPECT_TRUE(cluster.quota(0).received_from(cluster.region_name(2)).none());
   expect_no_rule_broken(cluster);
 }
 
@@ -445,7 +445,7 @@
 TEST(Regions, AnOlderMessageAsksForNothing) {
   RegionCluster cluster({});
   RegionMessage message{cluster.region_name(1), cluster.region_name(0), "r1n0", 1, 1, {}};
-  message.teams.push_back({"t", {}, {}, {}, {}, {0, all_parts}, {0, all_parts}});
+  message.teams.push_back({"t", {}, {}, {}, {}, {0, all_quota_units}, {0, all_quota_units}});
   cluster.at(acknowledged, [&] { cluster.deliver(0, message); });
   cluster.run_until(acknowledged + 1);
   EXPECT_DOUBLE_EQ(cluster.budget_gpus(0), 8);
--- a/tools/fleet/results.cpp
+++ b/tools/fleet/results.cpp
@@ -81,16 +81,16 @@
   uint64_t moved = 0;
   for (auto& state : results.states)
     for (auto& [team, value] : state.at("budgets").items()) {
-      const auto record = decode_budget(value);
-      parts[team].first += record.parts().cpus;
-      parts[team].second += record.parts().gpus;
+      const auto record = decode_quota(value);
+      parts[team].first += record.units().cpus;
+      parts[team].second += record.units().gpus;
       for (auto& [region, sent] : record.sent) moved += sent.cpus + sent.gpus > 0 ? 1 : 0;
     }
   uint64_t whole = 0, more = 0;
   for (auto& [team, sum] : parts) {
-    whole +=
-        (sum.first == 0 || sum.first == all_parts) && (sum.second == 0 || sum.second == all_parts);
-    more += sum.first > all_parts || sum.second > all_parts;
+    whole += (sum.first == 0 || sum.first == all_quota_units) &&
+             (sum.second == 0 || sum.second == all_quota_units);
+    more += sum.first > all_quota_units || sum.second > all_quota_units;
   }
   return {{"teams", parts.size()},
           {"teams_whole_at_the_end", whole},
--- a/tools/fleet/state_process.cpp
+++ b/tools/fleet/state_process.cpp
@@ -36,16 +36,16 @@
     const std::string what = command.at("do");
     if (what == "outage") world_of->act([&] { state->set_down(command.at("on").get<bool>()); });
     if (what != "finish") return;
-    Json budgets = Json::object();
+    Json quotas = Json::object();
     for (auto& [key, value] : state->all())
-      if (key.starts_with(keys::budgets)) budgets[key.substr(keys::budgets.size())] = value.first;
+      if (key.starts_with(keys::quotas)) quotas[key.substr(keys::quotas.size())] = value.first;
     parent.tell({{"kind", "final"},
                  {"writes", writes},
                  {"refused_for_rate", state->refused_for_rate()},
                  {"refused_for_size", state->refused_for_size()},
                  {"traffic", traffic_json(world_of->served())},
                  {"stored", stored_json(*state)},
-                 {"budgets", std::move(budgets)}});
+                 {"budgets", std::move(quotas)}});
     emulator->finish();
   };
   EmulatorLoop loop(parent, on_command);
