--- a/simulation/fleet.hpp
+++ b/simulation/fleet.hpp
@@ -3,8 +3,8 @@
 #pragma once
 #include <deque>
 
+#include "config/settings.hpp"
 #include "protocol/messages.hpp"
-#include "protocol/settings.hpp"
 #include "simulation/gang_runs.hpp"
 #include "simulation/replica_checker.hpp"
 #include "simulation/world.hpp"
--- a/simulation/state_service.hpp
+++ b/simulation/state_service.hpp
@@ -4,8 +4,8 @@
 #include <map>
 #include <set>
 
+#include "config/state_limits.hpp"
 #include "protocol/messages.hpp"
-#include "protocol/state_limits.hpp"
 #include "simulation/world.hpp"
 
 namespace damsonport::simulation {
--- a/simulation/virtual_controller.hpp
+++ b/simulation/virtual_controller.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/node.hpp"
+#include "coordination/controller.hpp"
 #include "simulation/world.hpp"
 
 namespace damsonport::simulation {
--- a/src/protocol/region_settings.cpp
+++ b/src/config/region_settings.cpp
@@ -1,12 +1,12 @@
-#include "protocol/region_settings.hpp"
+#include "config/region_settings.hpp"
 
 #include <algorithm>
 #include <charconv>
 #include <numeric>
 #include <set>
 
-#include "protocol/sexp_document.hpp"
-#include "protocol/text_file.hpp"
+#include "config/sexp_document.hpp"
+#include "config/text_file.hpp"
 
 namespace damsonport {
 
--- a/src/protocol/region_settings.hpp
+++ b/src/config/region_settings.hpp
@@ -11,8 +11,8 @@
 #include <string>
 #include <vector>
 
+#include "config/settings.hpp"
 #include "protocol/result.hpp"
-#include "protocol/settings.hpp"
 
 namespace damsonport {
 
--- a/src/protocol/replica_settings.cpp
+++ b/src/config/replica_settings.cpp
@@ -1,11 +1,11 @@
-#include "protocol/replica_settings.hpp"
+#include "config/replica_settings.hpp"
 
 #include <charconv>
 #include <optional>
 #include <set>
 
-#include "protocol/sexp_document.hpp"
-#include "protocol/text_file.hpp"
+#include "config/sexp_document.hpp"
+#include "config/text_file.hpp"
 
 namespace damsonport {
 
--- a/src/protocol/settings.cpp
+++ b/src/config/settings.cpp
@@ -1,9 +1,9 @@
-#include "protocol/settings.hpp"
+#include "config/settings.hpp"
 
 #include <filesystem>
 
-#include "protocol/text_file.hpp"
-#include "protocol/toml_reader.hpp"
+#include "config/text_file.hpp"
+#include "config/toml_reader.hpp"
 
 namespace damsonport {
 
--- a/src/protocol/settings.hpp
+++ b/src/config/settings.hpp
@@ -3,10 +3,10 @@
 #include <string>
 #include <vector>
 
-#include "protocol/replica_settings.hpp"
+#include "config/replica_settings.hpp"
+#include "config/state_limits.hpp"
+#include "config/tuning.hpp"
 #include "protocol/result.hpp"
-#include "protocol/state_limits.hpp"
-#include "protocol/tuning.hpp"
 #include "transport/http.hpp"
 
 namespace damsonport {
--- a/src/protocol/sexp_document.cpp
+++ b/src/config/sexp_document.cpp
@@ -1,4 +1,4 @@
-#include "protocol/sexp_document.hpp"
+#include "config/sexp_document.hpp"
 
 #include <sfsexp/sexp_memory.h>
 #include <sfsexp/sexp_ops.h>
--- a/src/protocol/state_limits.cpp
+++ b/src/config/state_limits.cpp
@@ -1,4 +1,4 @@
-#include "protocol/state_limits.hpp"
+#include "config/state_limits.hpp"
 
 #include <algorithm>
 
--- a/src/protocol/text_file.cpp
+++ b/src/config/text_file.cpp
@@ -1,4 +1,4 @@
-#include "protocol/text_file.hpp"
+#include "config/text_file.hpp"
 
 #include <filesystem>
 #include <fstream>
--- a/src/protocol/toml_reader.cpp
+++ b/src/config/toml_reader.cpp
@@ -1,4 +1,4 @@
-#include "protocol/toml_reader.hpp"
+#include "config/toml_reader.hpp"
 
 #include <sstream>
 
--- a/src/protocol/tuning.cpp
+++ b/src/config/tuning.cpp
@@ -1,8 +1,8 @@
-#include "protocol/tuning.hpp"
+#include "config/tuning.hpp"
 
 #include <charconv>
 
-#include "protocol/sexp_document.hpp"
+#include "config/sexp_document.hpp"
 
 namespace damsonport {
 
--- a/src/coordination/user_api.cpp
+++ b/src/coordination/api/user_api.cpp
@@ -1,10 +1,10 @@
-#include "coordination/user_api.hpp"
+#include "coordination/api/user_api.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-#include "coordination/gangs.hpp"
+#include "coordination/scheduling/gangs.hpp"
 
 namespace damsonport {
 
--- a/src/coordination/user_api.hpp
+++ b/src/coordination/api/user_api.hpp
@@ -4,10 +4,10 @@
 #include <optional>
 #include <vector>
 
-#include "coordination/arrival_rate.hpp"
-#include "coordination/catalog.hpp"
-#include "coordination/version_registry.hpp"
-#include "storage/cache.hpp"
+#include "coordination/api/arrival_rate.hpp"
+#include "coordination/autoscaling/machine_type_catalog.hpp"
+#include "coordination/leadership/version_registry.hpp"
+#include "storage/record_cache.hpp"
 
 namespace damsonport {
 
--- a/src/coordination/sizing.cpp
+++ b/src/coordination/autoscaling/autoscaler.cpp
@@ -1,4 +1,4 @@
-#include "coordination/sizing.hpp"
+#include "coordination/autoscaling/autoscaler.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -6,7 +6,7 @@
 #include <map>
 #include <set>
 
-#include "coordination/headroom.hpp"
+#include "coordination/autoscaling/headroom.hpp"
 
 namespace damsonport::autoscaling {
 
--- a/src/coordination/sizing.hpp
+++ b/src/coordination/autoscaling/autoscaler.hpp
@@ -3,7 +3,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/placement.hpp"
+#include "coordination/scheduling/scheduler.hpp"
 #include "protocol/messages.hpp"
 
 namespace damsonport {
--- a/src/coordination/spending.cpp
+++ b/src/coordination/autoscaling/cost_account.cpp
@@ -1,4 +1,4 @@
-#include "coordination/spending.hpp"
+#include "coordination/autoscaling/cost_account.hpp"
 
 #include <spdlog/fmt/fmt.h>
 
--- a/src/coordination/spending.hpp
+++ b/src/coordination/autoscaling/cost_account.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/sizing.hpp"
+#include "coordination/autoscaling/autoscaler.hpp"
 
 namespace damsonport {
 
--- a/src/coordination/headroom.cpp
+++ b/src/coordination/autoscaling/headroom.cpp
@@ -1,4 +1,4 @@
-#include "coordination/headroom.hpp"
+#include "coordination/autoscaling/headroom.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/coordination/catalog.cpp
+++ b/src/coordination/autoscaling/machine_type_catalog.cpp
@@ -1,4 +1,4 @@
-#include "coordination/catalog.hpp"
+#include "coordination/autoscaling/machine_type_catalog.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/coordination/catalog.hpp
+++ b/src/coordination/autoscaling/machine_type_catalog.hpp
@@ -1,7 +1,7 @@
 // The machine types, read from the cloud by every node: submissions are checked against them.
 #pragma once
+#include "config/settings.hpp"
 #include "protocol/messages.hpp"
-#include "protocol/settings.hpp"
 #include "transport/warning_limiter.hpp"
 
 namespace damsonport {
--- a/src/coordination/rentals.cpp
+++ b/src/coordination/autoscaling/scale_out_requests.cpp
@@ -1,4 +1,4 @@
-#include "coordination/rentals.hpp"
+#include "coordination/autoscaling/scale_out_requests.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/coordination/rentals.hpp
+++ b/src/coordination/autoscaling/scale_out_requests.hpp
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "protocol/settings.hpp"
-#include "storage/cache.hpp"
+#include "config/settings.hpp"
+#include "storage/record_cache.hpp"
 #include "transport/http.hpp"
 
 namespace damsonport {
--- a/src/coordination/node.cpp
+++ b/src/coordination/controller.cpp
@@ -1,11 +1,11 @@
-#include "coordination/node.hpp"
+#include "coordination/controller.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <cmath>
 
-#include "coordination/connection_policy.hpp"
+#include "coordination/leadership/connection_policy.hpp"
 
 namespace damsonport {
 
--- a/src/coordination/node.hpp
+++ b/src/coordination/controller.hpp
@@ -1,7 +1,7 @@
 // One controller: its parts, its routes and its duties.
 #pragma once
-#include "coordination/holder.hpp"
-#include "coordination/user_api.hpp"
+#include "coordination/api/user_api.hpp"
+#include "coordination/shard_leader/shard_leader.hpp"
 
 namespace damsonport {
 
--- a/src/coordination/cancellations.cpp
+++ b/src/coordination/leadership/cancellation_gossip.cpp
@@ -1,4 +1,4 @@
-#include "coordination/cancellations.hpp"
+#include "coordination/leadership/cancellation_gossip.hpp"
 
 #include <algorithm>
 
--- a/src/coordination/cancellations.hpp
+++ b/src/coordination/leadership/cancellation_gossip.hpp
@@ -9,7 +9,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "protocol/heartbeat.hpp"
+#include "protocol/peer_heartbeat.hpp"
 
 namespace damsonport {
 
--- a/src/coordination/election.cpp
+++ b/src/coordination/leadership/election.cpp
@@ -1,4 +1,4 @@
-#include "coordination/election.hpp"
+#include "coordination/leadership/election.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/coordination/election.hpp
+++ b/src/coordination/leadership/election.hpp
@@ -1,7 +1,7 @@
 // The leader's key: attached to a lease of the state service, so that it goes with its owner.
 #pragma once
-#include "protocol/settings.hpp"
-#include "storage/cache.hpp"
+#include "config/settings.hpp"
+#include "storage/record_cache.hpp"
 
 namespace damsonport {
 
--- a/src/coordination/exit_relay.cpp
+++ b/src/coordination/leadership/exit_forwarder.cpp
@@ -1,4 +1,4 @@
-#include "coordination/exit_relay.hpp"
+#include "coordination/leadership/exit_forwarder.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/coordination/exit_relay.hpp
+++ b/src/coordination/leadership/exit_forwarder.hpp
@@ -8,9 +8,9 @@
 #pragma once
 #include <set>
 
-#include "protocol/settings.hpp"
-#include "storage/cache.hpp"
-#include "storage/state_client.hpp"
+#include "config/settings.hpp"
+#include "storage/key_value_client.hpp"
+#include "storage/record_cache.hpp"
 
 namespace damsonport {
 
--- a/src/coordination/lease_renewal.cpp
+++ b/src/coordination/leadership/lease_renewal.cpp
@@ -1,10 +1,10 @@
-#include "coordination/lease_renewal.hpp"
+#include "coordination/leadership/lease_renewal.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-#include "coordination/renewal_policy.hpp"
+#include "coordination/leadership/renewal_policy.hpp"
 
 namespace damsonport {
 
@@ -17,7 +17,7 @@
 
 LeaseRenewal::LeaseRenewal(Loop& loop, const Settings& settings, RecordCache& cache,
                            PeerNetwork& peer_network, const CancellationGossip& cancellations,
-                           ExitForwarder& exit_forwarder, const StateContact& contact)
+                           ExitForwarder& exit_forwarder, const StoreContact& contact)
     : loop_(loop),
       settings_(settings),
       cache_(cache),
--- a/src/coordination/lease_renewal.hpp
+++ b/src/coordination/leadership/lease_renewal.hpp
@@ -4,10 +4,10 @@
 #include <string>
 #include <unordered_map>
 
-#include "coordination/exit_relay.hpp"
-#include "coordination/peer_network.hpp"
-#include "coordination/state_contact.hpp"
-#include "storage/cache.hpp"
+#include "coordination/leadership/exit_forwarder.hpp"
+#include "coordination/leadership/peer_network.hpp"
+#include "coordination/leadership/store_contact.hpp"
+#include "storage/record_cache.hpp"
 
 namespace damsonport {
 
@@ -15,7 +15,7 @@
  public:
   LeaseRenewal(Loop& loop, const Settings& settings, RecordCache& cache, PeerNetwork& peer_network,
                const CancellationGossip& cancellations, ExitForwarder& exit_forwarder,
-               const StateContact& contact);
+               const StoreContact& contact);
 
   // A report may be answered with a lease: what this node doesn't know of cancellations is not too
   // old. `first_visit`: the machine comes here for the first time of late.
@@ -47,7 +47,7 @@
   PeerNetwork& peer_network_;
   const CancellationGossip& cancellations_;
   ExitForwarder& exit_forwarder_;
-  const StateContact& contact_;
+  const StoreContact& contact_;
   std::unordered_map<std::string, MisroutedMachine> misrouted_;
 };
 
--- a/src/coordination/peer_network.cpp
+++ b/src/coordination/leadership/peer_network.cpp
@@ -1,4 +1,4 @@
-#include "coordination/peer_network.hpp"
+#include "coordination/leadership/peer_network.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/coordination/peer_network.hpp
+++ b/src/coordination/leadership/peer_network.hpp
@@ -4,9 +4,9 @@
 #include <map>
 #include <memory>
 
-#include "coordination/cancellations.hpp"
-#include "protocol/heartbeat.hpp"
-#include "protocol/settings.hpp"
+#include "config/settings.hpp"
+#include "coordination/leadership/cancellation_gossip.hpp"
+#include "protocol/peer_heartbeat.hpp"
 #include "transport/network.hpp"
 
 namespace damsonport {
--- a/src/coordination/renewal_policy.cpp
+++ b/src/coordination/leadership/renewal_policy.cpp
@@ -1,4 +1,4 @@
-#include "coordination/renewal_policy.hpp"
+#include "coordination/leadership/renewal_policy.hpp"
 
 namespace damsonport {
 
--- a/src/coordination/state_contact.hpp
+++ b/src/coordination/leadership/store_contact.hpp
@@ -1,13 +1,13 @@
 // How long ago this controller reached the state service.
 #pragma once
-#include "protocol/settings.hpp"
-#include "storage/state_client.hpp"
+#include "config/settings.hpp"
+#include "storage/key_value_client.hpp"
 
 namespace damsonport {
 
-class StateContact {
+class StoreContact {
  public:
-  StateContact(Loop& loop, const Settings& settings, const KeyValueClient& store)
+  StoreContact(Loop& loop, const Settings& settings, const KeyValueClient& store)
       : loop_(loop), settings_(settings), store_(store) {}
   double age_s() const { return loop_.now() - store_.last_contact(); }
   // The state service counts as reached for so long.
--- a/src/coordination/version_registry.cpp
+++ b/src/coordination/leadership/version_registry.cpp
@@ -1,4 +1,4 @@
-#include "coordination/version_registry.hpp"
+#include "coordination/leadership/version_registry.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/coordination/version_registry.hpp
+++ b/src/coordination/leadership/version_registry.hpp
@@ -4,9 +4,9 @@
 // not understand begins only when every controller has recorded the new one. A record outlives the
 // process that wrote it, so a controller must not be put back to an older version afterwards.
 #pragma once
-#include "protocol/settings.hpp"
-#include "storage/cache.hpp"
-#include "storage/state_client.hpp"
+#include "config/settings.hpp"
+#include "storage/key_value_client.hpp"
+#include "storage/record_cache.hpp"
 
 namespace damsonport {
 
--- a/src/coordination/silence_timeout.cpp
+++ b/src/coordination/machines/dead_machine_timeout.cpp
@@ -1,4 +1,4 @@
-#include "coordination/silence_timeout.hpp"
+#include "coordination/machines/dead_machine_timeout.hpp"
 
 namespace damsonport {
 
--- a/src/coordination/failure_evidence.cpp
+++ b/src/coordination/machines/fault_attribution.cpp
@@ -1,4 +1,4 @@
-#include "coordination/failure_evidence.hpp"
+#include "coordination/machines/fault_attribution.hpp"
 
 #include <algorithm>
 
--- a/src/coordination/repeated_reports.cpp
+++ b/src/coordination/machines/heartbeat_deduplicator.cpp
@@ -1,4 +1,4 @@
-#include "coordination/repeated_reports.hpp"
+#include "coordination/machines/heartbeat_deduplicator.hpp"
 
 #include <string_view>
 
--- a/src/coordination/fleet.cpp
+++ b/src/coordination/machines/machine.cpp
@@ -1,4 +1,4 @@
-#include "coordination/fleet.hpp"
+#include "coordination/machines/machine.hpp"
 
 namespace damsonport {
 
--- a/src/coordination/machine_list.cpp
+++ b/src/coordination/machines/machine_list_reader.cpp
@@ -1,4 +1,4 @@
-#include "coordination/machine_list.hpp"
+#include "coordination/machines/machine_list_reader.hpp"
 
 #include <algorithm>
 
--- a/src/coordination/machine_list.hpp
+++ b/src/coordination/machines/machine_list_reader.hpp
@@ -3,8 +3,8 @@
 #include <functional>
 #include <stop_token>
 
+#include "config/settings.hpp"
 #include "protocol/messages.hpp"
-#include "protocol/settings.hpp"
 #include "transport/http.hpp"
 #include "transport/loop.hpp"
 
--- a/src/coordination/orphan_cleanup.cpp
+++ b/src/coordination/machines/orphan_cleanup.cpp
@@ -1,4 +1,4 @@
-#include "coordination/orphan_cleanup.hpp"
+#include "coordination/machines/orphan_cleanup.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -16,7 +16,7 @@
 
 OrphanCleanup::OrphanCleanup(Loop& loop, const Settings& settings, RecordCache& cache,
                              HttpClient& http, PeerNetwork& peer_network,
-                             const CancellationGossip& cancellations, const StateContact& contact,
+                             const CancellationGossip& cancellations, const StoreContact& contact,
                              MachineListReader& machine_list, int most_sockets)
     : loop_(loop),
       settings_(settings),
--- a/src/coordination/orphan_cleanup.hpp
+++ b/src/coordination/machines/orphan_cleanup.hpp
@@ -5,10 +5,10 @@
 #include <utility>
 #include <vector>
 
-#include "coordination/machine_list.hpp"
-#include "coordination/peer_network.hpp"
-#include "coordination/state_contact.hpp"
-#include "storage/cache.hpp"
+#include "coordination/leadership/peer_network.hpp"
+#include "coordination/leadership/store_contact.hpp"
+#include "coordination/machines/machine_list_reader.hpp"
+#include "storage/record_cache.hpp"
 
 namespace damsonport {
 
@@ -17,7 +17,7 @@
   // `most_sockets`: messages to workers that may be under way at once.
   OrphanCleanup(Loop& loop, const Settings& settings, RecordCache& cache, HttpClient& http,
                 PeerNetwork& peer_network, const CancellationGossip& cancellations,
-                const StateContact& contact, MachineListReader& machine_list, int most_sockets);
+                const StoreContact& contact, MachineListReader& machine_list, int most_sockets);
 
   // Asks each machine that may run a cancelled task, stops what is there under the holder's term,
   // and returns the machine if it doesn't answer. Nothing is committed and nothing proven by it.
@@ -42,7 +42,7 @@
   HttpClient& http_;
   PeerNetwork& peer_network_;
   const CancellationGossip& cancellations_;
-  const StateContact& contact_;
+  const StoreContact& contact_;
   MachineListReader& machine_list_;
   const size_t most_sockets_;
   double next_check_ = 0;
--- a/src/coordination/reconcile.cpp
+++ b/src/coordination/machines/reconcile.cpp
@@ -1,4 +1,4 @@
-#include "coordination/reconcile.hpp"
+#include "coordination/machines/reconcile.hpp"
 
 namespace damsonport {
 
--- a/src/coordination/reconcile.hpp
+++ b/src/coordination/machines/reconcile.hpp
@@ -3,7 +3,7 @@
 #include <functional>
 #include <vector>
 
-#include "coordination/fleet.hpp"
+#include "coordination/machines/machine.hpp"
 
 namespace damsonport {
 
--- a/src/coordination/straggler.cpp
+++ b/src/coordination/machines/straggler.cpp
@@ -1,4 +1,4 @@
-#include "coordination/straggler.hpp"
+#include "coordination/machines/straggler.hpp"
 
 #include <algorithm>
 
--- a/src/coordination/straggler.hpp
+++ b/src/coordination/machines/straggler.hpp
@@ -3,8 +3,8 @@
 #pragma once
 #include <vector>
 
-#include "coordination/fleet.hpp"
-#include "protocol/tuning.hpp"
+#include "config/tuning.hpp"
+#include "coordination/machines/machine.hpp"
 
 namespace damsonport {
 
--- a/src/coordination/budgets/initial_parts.cpp
+++ b/src/coordination/quotas/initial_units.cpp
@@ -1,4 +1,4 @@
-#include "coordination/budgets/initial_parts.hpp"
+#include "coordination/quotas/initial_units.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/coordination/budgets/initial_parts.hpp
+++ b/src/coordination/quotas/initial_units.hpp
@@ -2,8 +2,8 @@
 #pragma once
 #include <vector>
 
-#include "protocol/budget_parts.hpp"
-#include "protocol/region_settings.hpp"
+#include "config/region_settings.hpp"
+#include "protocol/quota_units.hpp"
 
 namespace damsonport::quotas {
 
--- a/src/coordination/budgets/budget_policy.cpp
+++ b/src/coordination/quotas/quota_policy.cpp
@@ -1,9 +1,9 @@
-#include "coordination/budgets/budget_policy.hpp"
+#include "coordination/quotas/quota_policy.hpp"
 
 #include <algorithm>
 #include <numeric>
 
-#include "protocol/budget_parts.hpp"
+#include "protocol/quota_units.hpp"
 
 namespace damsonport::quotas {
 
--- a/src/coordination/budgets/region_network.cpp
+++ b/src/coordination/quotas/region_network.cpp
@@ -1,4 +1,4 @@
-#include "coordination/budgets/region_network.hpp"
+#include "coordination/quotas/region_network.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/coordination/budgets/region_network.hpp
+++ b/src/coordination/quotas/region_network.hpp
@@ -7,7 +7,7 @@
 #include <memory>
 #include <set>
 
-#include "coordination/budgets/team_budgets.hpp"
+#include "coordination/quotas/team_quotas.hpp"
 #include "transport/network.hpp"
 
 namespace damsonport::quotas {
--- a/src/coordination/budgets/team_demand.cpp
+++ b/src/coordination/quotas/team_demand.cpp
@@ -1,4 +1,4 @@
-#include "coordination/budgets/team_demand.hpp"
+#include "coordination/quotas/team_demand.hpp"
 
 namespace damsonport::quotas {
 
--- a/src/coordination/budgets/team_demand.hpp
+++ b/src/coordination/quotas/team_demand.hpp
@@ -3,8 +3,8 @@
 #include <map>
 #include <string>
 
-#include "coordination/placement.hpp"
-#include "storage/cache.hpp"
+#include "coordination/scheduling/scheduler.hpp"
+#include "storage/record_cache.hpp"
 
 namespace damsonport::quotas {
 
--- a/src/coordination/budgets/team_budgets.cpp
+++ b/src/coordination/quotas/team_quotas.cpp
@@ -1,10 +1,10 @@
-#include "coordination/budgets/team_budgets.hpp"
+#include "coordination/quotas/team_quotas.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-#include "coordination/budgets/initial_parts.hpp"
+#include "coordination/quotas/initial_units.hpp"
 
 namespace damsonport::quotas {
 
--- a/src/coordination/budgets/team_budgets.hpp
+++ b/src/coordination/quotas/team_quotas.hpp
@@ -10,10 +10,10 @@
 #include <string>
 #include <vector>
 
-#include "coordination/budgets/budget_policy.hpp"
-#include "coordination/budgets/team_demand.hpp"
+#include "config/region_settings.hpp"
+#include "coordination/quotas/quota_policy.hpp"
+#include "coordination/quotas/team_demand.hpp"
 #include "protocol/region_message.hpp"
-#include "protocol/region_settings.hpp"
 
 namespace damsonport::quotas {
 
--- a/src/coordination/replicas/repair_policy.hpp
+++ b/src/coordination/replicas/repair_policy.hpp
@@ -4,7 +4,7 @@
 #include <cstddef>
 #include <vector>
 
-#include "protocol/replica_settings.hpp"
+#include "config/replica_settings.hpp"
 
 namespace damsonport::replicas {
 
--- a/src/coordination/replicas/replica_manager.hpp
+++ b/src/coordination/replicas/replica_manager.hpp
@@ -8,9 +8,9 @@
 #include <utility>
 #include <vector>
 
-#include "coordination/gang_tracker.hpp"
 #include "coordination/replicas/repair_policy.hpp"
 #include "coordination/replicas/replica_state.hpp"
+#include "coordination/scheduling/gang_tracker.hpp"
 
 namespace damsonport::replicas {
 
--- a/src/coordination/replicas/replica_state.hpp
+++ b/src/coordination/replicas/replica_state.hpp
@@ -5,7 +5,7 @@
 #include <string_view>
 #include <vector>
 
-#include "coordination/gangs.hpp"
+#include "coordination/scheduling/gangs.hpp"
 
 namespace damsonport::replicas {
 
--- a/src/coordination/chunk_edits.cpp
+++ b/src/coordination/scheduling/chunk_edits.cpp
@@ -1,4 +1,4 @@
-#include "coordination/chunk_edits.hpp"
+#include "coordination/scheduling/chunk_edits.hpp"
 
 namespace damsonport {
 
--- a/src/coordination/chunk_edits.hpp
+++ b/src/coordination/scheduling/chunk_edits.hpp
@@ -4,8 +4,8 @@
 #include <set>
 #include <string>
 
-#include "protocol/state_limits.hpp"
-#include "storage/cache.hpp"
+#include "config/state_limits.hpp"
+#include "storage/record_cache.hpp"
 
 namespace damsonport {
 
--- a/src/coordination/placement_gang.cpp
+++ b/src/coordination/scheduling/gang_placement.cpp
@@ -1,7 +1,7 @@
 // Gangs: all their tasks are placed by one decision or none is.
 #include <cmath>
 
-#include "coordination/placement_pass.hpp"
+#include "coordination/scheduling/scheduling_cycle.hpp"
 
 namespace damsonport::scheduling {
 
--- a/src/coordination/gang_tracker.cpp
+++ b/src/coordination/scheduling/gang_tracker.cpp
@@ -1,4 +1,4 @@
-#include "coordination/gang_tracker.hpp"
+#include "coordination/scheduling/gang_tracker.hpp"
 
 #include <algorithm>
 
--- a/src/coordination/gang_tracker.hpp
+++ b/src/coordination/scheduling/gang_tracker.hpp
@@ -5,9 +5,9 @@
 #include <string>
 #include <utility>
 
-#include "coordination/gangs.hpp"
-#include "coordination/task_facts.hpp"
-#include "protocol/settings.hpp"
+#include "config/settings.hpp"
+#include "coordination/scheduling/gangs.hpp"
+#include "coordination/scheduling/task_facts.hpp"
 #include "transport/loop.hpp"
 
 namespace damsonport {
--- a/src/coordination/gangs.cpp
+++ b/src/coordination/scheduling/gangs.cpp
@@ -1,4 +1,4 @@
-#include "coordination/gangs.hpp"
+#include "coordination/scheduling/gangs.hpp"
 
 namespace damsonport {
 
--- a/src/coordination/gangs.hpp
+++ b/src/coordination/scheduling/gangs.hpp
@@ -7,7 +7,7 @@
 #pragma once
 #include <cstdint>
 
-#include "storage/cache.hpp"
+#include "storage/record_cache.hpp"
 
 namespace damsonport {
 
--- a/src/coordination/placement_preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -1,5 +1,5 @@
 // What may be stopped to make room, and at what cost.
-#include "coordination/placement_pass.hpp"
+#include "coordination/scheduling/scheduling_cycle.hpp"
 
 namespace damsonport::scheduling {
 
--- a/src/coordination/record_division.cpp
+++ b/src/coordination/scheduling/rechunker.cpp
@@ -1,8 +1,8 @@
-#include "coordination/record_division.hpp"
+#include "coordination/scheduling/rechunker.hpp"
 
 #include <spdlog/spdlog.h>
 
-#include "storage/layout.hpp"
+#include "storage/rechunk.hpp"
 
 namespace damsonport {
 
--- a/src/coordination/record_division.hpp
+++ b/src/coordination/scheduling/rechunker.hpp
@@ -11,8 +11,8 @@
 #include <set>
 #include <string>
 
-#include "coordination/version_registry.hpp"
-#include "storage/cache.hpp"
+#include "coordination/leadership/version_registry.hpp"
+#include "storage/record_cache.hpp"
 
 namespace damsonport {
 
--- a/src/coordination/placement.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -1,10 +1,10 @@
 // Order, rules, and the placing of jobs whose tasks start one by one.
-#include "coordination/placement.hpp"
+#include "coordination/scheduling/scheduler.hpp"
 
 #include <cmath>
 #include <numeric>
 
-#include "coordination/placement_pass.hpp"
+#include "coordination/scheduling/scheduling_cycle.hpp"
 
 namespace damsonport::scheduling {
 
--- a/src/coordination/placement_pass.hpp
+++ b/src/coordination/scheduling/scheduling_cycle.hpp
@@ -9,7 +9,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "coordination/placement.hpp"
+#include "coordination/scheduling/scheduler.hpp"
 
 namespace damsonport::scheduling {
 
--- a/src/coordination/placement_cost.cpp
+++ b/src/coordination/scheduling/scoring.cpp
@@ -1,7 +1,7 @@
 // What a machine costs a task, in seconds or what counts like them.
 #include <cmath>
 
-#include "coordination/placement_pass.hpp"
+#include "coordination/scheduling/scheduling_cycle.hpp"
 
 namespace damsonport::scheduling {
 
--- a/src/coordination/job_slots.cpp
+++ b/src/coordination/scheduling/snapshot_index.cpp
@@ -1,8 +1,8 @@
-#include "coordination/job_slots.hpp"
+#include "coordination/scheduling/snapshot_index.hpp"
 
 #include <algorithm>
 
-#include "coordination/gangs.hpp"
+#include "coordination/scheduling/gangs.hpp"
 
 namespace damsonport {
 
--- a/src/coordination/job_slots.hpp
+++ b/src/coordination/scheduling/snapshot_index.hpp
@@ -4,8 +4,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "coordination/placement.hpp"
-#include "storage/cache.hpp"
+#include "coordination/scheduling/scheduler.hpp"
+#include "storage/record_cache.hpp"
 
 namespace damsonport {
 
--- a/src/coordination/start_edits.cpp
+++ b/src/coordination/scheduling/start_edits.cpp
@@ -1,4 +1,4 @@
-#include "coordination/start_edits.hpp"
+#include "coordination/scheduling/start_edits.hpp"
 
 #include <algorithm>
 
--- a/src/coordination/start_edits.hpp
+++ b/src/coordination/scheduling/start_edits.hpp
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/chunk_edits.hpp"
+#include "coordination/scheduling/chunk_edits.hpp"
 
 namespace damsonport {
 
--- a/src/coordination/task_facts.hpp
+++ b/src/coordination/scheduling/task_facts.hpp
@@ -2,8 +2,8 @@
 #pragma once
 #include <string>
 
-#include "coordination/fleet.hpp"
-#include "storage/cache.hpp"
+#include "coordination/machines/machine.hpp"
+#include "storage/record_cache.hpp"
 
 namespace damsonport {
 
--- a/src/coordination/holder.cpp
+++ b/src/coordination/shard_leader/shard_leader.cpp
@@ -1,4 +1,4 @@
-#include "coordination/holder.hpp"
+#include "coordination/shard_leader/shard_leader.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/coordination/holder.hpp
+++ b/src/coordination/shard_leader/shard_leader.hpp
@@ -7,30 +7,30 @@
 #include <unordered_map>
 #include <unordered_set>
 
-#include "coordination/budgets/region_network.hpp"
-#include "coordination/catalog.hpp"
-#include "coordination/election.hpp"
-#include "coordination/exit_relay.hpp"
-#include "coordination/failure_evidence.hpp"
-#include "coordination/fleet.hpp"
-#include "coordination/gang_tracker.hpp"
-#include "coordination/job_slots.hpp"
-#include "coordination/lease_renewal.hpp"
-#include "coordination/machine_list.hpp"
-#include "coordination/orphan_cleanup.hpp"
-#include "coordination/peer_network.hpp"
-#include "coordination/placement.hpp"
-#include "coordination/reconcile.hpp"
-#include "coordination/record_division.hpp"
-#include "coordination/rentals.hpp"
-#include "coordination/repeated_reports.hpp"
+#include "coordination/autoscaling/autoscaler.hpp"
+#include "coordination/autoscaling/cost_account.hpp"
+#include "coordination/autoscaling/machine_type_catalog.hpp"
+#include "coordination/autoscaling/scale_out_requests.hpp"
+#include "coordination/leadership/election.hpp"
+#include "coordination/leadership/exit_forwarder.hpp"
+#include "coordination/leadership/lease_renewal.hpp"
+#include "coordination/leadership/peer_network.hpp"
+#include "coordination/leadership/version_registry.hpp"
+#include "coordination/machines/dead_machine_timeout.hpp"
+#include "coordination/machines/fault_attribution.hpp"
+#include "coordination/machines/heartbeat_deduplicator.hpp"
+#include "coordination/machines/machine.hpp"
+#include "coordination/machines/machine_list_reader.hpp"
+#include "coordination/machines/orphan_cleanup.hpp"
+#include "coordination/machines/reconcile.hpp"
+#include "coordination/machines/straggler.hpp"
+#include "coordination/quotas/region_network.hpp"
 #include "coordination/replicas/replica_manager.hpp"
-#include "coordination/silence_timeout.hpp"
-#include "coordination/sizing.hpp"
-#include "coordination/spending.hpp"
-#include "coordination/start_edits.hpp"
-#include "coordination/straggler.hpp"
-#include "coordination/version_registry.hpp"
+#include "coordination/scheduling/gang_tracker.hpp"
+#include "coordination/scheduling/rechunker.hpp"
+#include "coordination/scheduling/scheduler.hpp"
+#include "coordination/scheduling/snapshot_index.hpp"
+#include "coordination/scheduling/start_edits.hpp"
 
 namespace damsonport {
 
@@ -279,7 +279,7 @@
   double liveness_base_ = 0;  // silence is counted from here at the earliest
   double last_tick_ = 0;
 
-  StateContact contact_;
+  StoreContact contact_;
   LeaseRenewal lease_renewal_;
   MachineListReader machine_list_;
   OrphanCleanup orphan_cleanup_;
--- a/src/coordination/holder_budgets.cpp
+++ b/src/coordination/shard_leader/shard_leader_budgets.cpp
@@ -2,7 +2,7 @@
 // records of them, between two of its other transactions.
 #include <spdlog/spdlog.h>
 
-#include "coordination/holder.hpp"
+#include "coordination/shard_leader/shard_leader.hpp"
 
 namespace damsonport {
 
--- a/src/coordination/holder_cancelled.cpp
+++ b/src/coordination/shard_leader/shard_leader_cancelled.cpp
@@ -2,7 +2,7 @@
 // is returned in time.
 #include <algorithm>
 
-#include "coordination/holder.hpp"
+#include "coordination/shard_leader/shard_leader.hpp"
 
 namespace damsonport {
 
--- a/src/coordination/holder_cloud.cpp
+++ b/src/coordination/shard_leader/shard_leader_cloud.cpp
@@ -4,8 +4,8 @@
 #include <algorithm>
 #include <limits>
 
-#include "coordination/headroom.hpp"
-#include "coordination/holder.hpp"
+#include "coordination/autoscaling/headroom.hpp"
+#include "coordination/shard_leader/shard_leader.hpp"
 
 namespace damsonport {
 
--- a/src/coordination/holder_gangs.cpp
+++ b/src/coordination/shard_leader/shard_leader_gangs.cpp
@@ -1,7 +1,7 @@
 // The holder's care for gangs: what one task's exit means for the others, and stops as a whole.
 #include <spdlog/spdlog.h>
 
-#include "coordination/holder.hpp"
+#include "coordination/shard_leader/shard_leader.hpp"
 
 namespace damsonport {
 
--- a/src/coordination/holder_machines.cpp
+++ b/src/coordination/shard_leader/shard_leader_machines.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "coordination/holder.hpp"
+#include "coordination/shard_leader/shard_leader.hpp"
 
 namespace damsonport {
 
--- a/src/coordination/holder_view.cpp
+++ b/src/coordination/shard_leader/shard_leader_view.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 #include <limits>
 
-#include "coordination/holder.hpp"
+#include "coordination/shard_leader/shard_leader.hpp"
 
 namespace damsonport {
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -9,8 +9,8 @@
 #include <optional>
 #include <sstream>
 
-#include "coordination/budgets/initial_parts.hpp"
-#include "coordination/node.hpp"
+#include "coordination/controller.hpp"
+#include "coordination/quotas/initial_units.hpp"
 #include "transport/event_network.hpp"
 #include "transport/file_limit.hpp"
 
--- a/src/protocol/heartbeat.cpp
+++ b/src/protocol/peer_heartbeat.cpp
@@ -1,4 +1,4 @@
-#include "protocol/heartbeat.hpp"
+#include "protocol/peer_heartbeat.hpp"
 
 #include "protocol/varint.hpp"
 
--- a/src/protocol/budget_parts.cpp
+++ b/src/protocol/quota_units.cpp
@@ -1,4 +1,4 @@
-#include "protocol/budget_parts.hpp"
+#include "protocol/quota_units.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/protocol/region_message.hpp
+++ b/src/protocol/region_message.hpp
@@ -7,8 +7,8 @@
 #include <string_view>
 #include <vector>
 
-#include "protocol/budget_parts.hpp"
 #include "protocol/frame.hpp"
+#include "protocol/quota_units.hpp"
 
 namespace damsonport {
 
--- a/src/storage/state_client.cpp
+++ b/src/storage/key_value_client.cpp
@@ -1,4 +1,4 @@
-#include "storage/state_client.hpp"
+#include "storage/key_value_client.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/storage/budget_record.cpp
+++ b/src/storage/quota_record.cpp
@@ -1,4 +1,4 @@
-#include "storage/budget_record.hpp"
+#include "storage/quota_record.hpp"
 
 namespace damsonport {
 
--- a/src/storage/budget_record.hpp
+++ b/src/storage/quota_record.hpp
@@ -6,8 +6,8 @@
 #include <map>
 #include <string>
 
-#include "protocol/budget_parts.hpp"
 #include "protocol/messages.hpp"
+#include "protocol/quota_units.hpp"
 
 namespace damsonport {
 
--- a/src/storage/rate_limit.hpp
+++ b/src/storage/rate_limit.hpp
@@ -4,7 +4,7 @@
 #include <coroutine>
 #include <deque>
 
-#include "protocol/state_limits.hpp"
+#include "config/state_limits.hpp"
 #include "transport/loop.hpp"
 
 namespace damsonport {
--- a/src/storage/layout.cpp
+++ b/src/storage/rechunk.cpp
@@ -1,4 +1,4 @@
-#include "storage/layout.hpp"
+#include "storage/rechunk.hpp"
 
 #include <algorithm>
 
--- a/src/storage/layout.hpp
+++ b/src/storage/rechunk.hpp
@@ -2,7 +2,7 @@
 #pragma once
 #include <map>
 
-#include "storage/cache.hpp"
+#include "storage/record_cache.hpp"
 
 namespace damsonport {
 
--- a/src/storage/cache.cpp
+++ b/src/storage/record_cache.cpp
@@ -1,4 +1,4 @@
-#include "storage/cache.hpp"
+#include "storage/record_cache.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/storage/cache.hpp
+++ b/src/storage/record_cache.hpp
@@ -8,9 +8,9 @@
 #include <string>
 #include <unordered_map>
 
-#include "storage/budget_record.hpp"
+#include "storage/key_value_client.hpp"
+#include "storage/quota_record.hpp"
 #include "storage/records.hpp"
-#include "storage/state_client.hpp"
 #include "storage/task_range.hpp"
 #include "transport/warning_limiter.hpp"
 
--- a/tests/cancellations_test.cpp
+++ b/tests/cancellations_test.cpp
@@ -1,10 +1,9 @@
 // What controllers tell one another of cancellations, and who may answer a machine.
-#include "coordination/cancellations.hpp"
-
 #include <gtest/gtest.h>
 
-#include "coordination/peer_network.hpp"
-#include "coordination/renewal_policy.hpp"
+#include "coordination/leadership/cancellation_gossip.hpp"
+#include "coordination/leadership/peer_network.hpp"
+#include "coordination/leadership/renewal_policy.hpp"
 #include "simulation/world.hpp"
 
 namespace damsonport {
--- a/tests/failure_evidence_test.cpp
+++ b/tests/failure_evidence_test.cpp
@@ -1,7 +1,7 @@
-#include "coordination/failure_evidence.hpp"
-
 #include <gtest/gtest.h>
 
+#include "coordination/machines/fault_attribution.hpp"
+
 namespace damsonport {
 namespace {
 
--- a/tests/gangs_test.cpp
+++ b/tests/gangs_test.cpp
@@ -1,5 +1,5 @@
 // Decisions about gangs that need no controller, and what decides when they may begin.
-#include "coordination/gangs.hpp"
+#include "coordination/scheduling/gangs.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -3,7 +3,7 @@
 
 #include <limits>
 
-#include "coordination/connection_policy.hpp"
+#include "coordination/leadership/connection_policy.hpp"
 #include "transport/event_http.hpp"
 #include "transport/event_stream.hpp"
 #include "transport/file_limit.hpp"
--- a/tests/mixed_versions_test.cpp
+++ b/tests/mixed_versions_test.cpp
@@ -4,8 +4,8 @@
 
 #include <fstream>
 
-#include "protocol/heartbeat.hpp"
-#include "storage/layout.hpp"
+#include "protocol/peer_heartbeat.hpp"
+#include "storage/rechunk.hpp"
 
 namespace damsonport {
 namespace {
--- a/tests/placing_work_test.cpp
+++ b/tests/placing_work_test.cpp
@@ -2,8 +2,8 @@
 // deployment.
 #include <gtest/gtest.h>
 
-#include "coordination/placement.hpp"
-#include "coordination/sizing.hpp"
+#include "coordination/autoscaling/autoscaler.hpp"
+#include "coordination/scheduling/scheduler.hpp"
 
 namespace damsonport::scheduling {
 namespace {
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -1,9 +1,9 @@
 #include <gtest/gtest.h>
 
-#include "coordination/catalog.hpp"
-#include "protocol/heartbeat.hpp"
+#include "config/settings.hpp"
+#include "coordination/autoscaling/machine_type_catalog.hpp"
 #include "protocol/messages.hpp"
-#include "protocol/settings.hpp"
+#include "protocol/peer_heartbeat.hpp"
 #include "protocol/varint.hpp"
 
 namespace damsonport {
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -2,9 +2,9 @@
 
 #include <gtest/gtest.h>
 
-#include "coordination/arrival_rate.hpp"
-#include "coordination/version_registry.hpp"
-#include "storage/cache.hpp"
+#include "coordination/api/arrival_rate.hpp"
+#include "coordination/leadership/version_registry.hpp"
+#include "storage/record_cache.hpp"
 #include "transport/event_http.hpp"
 
 namespace damsonport {
--- a/tests/regions/budgets_test.cpp
+++ b/tests/regions/budgets_test.cpp
@@ -1,10 +1,10 @@
 // The pure parts of dividing limits among regions: settings, codec, first division and policy.
 #include <gtest/gtest.h>
 
-#include "coordination/budgets/budget_policy.hpp"
-#include "coordination/budgets/initial_parts.hpp"
+#include "coordination/quotas/initial_units.hpp"
+#include "coordination/quotas/quota_policy.hpp"
 #include "protocol/region_message.hpp"
-#include "storage/budget_record.hpp"
+#include "storage/quota_record.hpp"
 
 namespace damsonport::quotas {
 namespace {
--- a/tests/regions/region_cluster.cpp
+++ b/tests/regions/region_cluster.cpp
@@ -2,7 +2,7 @@
 
 #include <fmt/format.h>
 
-#include "coordination/budgets/initial_parts.hpp"
+#include "coordination/quotas/initial_units.hpp"
 #include "simulation/submission.hpp"
 
 namespace damsonport::simulation {
--- a/tests/regions/region_cluster.hpp
+++ b/tests/regions/region_cluster.hpp
@@ -10,7 +10,7 @@
 #include "simulation/fleet.hpp"
 #include "simulation/state_service.hpp"
 #include "simulation/virtual_controller.hpp"
-#include "storage/budget_record.hpp"
+#include "storage/quota_record.hpp"
 
 namespace damsonport::simulation {
 
--- a/tests/repeated_reports_test.cpp
+++ b/tests/repeated_reports_test.cpp
@@ -1,8 +1,7 @@
 // Reports that are recognized as saying what the last one said.
-#include "coordination/repeated_reports.hpp"
-
 #include <gtest/gtest.h>
 
+#include "coordination/machines/heartbeat_deduplicator.hpp"
 #include "protocol/messages.hpp"
 
 namespace damsonport {
--- a/tests/replicas/gang_tracker_test.cpp
+++ b/tests/replicas/gang_tracker_test.cpp
@@ -1,5 +1,5 @@
 // What a holder concludes about attempts that it began, and about those it found.
-#include "coordination/gang_tracker.hpp"
+#include "coordination/scheduling/gang_tracker.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/replicas/replicas_test.cpp
+++ b/tests/replicas/replicas_test.cpp
@@ -2,11 +2,11 @@
 // repairs.
 #include <gtest/gtest.h>
 
-#include "coordination/catalog.hpp"
-#include "coordination/fleet.hpp"
+#include "config/replica_settings.hpp"
+#include "coordination/autoscaling/machine_type_catalog.hpp"
+#include "coordination/machines/machine.hpp"
 #include "coordination/replicas/repair_policy.hpp"
 #include "coordination/replicas/replica_state.hpp"
-#include "protocol/replica_settings.hpp"
 #include "simulation/submission.hpp"
 
 namespace damsonport::replicas {
--- a/tests/spending_and_headroom_test.cpp
+++ b/tests/spending_and_headroom_test.cpp
@@ -3,8 +3,8 @@
 
 #include <cmath>
 
-#include "coordination/headroom.hpp"
-#include "coordination/spending.hpp"
+#include "coordination/autoscaling/cost_account.hpp"
+#include "coordination/autoscaling/headroom.hpp"
 
 namespace damsonport {
 namespace {
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -7,11 +7,11 @@
 #include <fstream>
 #include <ostream>
 
-#include "coordination/user_api.hpp"
-#include "coordination/version_registry.hpp"
-#include "protocol/heartbeat.hpp"
+#include "coordination/api/user_api.hpp"
+#include "coordination/leadership/version_registry.hpp"
+#include "protocol/peer_heartbeat.hpp"
 #include "protocol/region_message.hpp"
-#include "storage/cache.hpp"
+#include "storage/record_cache.hpp"
 #include "transport/event_http.hpp"
 
 namespace damsonport {
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -5,11 +5,11 @@
 #include <fstream>
 #include <sstream>
 
-#include "coordination/placement.hpp"
-#include "coordination/reconcile.hpp"
-#include "coordination/silence_timeout.hpp"
-#include "coordination/sizing.hpp"
-#include "coordination/straggler.hpp"
+#include "coordination/autoscaling/autoscaler.hpp"
+#include "coordination/machines/dead_machine_timeout.hpp"
+#include "coordination/machines/reconcile.hpp"
+#include "coordination/machines/straggler.hpp"
+#include "coordination/scheduling/scheduler.hpp"
 
 namespace damsonport {
 namespace {
--- a/tools/fleet/experiment.cpp
+++ b/tools/fleet/experiment.cpp
@@ -6,8 +6,8 @@
 #include <map>
 #include <numeric>
 
-#include "protocol/text_file.hpp"
-#include "protocol/toml_reader.hpp"
+#include "config/text_file.hpp"
+#include "config/toml_reader.hpp"
 
 namespace damsonport::fleet {
 
--- a/tools/fleet/experiment.hpp
+++ b/tools/fleet/experiment.hpp
@@ -3,9 +3,9 @@
 #include <string>
 #include <vector>
 
+#include "config/settings.hpp"
 #include "protocol/messages.hpp"
 #include "protocol/result.hpp"
-#include "protocol/settings.hpp"
 
 namespace damsonport::fleet {
 
--- a/tools/fleet/results.hpp
+++ b/tools/fleet/results.hpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "experiment.hpp"
-#include "storage/budget_record.hpp"
+#include "storage/quota_record.hpp"
 
 namespace damsonport::fleet {
 
