--- a/simulation/state_service.cpp
+++ b/simulation/state_service.cpp
@@ -135,16 +135,16 @@
     if (!changes_.empty() && changes_.front().revision > since + 1 &&
         changes_.size() >= kept_changes)
       return answer({410, {}});
-    watches_.push_back({from, query["starts"], since, answer});
+    watches_.push_back({++last_watch_, from, query["starts"], since, answer});
     Watch& w = watches_.back();
     if (answer_watch(w, false)) {
       watches_.pop_back();
       return;
     }
     const double wait = std::stod(query["block_ms"]) / 1000;
-    world_.in(wait, [this, answer, at = &w] {
+    world_.in(wait, [this, id = w.id] {
       for (auto it = watches_.begin(); it != watches_.end(); ++it)
-        if (&*it == at) {
+        if (it->id == id) {
           if (answer_watch(*it, true)) watches_.erase(it);
           return;
         }
--- a/simulation/state_service.hpp
+++ b/simulation/state_service.hpp
@@ -37,6 +37,7 @@
 
  private:
   struct Watch {
+    uint64_t id;
     std::string host, prefix;
     uint64_t since;
     World::Answer answer;
@@ -77,6 +78,7 @@
   std::deque<Change> changes_;
   uint64_t revision_ = 100, next_lease_ = 1;
   std::list<Watch> watches_;
+  uint64_t last_watch_ = 0;
   double requests_, writes_, filled_at_ = 0;
   size_t over_rate_ = 0, over_size_ = 0;
 };
--- a/tests/scenarios/scenario_digest.cpp
+++ b/tests/scenarios/scenario_digest.cpp
@@ -4,6 +4,7 @@
 ///
 ///   scenario_digest --list          names of all scenarios, one on a line
 ///   scenario_digest NAME [NAME...]  a line "NAME HASH" for each
+///   scenario_digest --log NAME      a line for each message, to find the first that differs
 #include <spdlog/spdlog.h>
 
 #include <bit>
@@ -45,6 +46,16 @@
   uint64_t value_ = 0xcbf29ce484222325;
 };
 
+bool log_messages = false;
+
+void log_message(double now, const std::string& from, const std::string& to,
+                 std::string_view header, std::string_view body) {
+  TrafficHash hash;
+  hash.add(body);
+  std::cout << std::fixed << std::setprecision(9) << now << ' ' << from << " -> " << to << ' '
+            << header << ' ' << std::hex << hash.value() << std::dec << '\n';
+}
+
 void play(const Lines& lines, uint64_t seed, TrafficHash& hash) {
   FaultScenario scenario(seed);
   scenario.fixtures_dir = FIXTURES_DIR;
@@ -54,6 +65,7 @@
   }
   scenario.world().observe_traffic([&](const std::string& from, const std::string& to,
                                        std::string_view header, std::string_view body) {
+    if (log_messages) log_message(scenario.world().now(), from, to, header, body);
     hash.add(scenario.world().now());
     hash.add(from);
     hash.add(to);
@@ -94,7 +106,7 @@
 
 int main(int argc, char** argv) {
   using namespace damsonport::simulation;
-  const std::vector<std::string> arguments(argv + 1, argv + argc);
+  std::vector<std::string> arguments(argv + 1, argv + argc);
   if (arguments.empty()) {
     std::cerr << "usage: scenario_digest --list | NAME...\n";
     return 2;
@@ -104,6 +116,10 @@
     list_scenarios();
     return 0;
   }
+  if (arguments.front() == "--log") {
+    log_messages = true;
+    arguments.erase(arguments.begin());
+  }
   try {
     for (const auto& name : arguments)
       std::cout << name << ' ' << std::hex << std::setw(16) << std::setfill('0') << digest(name)
