--- a/simulation/virtual_controller.cpp
+++ b/simulation/virtual_controller.cpp
@@ -24,26 +24,26 @@
                                         clock_rate_,
                                         world_.uniform(-most_wall_error_s, most_wall_error_s));
   network_ = std::make_unique<VirtualNetwork>(*loop_, host(), streams_);
-  node_ = std::make_unique<Node>(*loop_, *network_, process.settings,
-                                 process.regions ? &*process.regions : nullptr);
-  node_->start();
+  controller_ = std::make_unique<Controller>(*loop_, *network_, process.settings,
+                                             process.regions ? &*process.regions : nullptr);
+  controller_->start();
 }
 
 std::vector<VirtualController::ReplicaClaim> VirtualController::replica_claims() {
-  if (!node_ || loop_->stalled()) return {};
+  if (!controller_ || loop_->stalled()) return {};
   std::vector<ReplicaClaim> claims;
-  for (auto& status : node_->replica_statuses())
+  for (auto& status : controller_->replica_statuses())
     claims.push_back({status, loop_->now() - status.readiness.as_of});
   return claims;
 }
 
 void VirtualController::crash(double for_s) {
-  if (!node_) return;
+  if (!controller_) return;
   network_->end();
   loop_->stop();
   ended_loops_.push_back(std::move(loop_));
   ended_networks_.push_back(std::move(network_));
-  ended_nodes_.push_back(std::move(node_));
+  ended_controllers_.push_back(std::move(controller_));
   world_.in(for_s, [this] { start(); });
 }
 
--- a/simulation/virtual_controller.hpp
+++ b/simulation/virtual_controller.hpp
@@ -21,7 +21,7 @@
   void start();
   // The process ends at once: nothing more of it reaches the world. It is back after so long.
   void crash(double for_s);
-  bool running() const { return node_ != nullptr; }
+  bool running() const { return controller_ != nullptr; }
   // The process stands still while its clocks run on.
   void stall(double seconds) {
     if (loop_) loop_->stall(seconds);
@@ -34,7 +34,7 @@
   };
   std::vector<ReplicaClaim> replica_claims();
 
-  const std::string& name() const { return settings_.node_name; }
+  const std::string& name() const { return settings_.controller_name; }
   const std::string& host() const { return settings_.listen.host; }
   const std::string& zone() const { return settings_.zone; }
   // In force from the next start on.
@@ -56,10 +56,10 @@
   // Routines of ended processes are told to stop, and what is left of them is kept aside.
   std::vector<std::unique_ptr<VirtualLoop>> ended_loops_;
   std::vector<std::unique_ptr<VirtualNetwork>> ended_networks_;
-  std::vector<std::unique_ptr<Node>> ended_nodes_;
+  std::vector<std::unique_ptr<Controller>> ended_controllers_;
   std::unique_ptr<VirtualLoop> loop_;
   std::unique_ptr<VirtualNetwork> network_;
-  std::unique_ptr<Node> node_;
+  std::unique_ptr<Controller> controller_;
 };
 
 }  // namespace damsonport::simulation
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -67,7 +67,7 @@
 }
 
 void read_deployment(TomlReader& r, const TomlTable& d, Settings& s) {
-  s.nodes = static_cast<int>(r.required(d, "initial_size", 1, most_nodes));
+  s.controller_count = static_cast<int>(r.required(d, "initial_size", 1, most_nodes));
   s.clock_off_s = r.required(d, "clock_off_ms", 0) / 1000;
   if (auto* zones = (*d.values)["zones"].as_array())
     for (auto& z : *zones)
@@ -108,7 +108,7 @@
   TomlReader r(*parsed);
   const TomlTable& root = r.root();
   Settings s;
-  s.node_name = r.text(root, "node_name");
+  s.controller_name = r.text(root, "node_name");
   s.zone = r.text(root, "location");
   s.listen = read_endpoint(r, root, "listen");
   s.peer_listen = read_endpoint(r, root, "mesh_addr");
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -31,11 +31,11 @@
 };
 
 struct Settings {
-  std::string node_name, zone;
+  std::string controller_name, zone;
   Endpoint listen, peer_listen;
   std::vector<Peer> peers;
   Endpoint cloud, state;
-  int nodes = 1;
+  int controller_count = 1;
   double clock_off_s = 0;  // the time of day lies within this of the true one
   std::vector<std::string> zones;
   std::vector<TeamSettings> teams;
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -37,19 +37,20 @@
 // A fifth of the node's plain share of requests goes to watching.
 double watch_gap(const Settings& settings) {
   constexpr double watch_share = 0.2, least_per_s = 2.0;
-  const double share = settings.state_limits.always().requests_per_s / settings.nodes;
+  const double share = settings.state_limits.always().requests_per_s / settings.controller_count;
   return 1.0 / std::max(share * watch_share, least_per_s);
 }
 
 // Of the requests: the others confirm what users are told.
-double share_of(bool is_leading, int nodes) {
-  if (nodes <= 1) return 1;
+double share_of(bool is_leading, int controllers) {
+  if (controllers <= 1) return 1;
   constexpr double leader_share = 0.5;
-  return is_leading ? leader_share : (1 - leader_share) / (nodes - 1);
+  return is_leading ? leader_share : (1 - leader_share) / (controllers - 1);
 }
 }  // namespace
 
-Node::Node(Loop& loop, Network& network, const Settings& settings, const RegionSettings* regions)
+Controller::Controller(Loop& loop, Network& network, const Settings& settings,
+                       const RegionSettings* regions)
     : loop_(loop),
       settings_(settings),
       incarnation_(new_incarnation(loop)),
@@ -98,7 +99,7 @@
   };
 }
 
-bool Node::start() {
+bool Controller::start() {
   if (!server_->bind(settings_.listen)) {
     spdlog::error("cannot listen on {}", settings_.listen.text());
     return false;
@@ -111,7 +112,7 @@
     spdlog::error("cannot listen for the controllers of other regions");
     return false;
   }
-  spdlog::info("{} in {} serves on {}", settings_.node_name, settings_.zone,
+  spdlog::info("{} in {} serves on {}", settings_.controller_name, settings_.zone,
                settings_.listen.text());
   auto stop_token = loop_.stop_token();
   loop_.spawn("cache", cache_.follow(stop_token));
@@ -132,9 +133,9 @@
   return true;
 }
 
-PeerHeartbeat Node::next_heartbeat() const {
+PeerHeartbeat Controller::next_heartbeat() const {
   PeerHeartbeat b;
-  b.node = settings_.node_name;
+  b.controller = settings_.controller_name;
   b.incarnation = incarnation_;
   b.state_age_ms = static_cast<uint64_t>(std::min(loop_.now() - store_.last_contact(), 1e6) * 1000);
   b.waiting = shard_leader_.pending_tasks();
@@ -147,23 +148,23 @@
 
 // The leader writes nearly everything, and more when much fails at once: it counts as wanting half
 // of the limit always, and all of it where it isn't heard.
-double Node::wanted_writes() const {
+double Controller::wanted_writes() const {
   const double wanted = api_.wanted_writes();
   if (!election_.is_leading()) return wanted;
   return wanted + settings_.state_limits.present().writes_per_s / 2 +
          static_cast<double>(shard_leader_.waiting_writes());
 }
 
-void Node::share_limits() {
+void Controller::share_limits() {
   const bool is_leading = election_.is_leading();
   double others = static_cast<double>(peer_network_.wanted_writes());
-  if (!is_leading && !(cache_.has_leader() && peer_network_.alive(cache_.leader().node)))
+  if (!is_leading && !(cache_.has_leader() && peer_network_.alive(cache_.leader().controller)))
     others += settings_.state_limits.present().writes_per_s;
-  store_.limit().set_shares(share_of(is_leading, settings_.nodes),
-                            write_share(settings_.nodes, wanted_writes(), others));
+  store_.limit().set_shares(share_of(is_leading, settings_.controller_count),
+                            write_share(settings_.controller_count, wanted_writes(), others));
 }
 
-Task<void> Node::housekeeping(std::stop_token stop_token) {
+Task<void> Controller::housekeeping(std::stop_token stop_token) {
   const double period = settings_.heartbeat_interval_s / 3;
   while (!stop_token.stop_requested()) {
     share_limits();
@@ -179,7 +180,7 @@
 
 // A node that has lost the state service alone should leave the rotation; in an outage that all
 // see, leaving would only make users find nobody, and coming back is made slower each time.
-HttpResponse Node::health() const {
+HttpResponse Controller::health() const {
   if (!cache_.loaded() || !catalog_.known()) return {503, {}, 1};
   const double limit = settings_.lease_s / 4;
   bool contact = loop_.now() - store_.last_contact() < limit;
@@ -187,7 +188,7 @@
   return {200, {}, 0};
 }
 
-Task<HttpResponse> Node::route(HttpRequest r) {
+Task<HttpResponse> Controller::route(HttpRequest r) {
   const auto requester = r.path.starts_with(jobs_path) ? Requester::user
                          : r.path == heartbeat_path    ? Requester::worker
                                                        : Requester::other;
@@ -197,7 +198,7 @@
   co_return response;
 }
 
-Task<HttpResponse> Node::dispatch(HttpRequest r) {
+Task<HttpResponse> Controller::dispatch(HttpRequest r) {
   const HttpResponse wrong_method{405, {}, 0};
   if (r.body.size() > max_body)
     co_return bad_request("the body is longer than " + std::to_string(max_body) + " bytes");
--- a/src/coordination/controller.hpp
+++ b/src/coordination/controller.hpp
@@ -5,11 +5,11 @@
 
 namespace damsonport {
 
-class Node {
+class Controller {
  public:
   // `regions`: among which the teams' limits are divided; null: there is this region only.
-  Node(Loop& loop, Network& network, const Settings& settings,
-       const RegionSettings* regions = nullptr);
+  Controller(Loop& loop, Network& network, const Settings& settings,
+             const RegionSettings* regions = nullptr);
   // False when an address can't be had.
   bool start();
   // Replicas of several parts, where this node holds the grant.
--- a/src/coordination/leadership/cancellation_gossip.cpp
+++ b/src/coordination/leadership/cancellation_gossip.cpp
@@ -65,7 +65,7 @@
 
 CancellationGossip::Merged CancellationGossip::merge(const PeerHeartbeat& heartbeat, double now) {
   Merged merged;
-  auto it = peers_.find(heartbeat.node);
+  auto it = peers_.find(heartbeat.controller);
   if (it == peers_.end()) return merged;
   Peer& p = it->second;
   const uint64_t had = p.has, have_before = p.have;
--- a/src/coordination/leadership/election.cpp
+++ b/src/coordination/leadership/election.cpp
@@ -25,9 +25,10 @@
       if (!co_await Sleep(loop_, 0.1, stop_token)) co_return;
       continue;
     }
-    bool mine = cache_.has_leader() && cache_.leader().node == settings_.node_name;
+    bool mine = cache_.has_leader() && cache_.leader().controller == settings_.controller_name;
     if (is_leading_ && (!mine || cache_.leader().incarnation != incarnation_)) {
-      spdlog::info("leadership lost to {}", cache_.has_leader() ? cache_.leader().node : "nobody");
+      spdlog::info("leadership lost to {}",
+                   cache_.has_leader() ? cache_.leader().controller : "nobody");
       is_leading_ = false;
       lease_ = 0;
       changed_.notify();
@@ -67,7 +68,7 @@
   Transaction transaction;
   transaction.preconditions[keys::leader] = replaced;
   transaction.writes.push_back(
-      {keys::leader, encode_leader({settings_.node_name, incarnation_}), lease_});
+      {keys::leader, encode_leader({settings_.controller_name, incarnation_}), lease_});
   auto writes = transaction.writes;
   auto reply = co_await store_.compare_and_swap(std::move(transaction), Importance::lease);
   if (reply.outcome == TransactionOutcome::committed) {
@@ -82,7 +83,7 @@
     if (read.ok && read.found) {
       cache_.apply(read.key_value);
       auto& l = cache_.leader();
-      if (l.node == settings_.node_name && l.incarnation == incarnation_) {
+      if (l.controller == settings_.controller_name && l.incarnation == incarnation_) {
         is_leading_ = true;
         changed_.notify();
       }
--- a/src/coordination/leadership/election.hpp
+++ b/src/coordination/leadership/election.hpp
@@ -14,7 +14,7 @@
   // successor is known there first, and writing on its version would be leading in its name.
   bool is_leading() const {
     return is_leading_ && !is_backing_off() && cache_.has_leader() &&
-           cache_.leader().node == settings_.node_name &&
+           cache_.leader().controller == settings_.controller_name &&
            cache_.leader().incarnation == incarnation_;
   }
 
--- a/src/coordination/leadership/exit_forwarder.cpp
+++ b/src/coordination/leadership/exit_forwarder.cpp
@@ -42,7 +42,7 @@
 Task<bool> ExitForwarder::write(ForwardedExits record) {
   Transaction transaction;
   const bool empty = record.exits.empty();
-  transaction.writes.push_back({keys::forwarded_exits(settings_.node_name),
+  transaction.writes.push_back({keys::forwarded_exits(settings_.controller_name),
                                 empty ? Json() : encode_forwarded_exits(record), 0});
   const auto writes = transaction.writes;
   auto reply = co_await store_.compare_and_swap(std::move(transaction), Importance::scheduling);
@@ -59,7 +59,7 @@
     if (!cache_.loaded()) continue;
     forget_what_is_committed();
     auto record = next_record();
-    auto written = cache_.forwarded_exits().find(settings_.node_name);
+    auto written = cache_.forwarded_exits().find(settings_.controller_name);
     const bool stands = written == cache_.forwarded_exits().end()
                             ? record.exits.empty()
                             : written->second.exits == record.exits;
--- a/src/coordination/leadership/lease_renewal.cpp
+++ b/src/coordination/leadership/lease_renewal.cpp
@@ -61,7 +61,7 @@
   // the second visit would be too late: where we can't reach the holder either, and its key stands
   // longer than a dead node's would, the first visit is answered.
   const bool apart = peer_network_.since_last_heartbeat_s(shard_leader) > patience &&
-                     cache_.has_leader() && cache_.leader().node == shard_leader;
+                     cache_.has_leader() && cache_.leader().controller == shard_leader;
   // Where only the way between controllers is closed the machine must be sent back to its holder
   // each other time, or it would seem lost to it. In a cut there is nowhere to send it.
   const bool cut_off = apart && !contact_.in_contact();
@@ -90,8 +90,9 @@
   if (!held) return {421, encode_redirect({}), 0};
   // A peer may hold a newer grant than the records that we have read say, ours among them.
   const auto newest = peer_network_.newest_shard_leader();
-  const std::string& shard_leader = newest.second > held->fencing_token ? newest.first : held->node;
-  if (shard_leader == settings_.node_name) return {421, encode_redirect({}), 0};
+  const std::string& shard_leader =
+      newest.second > held->fencing_token ? newest.first : held->controller;
+  if (shard_leader == settings_.controller_name) return {421, encode_redirect({}), 0};
   note_visit(heartbeat.machine);
   MisroutedMachine& machine = misrouted_.at(heartbeat.machine);
   const bool answers = cache_.loaded() && heartbeat.fencing_token <= held->fencing_token &&
--- a/src/coordination/leadership/peer_network.cpp
+++ b/src/coordination/leadership/peer_network.cpp
@@ -31,7 +31,7 @@
     if (got == Framed::partial) return used;
     used += static_cast<long>(n);
     // Only the nodes named in the settings: nothing grows with what strangers send.
-    auto it = seen_.find(heartbeat.node);
+    auto it = seen_.find(heartbeat.controller);
     if (it == seen_.end()) continue;
     const auto merged = cancellations_.merge(heartbeat, loop_.now());
     if (merged.answer_at_once) wake_.notify();
@@ -57,19 +57,19 @@
   }
 }
 
-double PeerNetwork::since_last_heartbeat_s(const std::string& node) const {
-  auto it = seen_.find(node);
+double PeerNetwork::since_last_heartbeat_s(const std::string& controller) const {
+  auto it = seen_.find(controller);
   return it == seen_.end() ? std::numeric_limits<double>::infinity() : loop_.now() - it->second.at;
 }
 
-bool PeerNetwork::alive(const std::string& node) const {
-  return since_last_heartbeat_s(node) < 3 * period_;
+bool PeerNetwork::alive(const std::string& controller) const {
+  return since_last_heartbeat_s(controller) < 3 * period_;
 }
 
 uint64_t PeerNetwork::wanted_writes() const {
   uint64_t sum = 0;
-  for (auto& [node, s] : seen_)
-    if (alive(node)) sum += s.heartbeat.writes;
+  for (auto& [controller, s] : seen_)
+    if (alive(controller)) sum += s.heartbeat.writes;
   return sum;
 }
 
@@ -79,24 +79,24 @@
 }
 
 bool PeerNetwork::peer_has_state(double max_age_s) const {
-  for (auto& [node, s] : seen_)
-    if (alive(node) && static_cast<double>(s.heartbeat.state_age_ms) / 1000 < max_age_s)
+  for (auto& [controller, s] : seen_)
+    if (alive(controller) && static_cast<double>(s.heartbeat.state_age_ms) / 1000 < max_age_s)
       return true;
   return false;
 }
 
 std::pair<std::string, uint64_t> PeerNetwork::newest_shard_leader() const {
   std::pair<std::string, uint64_t> newest{{}, 0};
-  for (auto& [node, s] : seen_)
-    if (alive(node) && s.heartbeat.fencing_token > newest.second)
-      newest = {node, s.heartbeat.fencing_token};
+  for (auto& [controller, s] : seen_)
+    if (alive(controller) && s.heartbeat.fencing_token > newest.second)
+      newest = {controller, s.heartbeat.fencing_token};
   return newest;
 }
 
 uint64_t PeerNetwork::misrouted_machines() const {
   uint64_t most = 0;
-  for (auto& [node, s] : seen_)
-    if (alive(node)) most = std::max(most, s.heartbeat.misrouted_machines);
+  for (auto& [controller, s] : seen_)
+    if (alive(controller)) most = std::max(most, s.heartbeat.misrouted_machines);
   return most;
 }
 
--- a/src/coordination/leadership/peer_network.hpp
+++ b/src/coordination/leadership/peer_network.hpp
@@ -23,9 +23,9 @@
   // Called for each job that a peer says is cancelled, the first time.
   std::function<void(const std::string& job)> on_cancelled;
   // Heard from within two heartbeats.
-  bool alive(const std::string& node) const;
+  bool alive(const std::string& controller) const;
   // Seconds since it was heard.
-  double since_last_heartbeat_s(const std::string& node) const;
+  double since_last_heartbeat_s(const std::string& controller) const;
   // Writes that live peers want, all together.
   uint64_t wanted_writes() const;
   // No peer is heard.
--- a/src/coordination/leadership/version_registry.cpp
+++ b/src/coordination/leadership/version_registry.cpp
@@ -10,13 +10,13 @@
 constexpr double retry_s = 0.5;
 }  // namespace
 
-bool VersionRegistry::has(const std::string& node, uint64_t version) const {
-  auto it = cache_.versions().find(node);
+bool VersionRegistry::has(const std::string& controller, uint64_t version) const {
+  auto it = cache_.versions().find(controller);
   return it != cache_.versions().end() && it->second >= version;
 }
 
 bool VersionRegistry::all_have(uint64_t version) const {
-  return has(settings_.node_name, version) &&
+  return has(settings_.controller_name, version) &&
          std::all_of(settings_.peers.begin(), settings_.peers.end(),
                      [&](const Peer& peer) { return has(peer.name, version); });
 }
@@ -24,10 +24,10 @@
 Task<void> VersionRegistry::announce(std::stop_token stop_token) {
   while (!stop_token.stop_requested()) {
     if (cache_.loaded()) {
-      if (has(settings_.node_name, current)) co_return;
+      if (has(settings_.controller_name, current)) co_return;
       Transaction transaction;
       // Only this controller writes the key, and always the same value: a late copy does no harm.
-      transaction.writes.push_back({keys::version(settings_.node_name), {{"v", current}}, 0});
+      transaction.writes.push_back({keys::version(settings_.controller_name), {{"v", current}}, 0});
       const auto writes = transaction.writes;
       auto reply = co_await store_.compare_and_swap(std::move(transaction), Importance::accepting);
       if (reply.outcome == TransactionOutcome::committed) {
--- a/src/coordination/leadership/version_registry.hpp
+++ b/src/coordination/leadership/version_registry.hpp
@@ -29,7 +29,7 @@
   bool all_have(uint64_t version) const;
 
  private:
-  bool has(const std::string& node, uint64_t version) const;
+  bool has(const std::string& controller, uint64_t version) const;
 
   Loop& loop_;
   const Settings& settings_;
--- a/src/coordination/quotas/region_network.cpp
+++ b/src/coordination/quotas/region_network.cpp
@@ -23,9 +23,9 @@
       ++peers;
     }
   }
-  auto* own = regions_->controller(settings.node_name);
+  auto* own = regions_->controller(settings.controller_name);
   if (!own) {
-    spdlog::error("the regions file doesn't name the controller {}", settings.node_name);
+    spdlog::error("the regions file doesn't name the controller {}", settings.controller_name);
     return;
   }
   listener_ = network.listener(own->endpoint, streams_per_peer * std::max<size_t>(peers, 1),
--- a/src/coordination/quotas/team_quotas.cpp
+++ b/src/coordination/quotas/team_quotas.cpp
@@ -212,7 +212,7 @@
   RegionMessage message;
   message.region = regions_->own().name;
   message.receiver = regions_->regions[region].name;
-  message.node = settings_.node_name;
+  message.controller = settings_.controller_name;
   message.fencing_token = fencing_token;
   message.number = next_number_++;
   for (auto& team : settings_.teams) {
--- a/src/coordination/shard_leader/shard_leader.cpp
+++ b/src/coordination/shard_leader/shard_leader.cpp
@@ -32,7 +32,7 @@
 
 const ShardLease* ShardLeader::own_lease() const {
   for (auto& g : cache_.shard_table().leases)
-    if (g.node == settings_.node_name && g.incarnation == deps_.incarnation) return &g;
+    if (g.controller == settings_.controller_name && g.incarnation == deps_.incarnation) return &g;
   return nullptr;
 }
 
@@ -44,13 +44,13 @@
 
 void ShardLeader::apply_forwarded_exits() {
   if (!records_current()) return;
-  for (auto& [node, forwarded] : cache_.forwarded_exits()) {
+  for (auto& [controller, forwarded] : cache_.forwarded_exits()) {
     if (forwarded.fencing_token != fencing_token_) continue;
     for (auto& exit : forwarded.exits) {
       if (exits_.contains(exit.task) || !cache_.places(exit.task, exit.attempt, exit.machine))
         continue;
       spdlog::debug("{} attempt {} ended on {}, as {} says", exit.task.text(), exit.attempt,
-                    exit.machine, node);
+                    exit.machine, controller);
       note_exit(exit.task, {exit.attempt, exit.cause, exit.machine});
     }
   }
@@ -135,7 +135,7 @@
   ShardTable next = cache_.shard_table();
   if (!own) {
     ShardLease g;
-    g.node = settings_.node_name;
+    g.controller = settings_.controller_name;
     g.incarnation = deps_.incarnation;
     // The very first value replaces nothing; the leader's key is older than any later revision.
     g.fencing_token = replaced ? replaced : cache_.leader_version();
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -95,7 +95,7 @@
     regions = std::move(*loaded);
     damsonport::quotas::keep_guarantees_elsewhere(*settings, *regions);
   }
-  spdlog::info("damsonport {} starts as {}", DAMSONPORT_VERSION, settings->node_name);
+  spdlog::info("damsonport {} starts as {}", DAMSONPORT_VERSION, settings->controller_name);
   if (check) {
     std::cout << config << ": ok\n";
     return 0;
@@ -103,8 +103,8 @@
   ensure_sockets(settings->max_sockets);
   damsonport::EventLoop loop;
   damsonport::EventNetwork network(loop);
-  damsonport::Node node(loop, network, *settings, regions ? &*regions : nullptr);
-  if (!node.start()) return 1;
+  damsonport::Controller controller(loop, network, *settings, regions ? &*regions : nullptr);
+  if (!controller.start()) return 1;
   auto on_signal = [](evutil_socket_t, short, void* l) {
     spdlog::info("told to end");
     static_cast<damsonport::EventLoop*>(l)->stop();
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -276,9 +276,9 @@
       {{"helm", fencing_token}, {"watch", agent_epoch}, {"orders", encode_commands(commands)}});
 }
 
-std::string encode_redirect(const std::string& node) {
+std::string encode_redirect(const std::string& controller) {
   Json m = Json::object();
-  if (!node.empty()) m["harbour"] = node;
+  if (!controller.empty()) m["harbour"] = controller;
   return encode(m);
 }
 
--- a/src/protocol/messages.hpp
+++ b/src/protocol/messages.hpp
@@ -102,7 +102,7 @@
 std::string encode_heartbeat_response(uint64_t fencing_token, const std::vector<Command>& commands);
 std::string encode_direct_commands(uint64_t fencing_token, uint64_t agent_epoch,
                                    const std::vector<Command>& commands);
-std::string encode_redirect(const std::string& node);  // empty: no node named
+std::string encode_redirect(const std::string& controller);  // empty: no node named
 
 struct MachineType {
   std::string name;
--- a/src/protocol/peer_heartbeat.cpp
+++ b/src/protocol/peer_heartbeat.cpp
@@ -13,7 +13,7 @@
 std::string encode_peer_heartbeat(const PeerHeartbeat& b) {
   VarintWriter body;
   body.number(heartbeat_version);
-  body.text(b.node);
+  body.text(b.controller);
   body.number(b.incarnation);
   body.number(b.state_age_ms);
   body.number(b.waiting);
@@ -43,7 +43,7 @@
   VarintReader body(content);
   out = {};
   uint64_t version = 0, loaded = 0, cancelled = 0;
-  if (!body.number(version) || version < heartbeat_version || !body.text(out.node) ||
+  if (!body.number(version) || version < heartbeat_version || !body.text(out.controller) ||
       !body.number(out.incarnation) || !body.number(out.state_age_ms) ||
       !body.number(out.waiting) || !body.number(loaded) || !body.number(out.misrouted_machines) ||
       !body.number(out.writes) || !body.number(out.fencing_token) || !body.number(out.sent_ms) ||
--- a/src/protocol/peer_heartbeat.hpp
+++ b/src/protocol/peer_heartbeat.hpp
@@ -10,7 +10,7 @@
 namespace damsonport {
 
 struct PeerHeartbeat {
-  std::string node;
+  std::string controller;
   uint64_t incarnation = 0;
   uint64_t state_age_ms = 0;  // since the last contact with the state service
   uint64_t waiting = 0;       // tasks waiting, for the sizing of blocks
--- a/src/protocol/region_message.cpp
+++ b/src/protocol/region_message.cpp
@@ -40,7 +40,7 @@
   uint64_t version = 0, teams = 0;
   if (!body.number(version)) return false;
   if (version != message_version) return true;
-  if (!body.text(out.region) || !body.text(out.receiver) || !body.text(out.node) ||
+  if (!body.text(out.region) || !body.text(out.receiver) || !body.text(out.controller) ||
       !body.number(out.fencing_token) || !body.number(out.number) || !body.number(teams) ||
       teams > max_teams)
     return false;
@@ -58,7 +58,7 @@
   body.number(message_version);
   body.text(message.region);
   body.text(message.receiver);
-  body.text(message.node);
+  body.text(message.controller);
   body.number(message.fencing_token);
   body.number(message.number);
   body.number(message.teams.size());
--- a/src/protocol/region_message.hpp
+++ b/src/protocol/region_message.hpp
@@ -24,7 +24,7 @@
 
 struct RegionMessage {
   std::string region, receiver;  // names of regions
-  std::string node;              // the controller that speaks for `region`
+  std::string controller;        // the controller that speaks for `region`
   // Order the messages of one region: the holder's term, and a number that grows within it.
   uint64_t fencing_token = 0, number = 0;
   std::vector<TeamExchange> teams;
--- a/src/storage/rate_limit.cpp
+++ b/src/storage/rate_limit.cpp
@@ -44,8 +44,8 @@
   use(limits_.present());
 }
 
-double write_share(int nodes, double wanted, double wanted_by_others) {
-  const double least = in_any_case / std::max(nodes, 1);
+double write_share(int controllers, double wanted, double wanted_by_others) {
+  const double least = in_any_case / std::max(controllers, 1);
   const double all = wanted + wanted_by_others;
   return least + (all > 0 ? (1 - in_any_case) * wanted / all : 0);
 }
--- a/src/storage/rate_limit.hpp
+++ b/src/storage/rate_limit.hpp
@@ -16,7 +16,7 @@
 
 // A node's share of the writes: a little for each node in any case, the rest by what is wanted.
 // Shares that are worked out from the same figures never add up to more than 1.
-double write_share(int nodes, double wanted, double wanted_by_others);
+double write_share(int controllers, double wanted, double wanted_by_others);
 
 class RateLimit {
  public:
--- a/src/storage/record_cache.cpp
+++ b/src/storage/record_cache.cpp
@@ -363,8 +363,9 @@
       gone.push_back(keys::rental(id));
   for (auto& key : orphaned_chunks_)
     if (!seen.contains(key)) gone.push_back(key);
-  for (auto& [node, exits] : forwarded_exits_)
-    if (!seen.contains(keys::forwarded_exits(node))) gone.push_back(keys::forwarded_exits(node));
+  for (auto& [controller, exits] : forwarded_exits_)
+    if (!seen.contains(keys::forwarded_exits(controller)))
+      gone.push_back(keys::forwarded_exits(controller));
   for (auto& key : gone) apply({key, Json(), first, 0});
   if (!seen.contains(keys::leader)) apply({keys::leader, Json(), first, 0});
   warning_.clear();
--- a/src/storage/records.cpp
+++ b/src/storage/records.cpp
@@ -151,7 +151,7 @@
 Json encode_shard_table(const ShardTable& b) {
   Json leases = Json::array();
   for (auto& g : b.leases) {
-    Json m = {{"node", g.node}, {"inc", g.incarnation}, {"term", g.fencing_token}};
+    Json m = {{"node", g.controller}, {"inc", g.incarnation}, {"term", g.fencing_token}};
     if (g.covers_unassigned) m["rest"] = true;
     if (!g.machines.empty()) m["machines"] = g.machines;
     leases.push_back(std::move(m));
@@ -165,7 +165,7 @@
   if (m.contains("grants"))
     for (auto& g : m["grants"]) {
       ShardLease out;
-      out.node = g.value("node", std::string());
+      out.controller = g.value("node", std::string());
       out.incarnation = g.value("inc", uint64_t{0});
       out.fencing_token = g.value("term", uint64_t{0});
       out.covers_unassigned = g.value("rest", false);
@@ -201,7 +201,9 @@
   return r;
 }
 
-Json encode_leader(const LeaderRecord& l) { return {{"node", l.node}, {"inc", l.incarnation}}; }
+Json encode_leader(const LeaderRecord& l) {
+  return {{"node", l.controller}, {"inc", l.incarnation}};
+}
 
 LeaderRecord decode_leader(const Json& m) {
   return {m.value("node", std::string()), m.value("inc", uint64_t{0})};
--- a/src/storage/records.hpp
+++ b/src/storage/records.hpp
@@ -31,8 +31,8 @@
 }
 inline std::string tombstone(const std::string& batch) { return machines + batch; }
 inline std::string rental(const std::string& id) { return rentals + id; }
-inline std::string version(const std::string& node) { return versions + node; }
-inline std::string forwarded_exits(const std::string& node) { return exits + node; }
+inline std::string version(const std::string& controller) { return versions + controller; }
+inline std::string forwarded_exits(const std::string& controller) { return exits + controller; }
 inline std::string quota(const std::string& team) { return quotas + team; }
 inline std::string final_state(const std::string& id) { return "f/" + id; }
 }  // namespace keys
@@ -106,7 +106,7 @@
 
 // Who may place and answer. `rest` is the grant of every machine and team not named in another.
 struct ShardLease {
-  std::string node;
+  std::string controller;
   uint64_t incarnation = 0;
   uint64_t fencing_token = 0;  // the token of this grant's workers
   std::vector<std::string> machines;
@@ -139,7 +139,7 @@
 ForwardedExits decode_forwarded_exits(const Json& m);
 
 struct LeaderRecord {
-  std::string node;
+  std::string controller;
   uint64_t incarnation = 0;
 };
 Json encode_leader(const LeaderRecord& l);
--- a/tests/bad_requests_test.cpp
+++ b/tests/bad_requests_test.cpp
@@ -9,7 +9,7 @@
 
 Settings lone_controller() {
   Settings s;
-  s.node_name = "n0", s.zone = "a", s.zones = {"a"}, s.nodes = 1;
+  s.controller_name = "n0", s.zone = "a", s.zones = {"a"}, s.controller_count = 1;
   s.listen = {"10.0.0.1", 8080}, s.peer_listen = {"10.0.0.1", 8081};
   s.cloud = {"10.2.0.2", 8443}, s.state = {"10.2.0.1", 2379};
   s.heartbeat_interval_s = 1.5, s.lease_s = 12, s.cancel_s = 42, s.gang_wait_s = 40,
--- a/tests/cancellations_test.cpp
+++ b/tests/cancellations_test.cpp
@@ -21,7 +21,7 @@
   double clock(double time) const { return time + clock_off; }
   PeerHeartbeat heartbeat(const std::string& to, double time) const {
     PeerHeartbeat b;
-    b.node = name, b.incarnation = incarnation, b.loaded = loaded;
+    b.controller = name, b.incarnation = incarnation, b.loaded = loaded;
     said.add_to(b, to, clock(time));
     return b;
   }
@@ -125,7 +125,7 @@
           peers(loop, network, settings, said) {
       auto beat = [name, life] {
         PeerHeartbeat b;
-        b.node = name, b.incarnation = life, b.loaded = true;
+        b.controller = name, b.incarnation = life, b.loaded = true;
         return b;
       };
       loop.spawn("peers", peers.send_heartbeats(beat, loop.stop_token()));
--- a/tests/mixed_versions_test.cpp
+++ b/tests/mixed_versions_test.cpp
@@ -43,7 +43,7 @@
   PeerHeartbeat heartbeat;
   size_t used = 0;
   ASSERT_EQ(decode_peer_heartbeat(bytes, heartbeat, used), Framed::whole);
-  EXPECT_EQ(heartbeat.node, "n0");
+  EXPECT_EQ(heartbeat.controller, "n0");
   EXPECT_EQ(heartbeat.fencing_token, 77u);
   ASSERT_EQ(heartbeat.cancelled.size(), 1u);
   EXPECT_EQ(encode_peer_heartbeat(heartbeat), bytes);
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -103,7 +103,8 @@
 
 TEST(PeerHeartbeat, ComesBackAndBadFramesAreTold) {
   PeerHeartbeat b;
-  b.node = "n-1", b.incarnation = 1ull << 51, b.waiting = 77, b.loaded = true, b.fencing_token = 41;
+  b.controller = "n-1", b.incarnation = 1ull << 51, b.waiting = 77, b.loaded = true,
+  b.fencing_token = 41;
   b.echo_ms = 300, b.last = 9, b.cancelled = {{"run-7", 1500}, {"run-8", 0}};
   auto bytes = encode_peer_heartbeat(b);
   PeerHeartbeat back;
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -170,7 +170,7 @@
   KeyValueClient state(loop, http, {"127.0.0.1", 1}, limits);
   RecordCache cache(loop, state, 1, 0, 50);
   Settings settings;
-  settings.node_name = "n0";
+  settings.controller_name = "n0";
   settings.peers = {{"n1", "a", {}}, {"n2", "a", {}}};
   VersionRegistry registry(loop, settings, state, cache);
   EXPECT_FALSE(registry.all_have(VersionRegistry::gangs));
--- a/tests/regions/region_cluster.cpp
+++ b/tests/regions/region_cluster.cpp
@@ -64,7 +64,7 @@
   // Budgets are looked at, not rentals: machines that have no work yet stay.
   s.tuning.idle_replacements = 1000;
   s.zones = {region.zone};
-  s.nodes = static_cast<int>(plan_.controllers);
+  s.controller_count = static_cast<int>(plan_.controllers);
   s.state = {state_host(index), 2379};
   s.cloud = {cloud_host(index), 8443};
   s.teams = {plan_.team};
@@ -85,7 +85,7 @@
   quotas::keep_guarantees_elsewhere(with_elsewhere, regions);
   for (size_t n = 0; n < plan_.controllers; ++n) {
     Settings own = with_elsewhere;
-    own.node_name = nodes[n].first;
+    own.controller_name = nodes[n].first;
     own.zone = region.zone;
     own.listen = {nodes[n].second, api_port};
     own.peer_listen = {nodes[n].second, peer_port};
@@ -191,7 +191,7 @@
   std::string name;
   if (auto* value = regions_[region].state->value(keys::shard_table))
     if (auto shard_table = decode_shard_table(*value); !shard_table.leases.empty())
-      name = shard_table.leases[0].node;
+      name = shard_table.leases[0].controller;
   for (auto& controller : regions_[region].controllers)
     if (controller->name() == name) return *controller;
   return *regions_[region].controllers.front();
--- a/tests/scenarios/fault_scenario.cpp
+++ b/tests/scenarios/fault_scenario.cpp
@@ -189,7 +189,7 @@
   settings_.state_limits = {limits_, announced_limits_};
   settings_.list_lag_s = 4, settings_.max_sockets = 600;
   if (settings_.zones.empty()) settings_.zones = {"a"};
-  settings_.nodes = node_count_;
+  settings_.controller_count = node_count_;
   settings_.state = {state_host, 2379};
   settings_.cloud = {cloud_host, 8443};
   if (settings_.teams.empty()) settings_.teams.push_back({"t", 0, 0, 0, 0});
@@ -216,7 +216,7 @@
   for (int i = 0; i < node_count_; ++i) {
     Settings own = settings_;
     auto& [name, host] = nodes[static_cast<size_t>(i)];
-    own.node_name = name;
+    own.controller_name = name;
     own.zone = settings_.zones[static_cast<size_t>(i) % settings_.zones.size()];
     own.listen = {host, 8080};
     own.peer_listen = {host, 8081};
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -344,7 +344,7 @@
 
 PeerHeartbeat expected_heartbeat() {
   PeerHeartbeat heartbeat;
-  heartbeat.node = "quay-0";
+  heartbeat.controller = "quay-0";
   heartbeat.incarnation = incarnation;
   heartbeat.state_age_ms = 120;
   heartbeat.waiting = 7;
--- a/tools/fleet/results.cpp
+++ b/tools/fleet/results.cpp
@@ -195,7 +195,8 @@
   for (bool in_force : {true, false})
     out[in_force ? "replicas" : "replicas_not_in_force"] = replicas_json(plan, results, in_force);
   for (auto& c : results.holder_changes)
-    out["holder_changes"].push_back({{"region", c.region}, {"node", c.node}, {"at_s", c.at_s}});
+    out["holder_changes"].push_back(
+        {{"region", c.region}, {"node", c.node}, {"at_s", c.at_s}});
   for (auto& f : results.faults)
     out["faults"].push_back(
         {{"what", f.what}, {"at_s", f.at_s}, {"without_holder_s", f.without_holder_s}});
--- a/tools/fleet/state_process.cpp
+++ b/tools/fleet/state_process.cpp
@@ -62,8 +62,9 @@
     const auto shard_table = decode_shard_table(value);
     if (shard_table.leases.empty() || shard_table.leases[0].fencing_token == fencing_token) return;
     fencing_token = shard_table.leases[0].fencing_token;
-    parent.tell(
-        {{"kind", "holder"}, {"node", shard_table.leases[0].node}, {"at", loop.loop().now()}});
+    parent.tell({{"kind", "holder"},
+                 {"node", shard_table.leases[0].controller},
+                 {"at", loop.loop().now()}});
   };
   loop.run([&] {
     parent.tell({{"kind", "second"}, {"writes", writes}, {"keys", service.all().size()}});
