--- a/src/coordination/api/user_api.cpp
+++ b/src/coordination/api/user_api.cpp
@@ -59,8 +59,8 @@
   if (!job.spec.replicated()) return job.live;
   uint64_t serving = 0;
   for (uint32_t n = 0; n < gang_count(job.spec); ++n) {
-    const RangeRecord record = job.record_of(gang_range(job.spec, n));
-    if (record.live == job.spec.parts && !record.mixed_attempts) serving += record.live;
+    const TaskRangeSummary record = job.summarize(gang_range(job.spec, n));
+    if (record.live == job.spec.parts && !record.has_mixed_attempts) serving += record.live;
   }
   return serving;
 }
@@ -105,16 +105,15 @@
 
 // After a comparison that failed: reads begun after the question. Nothing: to be looked up again.
 Task<std::optional<HttpResponse>> UserApi::read_state(std::string id) {
-  auto final_record = co_await store_.get(keys::final_state(id), Importance::polling);
-  if (!final_record.ok) co_return busy();
-  if (final_record.found) {
-    bool done = final_record.key_value.value.value("s", std::string()) == "done";
-    cache_.remember_final(id, done ? FinalState::done : FinalState::cancelled);
+  auto final_record = co_await store_.get(keys::final_state(id), RequestPriority::polling);
+  if (!final_record.answered()) co_return busy();
+  if (final_record.found()) {
+    cache_.remember_final(id, decode_final_state(final_record.key_value.value));
     co_return std::nullopt;
   }
-  auto record = co_await store_.get(keys::job(id), Importance::polling);
-  if (!record.ok) co_return busy();
-  if (!record.found) co_return std::nullopt;  // ended in between
+  auto record = co_await store_.get(keys::job(id), RequestPriority::polling);
+  if (!record.answered()) co_return busy();
+  if (!record.found()) co_return std::nullopt;  // ended in between
   // Read just now, so no older than any answer given before the question. The cache itself only
   // takes changes in their order, from the watch.
   auto spec = decode_job(record.key_value.value);
@@ -161,7 +160,7 @@
       batch.push_back(q);
       if (q->version == 0) transaction.preconditions[keys::final_state(q->id)] = 0;
     }
-    auto reply = co_await store_.compare_and_swap(std::move(transaction), Importance::polling);
+    auto reply = co_await store_.compare_and_swap(std::move(transaction), RequestPriority::polling);
     auto failed = [&](const std::string& key) {
       return std::find(reply.failed.begin(), reply.failed.end(), key) != reply.failed.end();
     };
@@ -279,7 +278,8 @@
       transaction.writes.push_back({keys::job(s->spec.id), encode_job_record(s->spec, chunk), 0});
     }
     auto writes = transaction.writes;
-    auto reply = co_await store_.compare_and_swap(std::move(transaction), Importance::accepting);
+    auto reply =
+        co_await store_.compare_and_swap(std::move(transaction), RequestPriority::accepting);
     if (reply.outcome == TransactionOutcome::conflict && !reply.failed.empty()) {
       // Those are known already; the rest goes again.
       std::vector<Submission*> rest, known;
@@ -314,19 +314,18 @@
     if (auto* f = cache_.final_state(id))
       co_return HttpResponse{200,
                              encode_job_status(id, *f == FinalState::done ? "done" : "aborted"), 0};
-    auto record = co_await store_.get(keys::job(id), Importance::accepting);
-    if (!record.ok) co_return busy();
-    if (!record.found) {
-      auto final_record = co_await store_.get(keys::final_state(id), Importance::accepting);
-      if (!final_record.ok) co_return busy();
-      if (!final_record.found) {
+    auto record = co_await store_.get(keys::job(id), RequestPriority::accepting);
+    if (!record.answered()) co_return busy();
+    if (!record.found()) {
+      auto final_record = co_await store_.get(keys::final_state(id), RequestPriority::accepting);
+      if (!final_record.answered()) co_return busy();
+      if (!final_record.found()) {
         // Accepted between the two reads, or never: the confirmed answer tells.
         auto state = co_await state_of(id);
         if (state.status != 200) co_return state;
         continue;
       }
-      bool done = final_record.key_value.value.value("s", std::string()) == "done";
-      cache_.remember_final(id, done ? FinalState::done : FinalState::cancelled);
+      cache_.remember_final(id, decode_final_state(final_record.key_value.value));
       continue;
     }
     if (record.key_value.value.value(fields::cancelled, 0) != 0) {
@@ -340,7 +339,8 @@
     record.key_value.value[fields::cancelled_at] = loop_.wall();
     transaction.writes.push_back({keys::job(id), std::move(record.key_value.value), 0});
     auto writes = transaction.writes;
-    auto reply = co_await store_.compare_and_swap(std::move(transaction), Importance::accepting);
+    auto reply =
+        co_await store_.compare_and_swap(std::move(transaction), RequestPriority::accepting);
     if (reply.outcome == TransactionOutcome::committed) {
       // Known here before the user is told, without waiting for the watch; that starts before it
       // may still be unknown is minded where ends are committed.
--- a/src/coordination/autoscaling/scale_out_requests.cpp
+++ b/src/coordination/autoscaling/scale_out_requests.cpp
@@ -55,7 +55,7 @@
 
 void ScaleOutRequests::resume(const std::stop_token& stop_token) {
   std::vector<ScaleOutRequest> left;
-  for (auto& [id, rental] : cache_.rentals())
+  for (auto& [id, rental] : cache_.scale_out_requests())
     if (!under_way(kind_of(rental.request))) left.push_back(rental.request);
   for (auto& request : left) start(std::move(request), stop_token);
 }
@@ -94,7 +94,8 @@
     co_await forget_request(request.id);
     co_return;
   }
-  if (!cache_.rentals().contains(request.id) && !co_await commit_request(request)) co_return;
+  if (!cache_.scale_out_requests().contains(request.id) && !co_await commit_request(request))
+    co_return;
   const auto reply = co_await ask_cloud(request, stop_token);
   if (fencing_token != fencing_token_ || stop_token.stop_requested()) co_return;
   note_answer(request, reply);
@@ -105,15 +106,12 @@
 Task<bool> ScaleOutRequests::commit_request(const ScaleOutRequest& request) {
   Transaction transaction;
   transaction.preconditions[keys::shard_table] = cache_.shard_table_version();
-  transaction.preconditions[keys::rental(request.id)] = 0;
-  transaction.writes.push_back({keys::rental(request.id),
-                                {{"type", request.type},
-                                 {"zone", request.zone},
-                                 {"spot", request.spot},
-                                 {"count", request.count}},
-                                0});
+  transaction.preconditions[keys::scale_out_request(request.id)] = 0;
+  transaction.writes.push_back(
+      {keys::scale_out_request(request.id), encode_scale_out_record(request), 0});
   auto writes = transaction.writes;
-  auto reply = co_await store_.compare_and_swap(std::move(transaction), Importance::scheduling);
+  auto reply =
+      co_await store_.compare_and_swap(std::move(transaction), RequestPriority::scheduling);
   if (reply.outcome != TransactionOutcome::committed) co_return false;
   cache_.apply_writes(writes, reply.revision);
   co_return true;
@@ -158,9 +156,10 @@
 
 Task<void> ScaleOutRequests::forget_request(std::string id) {
   Transaction transaction;
-  transaction.writes.push_back({keys::rental(id), Json(), 0});
+  transaction.writes.push_back({keys::scale_out_request(id), Json(), 0});
   auto writes = transaction.writes;
-  auto removed = co_await store_.compare_and_swap(std::move(transaction), Importance::scheduling);
+  auto removed =
+      co_await store_.compare_and_swap(std::move(transaction), RequestPriority::scheduling);
   if (removed.outcome != TransactionOutcome::committed) co_return;
   cache_.apply_writes(writes, removed.revision);
   answered_.erase(id);
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -137,7 +137,7 @@
   PeerHeartbeat b;
   b.controller = settings_.controller_name;
   b.incarnation = incarnation_;
-  b.state_age_ms = static_cast<uint64_t>(std::min(loop_.now() - store_.last_contact(), 1e6) * 1000);
+  b.state_age_ms = static_cast<uint64_t>(std::min(store_.contact_age_s(), 1e6) * 1000);
   b.waiting = shard_leader_.pending_tasks();
   b.loaded = cache_.loaded();
   b.misrouted_machines = shard_leader_.misrouted_machines();
@@ -183,8 +183,8 @@
 HttpResponse Controller::health() const {
   if (!cache_.loaded() || !catalog_.known()) return {503, {}, 1};
   const double limit = settings_.lease_s / 4;
-  bool contact = loop_.now() - store_.last_contact() < limit;
-  if (!contact && peer_network_.peer_has_state(limit)) return {503, {}, 1};
+  bool contact = store_.contact_age_s() < limit;
+  if (!contact && peer_network_.any_peer_reaches_store(limit)) return {503, {}, 1};
   return {200, {}, 0};
 }
 
--- a/src/coordination/leadership/cancellation_gossip.hpp
+++ b/src/coordination/leadership/cancellation_gossip.hpp
@@ -37,7 +37,7 @@
 
   // When the job was cancelled, as others say, or earlier.
   std::optional<double> received(const std::string& job) const;
-  bool cancelled(const std::string& job) const { return received_.contains(job); }
+  bool is_cancelled(const std::string& job) const { return received_.contains(job); }
   // Every cancellation that another controller told anyone before this time is known here. Without
   // peers, `now`.
   double watermark(double now) const;
--- a/src/coordination/leadership/election.cpp
+++ b/src/coordination/leadership/election.cpp
@@ -70,7 +70,7 @@
   transaction.writes.push_back(
       {keys::leader, encode_leader({settings_.controller_name, incarnation_}), lease_});
   auto writes = transaction.writes;
-  auto reply = co_await store_.compare_and_swap(std::move(transaction), Importance::lease);
+  auto reply = co_await store_.compare_and_swap(std::move(transaction), RequestPriority::lease);
   if (reply.outcome == TransactionOutcome::committed) {
     cache_.apply_writes(writes, reply.revision);
     is_leading_ = true;
@@ -79,8 +79,8 @@
   } else if (reply.outcome == TransactionOutcome::conflict ||
              reply.outcome == TransactionOutcome::unknown) {
     // Somebody was faster, or our own lost message was: read what stands there.
-    auto read = co_await store_.get(keys::leader, Importance::lease);
-    if (read.ok && read.found) {
+    auto read = co_await store_.get(keys::leader, RequestPriority::lease);
+    if (read.found()) {
       cache_.apply(read.key_value);
       auto& l = cache_.leader();
       if (l.controller == settings_.controller_name && l.incarnation == incarnation_) {
--- a/src/coordination/leadership/exit_forwarder.cpp
+++ b/src/coordination/leadership/exit_forwarder.cpp
@@ -45,7 +45,8 @@
   transaction.writes.push_back({keys::forwarded_exits(settings_.controller_name),
                                 empty ? Json() : encode_forwarded_exits(record), 0});
   const auto writes = transaction.writes;
-  auto reply = co_await store_.compare_and_swap(std::move(transaction), Importance::scheduling);
+  auto reply =
+      co_await store_.compare_and_swap(std::move(transaction), RequestPriority::scheduling);
   if (reply.outcome != TransactionOutcome::committed) co_return false;
   cache_.apply_writes(writes, reply.revision);
   spdlog::debug("{} exits relayed for the holder with term {}", record.exits.size(),
--- a/src/coordination/leadership/lease_renewal.cpp
+++ b/src/coordination/leadership/lease_renewal.cpp
@@ -31,8 +31,8 @@
 bool LeaseRenewal::may_renew(bool first) const {
   RenewalState s;
   s.in_contact = contact_.in_contact();
-  s.peer_in_contact = peer_network_.peer_has_state(contact_.limit_s());
-  s.alone = peer_network_.alone();
+  s.peer_in_contact = peer_network_.any_peer_reaches_store(contact_.limit_s());
+  s.alone = peer_network_.is_isolated();
   s.first_visit = first;
   const double now = loop_.now();
   s.staleness_s = now - std::max(cache_.as_of(), cancellations_.watermark(now));
@@ -73,7 +73,7 @@
   std::vector<Command> commands;
   for (auto& task : heartbeat.tasks) {
     const Job* job = cache_.job(task.task.job);
-    const bool cancelled = (job && job->cancelled) || cancellations_.cancelled(task.task.job);
+    const bool cancelled = (job && job->cancelled) || cancellations_.is_cancelled(task.task.job);
     if (task.state != TaskState::exited && cancelled)
       commands.push_back({Command::Op::stop, task.task, task.attempt, 0});
   }
@@ -91,7 +91,7 @@
   // A peer may hold a newer grant than the records that we have read say, ours among them.
   const auto newest = peer_network_.newest_shard_leader();
   const std::string& shard_leader =
-      newest.second > held->fencing_token ? newest.first : held->controller;
+      newest && newest->fencing_token > held->fencing_token ? newest->controller : held->controller;
   if (shard_leader == settings_.controller_name) return {421, encode_redirect({}), 0};
   note_visit(heartbeat.machine);
   MisroutedMachine& machine = misrouted_.at(heartbeat.machine);
--- a/src/coordination/leadership/peer_network.cpp
+++ b/src/coordination/leadership/peer_network.cpp
@@ -73,26 +73,33 @@
   return sum;
 }
 
-int PeerNetwork::silent_peers() const {
+int PeerNetwork::unreachable_peers() const {
   return static_cast<int>(
       std::count_if(seen_.begin(), seen_.end(), [&](auto& s) { return !alive(s.first); }));
 }
 
-bool PeerNetwork::peer_has_state(double max_age_s) const {
+bool PeerNetwork::any_peer_reaches_store(double max_age_s) const {
   for (auto& [controller, s] : seen_)
     if (alive(controller) && static_cast<double>(s.heartbeat.state_age_ms) / 1000 < max_age_s)
       return true;
   return false;
 }
 
-std::pair<std::string, uint64_t> PeerNetwork::newest_shard_leader() const {
-  std::pair<std::string, uint64_t> newest{{}, 0};
-  for (auto& [controller, s] : seen_)
-    if (alive(controller) && s.heartbeat.fencing_token > newest.second)
-      newest = {controller, s.heartbeat.fencing_token};
+std::optional<PeerNetwork::ShardLeaderClaim> PeerNetwork::newest_shard_leader() const {
+  std::optional<ShardLeaderClaim> newest;
+  for (auto& [controller, s] : seen_) {
+    const uint64_t token = s.heartbeat.fencing_token;
+    if (alive(controller) && token > (newest ? newest->fencing_token : 0))
+      newest = {controller, token};
+  }
   return newest;
 }
 
+uint64_t PeerNetwork::newest_fencing_token() const {
+  const auto newest = newest_shard_leader();
+  return newest ? newest->fencing_token : 0;
+}
+
 uint64_t PeerNetwork::misrouted_machines() const {
   uint64_t most = 0;
   for (auto& [controller, s] : seen_)
--- a/src/coordination/leadership/peer_network.hpp
+++ b/src/coordination/leadership/peer_network.hpp
@@ -3,6 +3,7 @@
 #pragma once
 #include <map>
 #include <memory>
+#include <optional>
 
 #include "config/settings.hpp"
 #include "coordination/leadership/cancellation_gossip.hpp"
@@ -28,14 +29,20 @@
   double since_last_heartbeat_s(const std::string& controller) const;
   // Writes that live peers want, all together.
   uint64_t wanted_writes() const;
-  // No peer is heard.
-  bool alone() const { return silent_peers() == static_cast<int>(seen_.size()); }
+  // No peer is reachable.
+  bool is_isolated() const { return unreachable_peers() == static_cast<int>(seen_.size()); }
   // Peers that are not heard.
-  int silent_peers() const;
+  int unreachable_peers() const;
   // Some live peer has contact with the state service.
-  bool peer_has_state(double max_age_s) const;
-  // The live peer with the newest grant by its own word, and its term; 0: none holds one.
-  std::pair<std::string, uint64_t> newest_shard_leader() const;
+  bool any_peer_reaches_store(double max_age_s) const;
+  // The live peer with the newest shard lease by its own heartbeat.
+  struct ShardLeaderClaim {
+    std::string controller;
+    uint64_t fencing_token = 0;
+  };
+  std::optional<ShardLeaderClaim> newest_shard_leader() const;
+  // Its fencing token; 0, which no lease has, where no live peer leads.
+  uint64_t newest_fencing_token() const;
   // The most machines that come to one live peer without being its own.
   uint64_t misrouted_machines() const;
 
--- a/src/coordination/leadership/store_contact.hpp
+++ b/src/coordination/leadership/store_contact.hpp
@@ -9,7 +9,7 @@
  public:
   StoreContact(Loop& loop, const Settings& settings, const KeyValueClient& store)
       : loop_(loop), settings_(settings), store_(store) {}
-  double age_s() const { return loop_.now() - store_.last_contact(); }
+  double age_s() const { return store_.contact_age_s(); }
   // The state service counts as reached for so long.
   double limit_s() const { return settings_.lease_s * lease_share; }
   bool in_contact() const { return age_s() < limit_s(); }
--- a/src/coordination/leadership/version_registry.cpp
+++ b/src/coordination/leadership/version_registry.cpp
@@ -29,7 +29,8 @@
       // Only this controller writes the key, and always the same value: a late copy does no harm.
       transaction.writes.push_back({keys::version(settings_.controller_name), {{"v", current}}, 0});
       const auto writes = transaction.writes;
-      auto reply = co_await store_.compare_and_swap(std::move(transaction), Importance::accepting);
+      auto reply =
+          co_await store_.compare_and_swap(std::move(transaction), RequestPriority::accepting);
       if (reply.outcome == TransactionOutcome::committed) {
         cache_.apply_writes(writes, reply.revision);
         spdlog::info("recorded version {} of this controller", current);
--- a/src/coordination/machines/orphan_cleanup.cpp
+++ b/src/coordination/machines/orphan_cleanup.cpp
@@ -32,10 +32,11 @@
 // unknown to everybody else. A holder that doesn't know stops answering in time, which ends the
 // tasks of every machine that runs on; one that hangs keeps them.
 bool OrphanCleanup::no_shard_leader_reachable() const {
-  if (!cache_.loaded() || contact_.in_contact() || peer_network_.peer_has_state(contact_.limit_s()))
+  if (!cache_.loaded() || contact_.in_contact() ||
+      peer_network_.any_peer_reaches_store(contact_.limit_s()))
     return false;
   // Not whom the records name: it may be up again and hold nothing.
-  return peer_network_.newest_shard_leader().second == 0;
+  return peer_network_.newest_shard_leader() == std::nullopt;
 }
 
 std::vector<OrphanCleanup::OrphanHost> OrphanCleanup::orphan_hosts() const {
--- a/src/coordination/replicas/replica_manager.cpp
+++ b/src/coordination/replicas/replica_manager.cpp
@@ -63,7 +63,7 @@
 
 ReplicaStatus ReplicaManager::judge(const Job& job, uint32_t number) {
   const TaskRange replica = gang_range(job.spec, number);
-  ReplicaStatus status{job.spec.id, number, ReplicaState::queued, {}, job.record_of(replica)};
+  ReplicaStatus status{job.spec.id, number, ReplicaState::queued, {}, job.summarize(replica)};
   ReplicaStanding standing;
   standing.gang = gangs_.standing(job, replica);
   standing.last_attempt = status.record.last_attempt;
@@ -95,7 +95,7 @@
 bool ReplicaManager::update(const Job& job, uint32_t number, History& history) {
   const Key key{job.spec.id, number};
   const ReplicaStatus status = judge(job, number);
-  const RangeRecord& record = status.record;
+  const TaskRangeSummary& record = status.record;
   const double now = loop_.now();
   const bool next_attempt =
       record.last_attempt > std::exchange(history.attempt, record.last_attempt);
@@ -221,7 +221,7 @@
     const Job* job = cache_.job(key.first);
     if (!job || job->cancelled) continue;
     History& history = replicas_.at(key);
-    const RangeRecord record = job->record_of(gang_range(job->spec, key.second));
+    const TaskRangeSummary record = job->summarize(gang_range(job->spec, key.second));
     if (record.last_attempt == 0) continue;
     OfClass& own = classes[job->spec.job_class];
     own.policy = &settings_.replicas.policy(job->spec.job_class);
@@ -251,7 +251,7 @@
 }
 
 bool ReplicaManager::may_start(const Job& job, TaskRange replica) const {
-  const RangeRecord record = job.record_of(replica);
+  const TaskRangeSummary record = job.summarize(replica);
   if (record.last_attempt == 0 || record.live > 0) return true;
   auto it = replicas_.find({job.spec.id, gang_of(job.spec, replica.first)});
   return it != replicas_.end() && it->second.turn.offered;
--- a/src/coordination/replicas/replica_manager.hpp
+++ b/src/coordination/replicas/replica_manager.hpp
@@ -19,7 +19,7 @@
   uint32_t number = 0;
   ReplicaState state = ReplicaState::queued;
   Readiness readiness;
-  RangeRecord record;
+  TaskRangeSummary record;
 };
 
 class ReplicaManager {
--- a/src/coordination/scheduling/chunk_edits.cpp
+++ b/src/coordination/scheduling/chunk_edits.cpp
@@ -43,7 +43,7 @@
   ended_.insert(job.chunk_key(0));
   transaction_.writes.push_back({keys::job(id), Json(), 0});
   transaction_.writes.push_back(
-      {keys::final_state(id), encode_final_state(false, job.spec.tasks), 0});
+      {keys::final_state(id), encode_final_state(FinalState::done, job.spec.tasks), 0});
   return true;
 }
 
--- a/src/coordination/scheduling/gang_tracker.cpp
+++ b/src/coordination/scheduling/gang_tracker.cpp
@@ -53,13 +53,13 @@
 
 GangStanding GangTracker::standing(const Job& job, TaskRange gang) {
   auto& known = hints(job, gang);
-  const RangeRecord record = job.record_of(gang);
+  const TaskRangeSummary record = job.summarize(gang);
   GangStanding standing;
   standing.tasks = gang.count;
   standing.live = record.live;
   standing.done = record.done;
   standing.ran = known.ran;
-  standing.broken = known.broken || record.mixed_attempts;
+  standing.broken = known.broken || record.has_mixed_attempts;
   for (auto& task : job.live_tasks(gang)) standing.stopping |= facts_.is_stopping(task);
   const bool incomplete = standing.live > 0 && standing.live < standing.tasks;
   if (!incomplete) {
--- a/src/coordination/scheduling/gangs.cpp
+++ b/src/coordination/scheduling/gangs.cpp
@@ -31,10 +31,10 @@
   return gang_range(spec, gang_of(spec, task));
 }
 
-uint64_t live_attempt(const Job& job, TaskRange gang) { return job.record_of(gang).live_attempt; }
+uint64_t live_attempt(const Job& job, TaskRange gang) { return job.summarize(gang).live_attempt; }
 
 uint64_t next_attempt(const Job& job, TaskRange gang) {
-  const RangeRecord record = job.record_of(gang);
+  const TaskRangeSummary record = job.summarize(gang);
   return record.live_attempt != 0 ? record.live_attempt : record.last_attempt + 1;
 }
 
--- a/src/coordination/scheduling/rechunker.cpp
+++ b/src/coordination/scheduling/rechunker.cpp
@@ -36,8 +36,9 @@
 
 void Rechunker::note_refused(const std::vector<Write>& writes) {
   for (auto& write : writes) {
-    if (!write.key.starts_with(keys::chunks)) continue;
-    const auto name = parse_chunk_name(std::string_view(write.key).substr(keys::chunks.size()));
+    if (!write.key.starts_with(keys::chunk_prefix)) continue;
+    const auto name =
+        parse_chunk_name(std::string_view(write.key).substr(keys::chunk_prefix.size()));
     Job* job = name ? cache_.job(name->job) : nullptr;
     if (job && job->chunk_size > chunk_size(limits().value_kb)) to_divide_.insert(job->spec.id);
   }
@@ -81,10 +82,9 @@
 }
 
 Task<bool> Rechunker::commit_new_layout(std::string id, std::stop_token stop_token) {
-  auto read = co_await store_.get(keys::job(id), Importance::scheduling);
+  auto read = co_await store_.get(keys::job(id), RequestPriority::scheduling);
   Job* job = cache_.job(id);
-  if (!read.ok || !read.found || !job || read.key_value.version != dividing_.job_version)
-    co_return false;
+  if (!read.found() || !job || read.key_value.version != dividing_.job_version) co_return false;
   Transaction transaction;
   transaction.preconditions[keys::shard_table] = cache_.shard_table_version();
   transaction.preconditions[keys::job(id)] = read.key_value.version;
--- a/src/coordination/scheduling/start_edits.cpp
+++ b/src/coordination/scheduling/start_edits.cpp
@@ -35,7 +35,7 @@
     const uint32_t first = std::max(gang.tasks.first, chunk_start) - chunk_start;
     const uint32_t end = std::min(gang.tasks.end() - chunk_start, job.size_of(n));
     for (uint32_t index = first; index < end && !all_placed(); ++index) {
-      if (!record->startable(index)) continue;
+      if (!record->is_startable(index)) continue;
       if (!edits.take_entry()) break;
       auto& place = gang.starts[committed + started.size()];
       record->start(index, attempt, place.machine);
--- a/src/coordination/shard_leader/shard_leader.cpp
+++ b/src/coordination/shard_leader/shard_leader.cpp
@@ -148,7 +148,8 @@
   transaction.writes.push_back({keys::shard_table, encode_shard_table(next), 0});
   auto writes = transaction.writes;
   const double asked = loop_.now();
-  auto reply = co_await deps_.store.compare_and_swap(std::move(transaction), Importance::lease);
+  auto reply =
+      co_await deps_.store.compare_and_swap(std::move(transaction), RequestPriority::lease);
   if (reply.outcome == TransactionOutcome::committed) {
     cache_.apply_writes(writes, reply.revision);
     // Early and often: an outage must fit into what is left of the grant.
@@ -159,8 +160,8 @@
   if (reply.outcome == TransactionOutcome::conflict ||
       reply.outcome == TransactionOutcome::unknown) {
     for (auto& key : {keys::shard_table, keys::leader}) {
-      auto read = co_await deps_.store.get(key, Importance::lease);
-      if (read.ok && read.found) cache_.apply(read.key_value);
+      auto read = co_await deps_.store.get(key, RequestPriority::lease);
+      if (read.found()) cache_.apply(read.key_value);
     }
   }
   next_renewal_ = loop_.now() + 0.2;
@@ -289,7 +290,7 @@
                                                  uint64_t fencing_token) {
   // A newer holder exists: a 200 would only hold the worker here while its lease runs out.
   if (fencing_token > fencing_token_) return HttpResponse{421, encode_redirect({}), 0};
-  const bool lost = deps_.peer_network.alone() && !contact_.in_contact();
+  const bool lost = deps_.peer_network.is_isolated() && !contact_.in_contact();
   if (!lease_renewal_.may_renew(lost && lease_renewal_.note_visit(machine)))
     return HttpResponse{503, {}, 0};
   return std::nullopt;
--- a/src/coordination/shard_leader/shard_leader.hpp
+++ b/src/coordination/shard_leader/shard_leader.hpp
@@ -121,7 +121,7 @@
   void on_lease_acquired();
   // A peer says that it holds a newer grant: ours is over, though we may not have read it.
   bool is_deposed() const {
-    return fencing_token_ != 0 && deps_.peer_network.newest_shard_leader().second > fencing_token_;
+    return fencing_token_ != 0 && deps_.peer_network.newest_fencing_token() > fencing_token_;
   }
   void step_down_if_unreachable();
 
--- a/src/coordination/shard_leader/shard_leader_cancelled.cpp
+++ b/src/coordination/shard_leader/shard_leader_cancelled.cpp
@@ -8,7 +8,7 @@
 
 // Also by another controller's word: nobody has a use for these tasks, and stopping needs no proof.
 bool ShardLeader::is_cancelled(const Job& job) const {
-  return job.cancelled || deps_.cancellations.cancelled(job.spec.id);
+  return job.cancelled || deps_.cancellations.is_cancelled(job.spec.id);
 }
 
 double ShardLeader::cancelled_since(const Job& job) const {
--- a/src/coordination/shard_leader/shard_leader_cloud.cpp
+++ b/src/coordination/shard_leader/shard_leader_cloud.cpp
@@ -119,7 +119,7 @@
     if (m.agent_epoch == 0)
       limit += cache_.assigned(id).empty()
                    ? report * 2
-                   : worker_retry_s * (1 + deps_.peer_network.silent_peers());
+                   : worker_retry_s * (1 + deps_.peer_network.unreachable_peers());
     if (silent_s > limit && direct > dead_after) {
       request_scale_in(id, "silent for " + std::to_string(static_cast<int>(silent_s)) + " s");
       declared_dead_.insert(id);
@@ -252,10 +252,10 @@
   Transaction transaction;
   transaction.preconditions[keys::shard_table] = cache_.shard_table_version();
   transaction.preconditions[key] = 0;
-  transaction.writes.push_back({key, {{"machines", std::move(machines)}}, 0});
+  transaction.writes.push_back({key, encode_tombstone(machines), 0});
   auto writes = transaction.writes;
   auto reply =
-      co_await deps_.store.compare_and_swap(std::move(transaction), Importance::scheduling);
+      co_await deps_.store.compare_and_swap(std::move(transaction), RequestPriority::scheduling);
   if (reply.outcome != TransactionOutcome::committed) co_return false;
   cache_.apply_writes(writes, reply.revision);
   co_return true;
--- a/src/coordination/shard_leader/shard_leader_commit.cpp
+++ b/src/coordination/shard_leader/shard_leader_commit.cpp
@@ -18,9 +18,9 @@
 
 Task<void> ShardLeader::reread(std::vector<std::string> failed) {
   for (auto& key : failed) {
-    auto read = co_await deps_.store.get(key, Importance::scheduling);
+    auto read = co_await deps_.store.get(key, RequestPriority::scheduling);
     // Also that it is absent: a copy that came back from the dead must not be built on again.
-    if (read.ok && read.key_value.version) cache_.apply(read.key_value);
+    if (read.answered() && read.key_value.version) cache_.apply(read.key_value);
   }
 }
 
@@ -30,7 +30,7 @@
                                          bool starts, std::function<void()> committed) {
   auto writes = transaction.writes;
   auto reply = co_await deps_.store.commit_until_resolved(std::move(transaction),
-                                                          Importance::scheduling, stop_token);
+                                                          RequestPriority::scheduling, stop_token);
   if (reply.outcome == TransactionOutcome::committed) {
     if (committed) committed();
     const bool again = scheduling_requested_;
@@ -116,7 +116,8 @@
     }
     auto* record = edits.edit(*job, chunk);
     if (!record) break;
-    record->end(name.index % job->chunk_size, exit.cause == ExitCause::done);
+    record->end(name.index % job->chunk_size,
+                exit.cause == ExitCause::done ? TaskEnd::done : TaskEnd::restart);
     const bool ends = ends_with(*job, *record, exit) && edits.end_with_edit(*job);
     (ends ? last : taken).push_back(name);
     ++it;
@@ -166,7 +167,9 @@
     transaction.preconditions[keys::job(id)] = job->version;
     transaction.writes.push_back({keys::job(id), Json(), 0});
     transaction.writes.push_back(
-        {keys::final_state(id), encode_final_state(job->cancelled, job->done), 0});
+        {keys::final_state(id),
+         encode_final_state(job->cancelled ? FinalState::cancelled : FinalState::done, job->done),
+         0});
     for (auto& [n, chunk] : job->chunks) {
       if (with-- <= 0) break;
       transaction.writes.push_back({job->chunk_key(n), Json(), 0});
--- a/src/coordination/shard_leader/shard_leader_view.cpp
+++ b/src/coordination/shard_leader/shard_leader_view.cpp
@@ -83,7 +83,7 @@
     v.unfinished = static_cast<uint32_t>(s.tasks - job.done);
     v.begun = job.live + job.done > 0;
     if (s.replicated()) {
-      const RangeRecord record = job.record_of(gang_range(s, n));
+      const TaskRangeSummary record = job.summarize(gang_range(s, n));
       v.unfinished = s.parts - record.done;
       v.begun = record.live > 0;
     }
--- a/src/storage/key_value_client.cpp
+++ b/src/storage/key_value_client.cpp
@@ -28,7 +28,7 @@
     : loop_(loop), http_(http), endpoint_(std::move(endpoint)), limit_(loop, limits) {}
 
 Task<HttpReply> KeyValueClient::call(Method method, std::string target, std::string body,
-                                     Importance importance, int writes, double timeout_s) {
+                                     RequestPriority importance, int writes, double timeout_s) {
   co_await limit_.take(importance, writes);
   auto reply =
       co_await http_.request(endpoint_, method, std::move(target), std::move(body), timeout_s);
@@ -38,7 +38,7 @@
 }
 
 Task<TransactionResult> KeyValueClient::compare_and_swap(Transaction transaction,
-                                                         Importance importance) {
+                                                         RequestPriority importance) {
   Json preconditions = Json::array(), writes = Json::array();
   for (auto& [key, version] : transaction.preconditions)
     preconditions.push_back({{"path", key}, {"stamp", version}});
@@ -92,7 +92,7 @@
 // way no copy can be applied any more. The caller reads the keys again after a conflict. This
 // holds only for transactions that write at least one of the keys they are conditional on.
 Task<TransactionResult> KeyValueClient::commit_until_resolved(Transaction transaction,
-                                                              Importance importance,
+                                                              RequestPriority importance,
                                                               std::stop_token stop_token) {
   bool is_suspected = false;
   double pause = 0.02;
@@ -108,12 +108,12 @@
   }
 }
 
-Task<GetResult> KeyValueClient::get(std::string key, Importance importance) {
+Task<GetResult> KeyValueClient::get(std::string key, RequestPriority importance) {
   auto reply = co_await call(Method::get, "/keys/" + key, {}, importance, 0, answer_timeout_s);
   GetResult out;
-  out.ok = reply.status == 200 || reply.status == 404;
-  out.found = reply.status == 200;
-  if (out.found) {
+  if (reply.status == 200) out.status = GetStatus::found;
+  if (reply.status == 404) out.status = GetStatus::absent;
+  if (out.found()) {
     auto m = decode_map(reply.body);
     out.key_value = decode_item(m, "path");
   } else if (auto m = decode_map(reply.body); m.is_object()) {
@@ -124,7 +124,7 @@
 }
 
 Task<RangeResult> KeyValueClient::range(std::string prefix, std::string after,
-                                        Importance importance) {
+                                        RequestPriority importance) {
   std::string target = "/keys?starts=" + prefix;
   if (!after.empty()) target += "&since=" + after;
   target += "&limit=250";
@@ -144,7 +144,7 @@
 Task<RangeResult> KeyValueClient::watch(std::string prefix, uint64_t after, double wait_s) {
   std::string target = "/watch?starts=" + prefix + "&since=" + std::to_string(after) +
                        "&block_ms=" + std::to_string(static_cast<int>(wait_s * 1000));
-  auto reply = co_await call(Method::get, std::move(target), {}, Importance::watching, 0,
+  auto reply = co_await call(Method::get, std::move(target), {}, RequestPriority::watching, 0,
                              wait_s + answer_timeout_s);
   RangeResult out;
   out.too_old = reply.status == 410;
@@ -164,7 +164,7 @@
 Task<uint64_t> KeyValueClient::new_lease(double ttl_s) {
   Json message = Json::object();
   message["life_ms"] = static_cast<int>(ttl_s * 1000);
-  auto reply = co_await call(Method::post, "/grants", encode(message), Importance::lease, 0,
+  auto reply = co_await call(Method::post, "/grants", encode(message), RequestPriority::lease, 0,
                              answer_timeout_s);
   if (reply.status != 200) co_return 0;
   auto m = decode_map(reply.body);
@@ -173,13 +173,13 @@
 
 Task<KeyValueClient::Renewal> KeyValueClient::renew(uint64_t lease) {
   auto reply = co_await call(Method::post, "/grants/" + std::to_string(lease) + "/touch",
-                             encode(Json::object()), Importance::lease, 0, answer_timeout_s);
+                             encode(Json::object()), RequestPriority::lease, 0, answer_timeout_s);
   if (reply.status == 200) co_return Renewal::renewed;
   co_return reply.status == 404 ? Renewal::ended : Renewal::unknown;
 }
 
 Task<void> KeyValueClient::end(uint64_t lease) {
-  co_await call(Method::del, "/grants/" + std::to_string(lease), {}, Importance::lease, 0,
+  co_await call(Method::del, "/grants/" + std::to_string(lease), {}, RequestPriority::lease, 0,
                 answer_timeout_s);
 }
 
--- a/src/storage/key_value_client.hpp
+++ b/src/storage/key_value_client.hpp
@@ -42,9 +42,12 @@
   uint64_t lease = 0;
 };
 
+enum class GetStatus : uint8_t { found, absent, unavailable };
+
 struct GetResult {
-  bool ok = false;
-  bool found = false;
+  GetStatus status = GetStatus::unavailable;
+  bool found() const { return status == GetStatus::found; }
+  bool answered() const { return status != GetStatus::unavailable; }
   KeyValue key_value;
 };
 
@@ -59,12 +62,12 @@
 class KeyValueClient {
  public:
   KeyValueClient(Loop& loop, HttpClient& http, Endpoint endpoint, const StateLimitSettings& limits);
-  Task<TransactionResult> compare_and_swap(Transaction transaction, Importance importance);
+  Task<TransactionResult> compare_and_swap(Transaction transaction, RequestPriority importance);
   // Repeats until the outcome is definite: see the reasoning at its definition.
-  Task<TransactionResult> commit_until_resolved(Transaction transaction, Importance importance,
+  Task<TransactionResult> commit_until_resolved(Transaction transaction, RequestPriority importance,
                                                 std::stop_token stop_token);
-  Task<GetResult> get(std::string key, Importance importance);
-  Task<RangeResult> range(std::string prefix, std::string after, Importance importance);
+  Task<GetResult> get(std::string key, RequestPriority importance);
+  Task<RangeResult> range(std::string prefix, std::string after, RequestPriority importance);
   Task<RangeResult> watch(std::string prefix, uint64_t after, double wait_s);
   // 0: none could be had.
   Task<uint64_t> new_lease(double ttl_s);
@@ -73,17 +76,17 @@
   // Ends it at once, and the keys attached to it go.
   Task<void> end(uint64_t lease);
 
-  RateLimit& limit() { return limit_; }
-  // Steady time of the last definite answer that was not a refusal for an outage.
-  double last_contact() const { return last_contact_; }
+  RateLimiter& limit() { return limit_; }
+  // Seconds since the last definite answer that was not a refusal for an outage.
+  double contact_age_s() const { return loop_.now() - last_contact_; }
 
  private:
-  Task<HttpReply> call(Method method, std::string target, std::string body, Importance importance,
-                       int writes, double timeout_s);
+  Task<HttpReply> call(Method method, std::string target, std::string body,
+                       RequestPriority importance, int writes, double timeout_s);
   Loop& loop_;
   HttpClient& http_;
   Endpoint endpoint_;
-  RateLimit limit_;
+  RateLimiter limit_;
   double last_contact_ = -1e9;
 };
 
--- a/src/storage/rate_limit.cpp
+++ b/src/storage/rate_limit.cpp
@@ -13,24 +13,24 @@
 constexpr double first_lowered_s = 30, longest_lowered_s = 600;
 }  // namespace
 
-RateLimit::RateLimit(Loop& loop, const StateLimitSettings& limits)
+RateLimiter::RateLimiter(Loop& loop, const StateLimitSettings& limits)
     : loop_(loop),
       limits_(limits),
       requests_(0),
       writes_(0),
       last_(loop.now()),
-      timer_(loop.timer([](void* self) { static_cast<RateLimit*>(self)->pump(); }, this)) {
+      timer_(loop.timer([](void* self) { static_cast<RateLimiter*>(self)->pump(); }, this)) {
   use(limits_.present());
 }
 
-void RateLimit::use(const StateLimits& limits) {
+void RateLimiter::use(const StateLimits& limits) {
   all_requests_ = limits.requests_per_s * safety;
   all_writes_ = limits.writes_per_s * safety;
   request_rate_ = all_requests_ * request_share_;
   write_rate_ = all_writes_ * write_share_;
 }
 
-void RateLimit::refused() {
+void RateLimiter::refused() {
   if (lowered_until_ > 0) return;
   refill();
   lowered_for_s_ = std::clamp(lowered_for_s_ * 2, first_lowered_s, longest_lowered_s);
@@ -38,7 +38,7 @@
   use(limits_.always());
 }
 
-void RateLimit::try_present_again() {
+void RateLimiter::try_present_again() {
   if (lowered_until_ == 0 || loop_.now() < lowered_until_) return;
   lowered_until_ = 0;
   use(limits_.present());
@@ -50,7 +50,7 @@
   return least + (all > 0 ? (1 - in_any_case) * wanted / all : 0);
 }
 
-void RateLimit::set_shares(double requests, double writes) {
+void RateLimiter::set_shares(double requests, double writes) {
   refill();
   try_present_again();
   request_share_ = requests;
@@ -59,7 +59,7 @@
   write_rate_ = all_writes_ * writes;
 }
 
-void RateLimit::refill() {
+void RateLimiter::refill() {
   double now = loop_.now();
   // Bursts of one second's worth, as the service allows.
   requests_ = std::min(request_rate_, requests_ + (now - last_) * request_rate_);
@@ -67,7 +67,7 @@
   last_ = now;
 }
 
-bool RateLimit::spend(int writes) {
+bool RateLimiter::spend(int writes) {
   // A transaction larger than the whole bucket goes when the bucket is full, on credit.
   if (requests_ < 1 || (writes > 0 && writes_ < std::min<double>(writes, write_rate_ * 0.99)))
     return false;
@@ -76,7 +76,7 @@
   return true;
 }
 
-void RateLimit::pump() {
+void RateLimiter::pump() {
   refill();
   for (auto& queue : queues_) {
     while (!queue.empty()) {
@@ -88,7 +88,7 @@
   }
 }
 
-void RateLimit::arm() {
+void RateLimiter::arm() {
   double missing = std::max(1 - requests_, 0.0) / request_rate_;
   for (auto& queue : queues_) {
     if (queue.empty()) continue;
@@ -99,14 +99,14 @@
   timer_->arm(std::clamp(missing, 0.002, 1.0));
 }
 
-bool RateLimit::Turn::await_ready() {
+bool RateLimiter::Turn::await_ready() {
   limit.refill();
   for (size_t i = 0; i <= static_cast<size_t>(importance); ++i)
     if (!limit.queues_[i].empty()) return false;
   return limit.spend(writes);
 }
 
-void RateLimit::Turn::await_suspend(std::coroutine_handle<> h) {
+void RateLimiter::Turn::await_suspend(std::coroutine_handle<> h) {
   limit.queues_[static_cast<size_t>(importance)].push_back({h, writes});
   limit.arm();
 }
--- a/src/storage/rate_limit.hpp
+++ b/src/storage/rate_limit.hpp
@@ -12,17 +12,17 @@
 // Lower is served first.
 // Watching goes before placing: a holder that writes all the time must still hear of cancellations.
 // Users' submissions and cancellations do too: they are few beside what a holder may have to write.
-enum class Importance : uint8_t { lease, watching, accepting, scheduling, polling };
+enum class RequestPriority : uint8_t { lease, watching, accepting, scheduling, polling };
 
 // A node's share of the writes: a little for each node in any case, the rest by what is wanted.
 // Shares that are worked out from the same figures never add up to more than 1.
 double write_share(int controllers, double wanted, double wanted_by_others);
 
-class RateLimit {
+class RateLimiter {
  public:
-  RateLimit(Loop& loop, const StateLimitSettings& limits);
-  RateLimit(const RateLimit&) = delete;
-  RateLimit& operator=(const RateLimit&) = delete;
+  RateLimiter(Loop& loop, const StateLimitSettings& limits);
+  RateLimiter(const RateLimiter&) = delete;
+  RateLimiter& operator=(const RateLimiter&) = delete;
   // The shares of the limits, 0 to 1.
   void set_shares(double requests, double writes);
   double writes_per_s() const { return write_rate_; }
@@ -30,17 +30,17 @@
   // to for a while, longer each time, before the present ones are tried again.
   void refused();
   // Waiting users of one importance; callers refuse new work over a bound instead of queueing it.
-  size_t waiting(Importance i) const { return queues_[static_cast<size_t>(i)].size(); }
+  size_t waiting(RequestPriority i) const { return queues_[static_cast<size_t>(i)].size(); }
 
   struct Turn {
-    RateLimit& limit;
-    Importance importance;
+    RateLimiter& limit;
+    RequestPriority importance;
     int writes;
     bool await_ready();
     void await_suspend(std::coroutine_handle<> h);
     void await_resume() const {}
   };
-  Turn take(Importance importance, int writes) { return {*this, importance, writes}; }
+  Turn take(RequestPriority importance, int writes) { return {*this, importance, writes}; }
 
  private:
   struct Waiter {
--- a/src/storage/record_cache.cpp
+++ b/src/storage/record_cache.cpp
@@ -55,13 +55,13 @@
   return out;
 }
 
-RangeRecord Job::record_of(TaskRange range) const {
-  RangeRecord out;
+TaskRangeSummary Job::summarize(TaskRange range) const {
+  TaskRangeSummary out;
   for_each_chunk(*this, range, [&](const TaskChunk& record, uint32_t, TaskRange within) {
     const auto running = entries_within(record.live, within.first, within.end());
     const auto waiting = entries_within(record.waiting, within.first, within.end());
     for (auto& task : running) {
-      out.mixed_attempts |= out.live_attempt != 0 && out.live_attempt != task.attempt;
+      out.has_mixed_attempts |= out.live_attempt != 0 && out.live_attempt != task.attempt;
       out.live_attempt = std::max(out.live_attempt, task.attempt);
     }
     for (auto& task : waiting) out.last_attempt = std::max(out.last_attempt, task.attempt);
@@ -131,17 +131,17 @@
 
 void RecordCache::apply_writes(const std::vector<Write>& writes, uint64_t revision) {
   for (auto& w : writes)
-    if (w.key.starts_with(keys::cached)) apply({w.key, w.value, revision, w.lease});
+    if (w.key.starts_with(keys::cached_prefix)) apply({w.key, w.value, revision, w.lease});
 }
 
 void RecordCache::apply(const KeyValue& key_value) {
   const std::string& key = key_value.key;
   if (is_stale_write(key_value)) return;
   auto tail = [&](const std::string& prefix) { return key.substr(prefix.size()); };
-  if (key.starts_with(keys::jobs)) {
-    apply_job(tail(keys::jobs), key_value);
-  } else if (key.starts_with(keys::chunks)) {
-    apply_chunk(tail(keys::chunks), key_value);
+  if (key.starts_with(keys::job_prefix)) {
+    apply_job(tail(keys::job_prefix), key_value);
+  } else if (key.starts_with(keys::chunk_prefix)) {
+    apply_chunk(tail(keys::chunk_prefix), key_value);
   } else if (key == keys::shard_table) {
     if (key_value.version <= shard_table_version_) return;
     shard_table_ = key_value.value.is_null() ? ShardTable{} : decode_shard_table(key_value.value);
@@ -151,13 +151,13 @@
     has_leader_ = !key_value.value.is_null();
     if (has_leader_) leader_ = decode_leader(key_value.value);
     leader_version_ = key_value.version;
-  } else if (key.starts_with(keys::machines)) {
+  } else if (key.starts_with(keys::tombstone_prefix)) {
     std::erase_if(tombstones_, [&](auto& mark) { return mark.second == key; });
     if (key_value.value.is_object())
       for (auto& id : key_value.value.value("machines", std::vector<std::string>()))
         tombstones_[id] = key;
-  } else if (key.starts_with(keys::rentals)) {
-    auto id = tail(keys::rentals);
+  } else if (key.starts_with(keys::scale_out_request_prefix)) {
+    auto id = tail(keys::scale_out_request_prefix);
     if (key_value.value.is_null()) {
       scale_out_requests_.erase(id);
     } else {
@@ -167,17 +167,18 @@
            v.value("spot", false), v.value("count", 0)},
           key_value.version};
     }
-  } else if (key.starts_with(keys::exits)) {
+  } else if (key.starts_with(keys::forwarded_exits_prefix)) {
     if (key_value.value.is_object()) {
-      forwarded_exits_[tail(keys::exits)] = decode_forwarded_exits(key_value.value);
+      forwarded_exits_[tail(keys::forwarded_exits_prefix)] =
+          decode_forwarded_exits(key_value.value);
     } else {
-      forwarded_exits_.erase(tail(keys::exits));
+      forwarded_exits_.erase(tail(keys::forwarded_exits_prefix));
     }
-  } else if (key.starts_with(keys::quotas)) {
-    apply_quota(tail(keys::quotas), key_value);
-  } else if (key.starts_with(keys::versions)) {
+  } else if (key.starts_with(keys::quota_prefix)) {
+    apply_quota(tail(keys::quota_prefix), key_value);
+  } else if (key.starts_with(keys::version_prefix)) {
     if (key_value.value.is_object())
-      versions_[tail(keys::versions)] = key_value.value.value("v", uint64_t{0});
+      versions_[tail(keys::version_prefix)] = key_value.value.value("v", uint64_t{0});
   }
   if (key_value.value.is_null() && key_value.version) {
     // Never all at once: a read under way just now may bring what was removed a moment ago.
@@ -322,7 +323,7 @@
   Job& job = *it->second;
   detach_chunks(job);
   // Those of a layout that it never took go as well.
-  const auto prefix = keys::chunks + id + "/";
+  const auto prefix = keys::chunk_prefix + id + "/";
   for (auto loose = unattached_chunks_.lower_bound(prefix);
        loose != unattached_chunks_.end() && loose->first.starts_with(prefix); ++loose)
     orphaned_chunks_.insert(loose->first);
@@ -338,7 +339,7 @@
   std::set<std::string> seen;
   for (;;) {
     if (!first) begun = loop_.now();
-    auto page = co_await store_.range(keys::cached, after, Importance::scheduling);
+    auto page = co_await store_.range(keys::cached_prefix, after, RequestPriority::scheduling);
     if (!page.ok) {
       if (auto times = warning_.note("unreadable", loop_.now()))
         spdlog::warn("the state service can't be read yet ({} times)", *times);
@@ -359,8 +360,8 @@
   for (auto& [id, job] : jobs_)
     if (!seen.contains(keys::job(id)) && job->version <= first) gone.push_back(keys::job(id));
   for (auto& [id, rental] : scale_out_requests_)
-    if (!seen.contains(keys::rental(id)) && rental.version <= first)
-      gone.push_back(keys::rental(id));
+    if (!seen.contains(keys::scale_out_request(id)) && rental.version <= first)
+      gone.push_back(keys::scale_out_request(id));
   for (auto& key : orphaned_chunks_)
     if (!seen.contains(key)) gone.push_back(key);
   for (auto& [controller, exits] : forwarded_exits_)
@@ -383,7 +384,7 @@
       if (on_change) on_change(nullptr);
     }
     double opened = loop_.now();
-    auto news = co_await store_.watch(keys::cached, revision_, 10.0);
+    auto news = co_await store_.watch(keys::cached_prefix, revision_, 10.0);
     if (stop_token.stop_requested()) co_return;
     if (news.ok) {
       for (auto& key_value : news.key_values) {
--- a/src/storage/record_cache.hpp
+++ b/src/storage/record_cache.hpp
@@ -24,11 +24,11 @@
 };
 
 // What the records say of some neighbouring tasks of a job.
-struct RangeRecord {
+struct TaskRangeSummary {
   uint32_t live = 0, done = 0;
-  uint64_t live_attempt = 0;    // the highest of the live ones; 0: none is live
-  uint64_t last_attempt = 0;    // the highest that any of them has had; 0: none was started
-  bool mixed_attempts = false;  // live ones differ in their attempts
+  uint64_t live_attempt = 0;        // the highest of the live ones; 0: none is live
+  uint64_t last_attempt = 0;        // the highest that any of them has had; 0: none was started
+  bool has_mixed_attempts = false;  // live ones differ in their attempts
 };
 
 struct Job {
@@ -55,7 +55,7 @@
   bool all_started(uint32_t chunk) const;
   std::vector<PlacedTask> live_tasks() const { return live_tasks({0, spec.tasks}); }
   std::vector<PlacedTask> live_tasks(TaskRange range) const;
-  RangeRecord record_of(TaskRange range) const;
+  TaskRangeSummary summarize(TaskRange range) const;
   bool finished() const { return done == spec.tasks; }
   // Tasks neither live nor done.
   uint64_t unstarted() const { return spec.tasks - live - done; }
@@ -71,8 +71,6 @@
   }
 };
 
-enum class FinalState : uint8_t { done, cancelled };
-
 class RecordCache {
  public:
   // `writes_per_s`: the most that the state service takes.
@@ -123,7 +121,7 @@
     ScaleOutRequest request;
     uint64_t version = 0;
   };
-  const std::map<std::string, Rental>& rentals() const { return scale_out_requests_; }
+  const std::map<std::string, Rental>& scale_out_requests() const { return scale_out_requests_; }
 
   // The version that each controller has recorded of itself.
   const std::map<std::string, uint64_t>& versions() const { return versions_; }
--- a/src/storage/records.cpp
+++ b/src/storage/records.cpp
@@ -28,7 +28,7 @@
   return true;
 }
 
-bool TaskChunk::startable(uint32_t index) const {
+bool TaskChunk::is_startable(uint32_t index) const {
   if (index >= next) return true;
   auto at = first_from(waiting, index);
   return at != waiting.end() && at->index == index;
@@ -47,12 +47,12 @@
   live.insert(at, {index, attempt, machine});
 }
 
-void TaskChunk::end(uint32_t index, bool done) {
+void TaskChunk::end(uint32_t index, TaskEnd end) {
   auto* task = find_live(index);
   if (!task) return;
   uint64_t attempt = task->attempt;
   live.erase(live.begin() + (task - live.data()));
-  if (done) return;
+  if (end == TaskEnd::done) return;
   auto at = first_from(waiting, index);
   waiting.insert(at, {index, attempt});
 }
@@ -144,8 +144,21 @@
   return static_cast<size_t>(std::clamp(fits, 1.0, most));
 }
 
-Json encode_final_state(bool cancelled, uint64_t done) {
-  return {{"s", cancelled ? "aborted" : "done"}, {"n", done}};
+Json encode_tombstone(const std::vector<std::string>& machines) { return {{"machines", machines}}; }
+
+Json encode_scale_out_record(const ScaleOutRequest& request) {
+  return {{"type", request.type},
+          {"zone", request.zone},
+          {"spot", request.spot},
+          {"count", request.count}};
+}
+
+Json encode_final_state(FinalState state, uint64_t done) {
+  return {{"s", state == FinalState::cancelled ? "aborted" : "done"}, {"n", done}};
+}
+
+FinalState decode_final_state(const Json& value) {
+  return value.value("s", std::string()) == "done" ? FinalState::done : FinalState::cancelled;
 }
 
 Json encode_shard_table(const ShardTable& b) {
--- a/src/storage/records.hpp
+++ b/src/storage/records.hpp
@@ -13,27 +13,31 @@
 
 // Everything under one prefix is cached by every node; final states are read on demand.
 namespace keys {
-inline const std::string cached = "d/";
+inline const std::string cached_prefix = "d/";
 inline const std::string shard_table = "d/b";
 inline const std::string leader = "d/l";
-inline const std::string jobs = "d/j/";
-inline const std::string chunks = "d/t/";
-inline const std::string machines = "d/m/";
-inline const std::string rentals = "d/r/";
-inline const std::string versions = "d/v/";
-inline const std::string exits = "d/e/";
-inline const std::string quotas = "d/q/";
-inline std::string job(const std::string& id) { return jobs + id; }
+inline const std::string job_prefix = "d/j/";
+inline const std::string chunk_prefix = "d/t/";
+inline const std::string tombstone_prefix = "d/m/";
+inline const std::string scale_out_request_prefix = "d/r/";
+inline const std::string version_prefix = "d/v/";
+inline const std::string forwarded_exits_prefix = "d/e/";
+inline const std::string quota_prefix = "d/q/";
+inline std::string job(const std::string& id) { return job_prefix + id; }
 // `layout`: how often the job's tasks were divided anew. The first one's keys have no number of it.
 inline std::string chunk(const std::string& id, uint32_t n, uint32_t chunk_layout = 0) {
   const std::string division = chunk_layout == 0 ? "" : std::to_string(chunk_layout) + "/";
-  return chunks + id + "/" + division + std::to_string(n);
+  return chunk_prefix + id + "/" + division + std::to_string(n);
 }
-inline std::string tombstone(const std::string& batch) { return machines + batch; }
-inline std::string rental(const std::string& id) { return rentals + id; }
-inline std::string version(const std::string& controller) { return versions + controller; }
-inline std::string forwarded_exits(const std::string& controller) { return exits + controller; }
-inline std::string quota(const std::string& team) { return quotas + team; }
+inline std::string tombstone(const std::string& batch) { return tombstone_prefix + batch; }
+inline std::string scale_out_request(const std::string& id) {
+  return scale_out_request_prefix + id;
+}
+inline std::string version(const std::string& controller) { return version_prefix + controller; }
+inline std::string forwarded_exits(const std::string& controller) {
+  return forwarded_exits_prefix + controller;
+}
+inline std::string quota(const std::string& team) { return quota_prefix + team; }
 inline std::string final_state(const std::string& id) { return "f/" + id; }
 }  // namespace keys
 
@@ -67,6 +71,9 @@
                           [](const auto& entry, uint32_t i) { return entry.index < i; });
 }
 
+// What becomes of a task whose attempt is proven gone.
+enum class TaskEnd : uint8_t { done, restart };
+
 struct TaskChunk {
   uint32_t next = 0;                 // relative to the chunk
   std::vector<LiveTask> live;        // by index
@@ -76,17 +83,19 @@
   // Index of the next task to start, and its next attempt; false when none is left.
   bool peek_startable(uint32_t size, uint32_t skip, uint32_t& index, uint64_t& attempt) const;
   // The task is neither live nor done.
-  bool startable(uint32_t index) const;
+  bool is_startable(uint32_t index) const;
   void start(uint32_t index, uint64_t attempt, const std::string& machine);
   // The attempt is proven gone: to be started again, or done.
-  void end(uint32_t index, bool done);
+  void end(uint32_t index, TaskEnd end);
   // The highest attempt that any of the tasks has had, as far as the record knows; 0: none.
   uint64_t last_attempt() const;
   bool finished(uint32_t size) const { return next == size && live.empty() && waiting.empty(); }
   uint32_t done_count() const { return next - static_cast<uint32_t>(live.size() + waiting.size()); }
 };
 // What stays of a job that is over.
-Json encode_final_state(bool cancelled, uint64_t done);
+enum class FinalState : uint8_t { done, cancelled };
+Json encode_final_state(FinalState state, uint64_t done);
+FinalState decode_final_state(const Json& value);
 Json encode_chunk(const TaskChunk& c);
 TaskChunk decode_chunk(const Json& m);
 // The job, layout and number that a chunk's key names after its prefix.
@@ -121,6 +130,8 @@
 
 // Machines whose marks fit into one value.
 size_t machines_per_tombstone(double value_kb);
+Json encode_tombstone(const std::vector<std::string>& machines);
+Json encode_scale_out_record(const ScaleOutRequest& request);
 
 // An exit that a controller other than the holder was told of by the machine.
 struct ForwardedExit {
--- a/tests/cancellations_test.cpp
+++ b/tests/cancellations_test.cpp
@@ -76,10 +76,10 @@
   // More than two heartbeats hold.
   for (int i = 0; i < 2100; ++i) p.b.said.record("run-" + std::to_string(i), p.b.clock(2.5));
   p.exchange(3);
-  EXPECT_FALSE(p.a.said.cancelled("run-2099"));
+  EXPECT_FALSE(p.a.said.is_cancelled("run-2099"));
   EXPECT_NEAR(p.a.unheard(3), 1, 0.1);  // as before
   for (double t = 4; t < 8; ++t) p.exchange(t);
-  EXPECT_TRUE(p.a.said.cancelled("run-2099"));
+  EXPECT_TRUE(p.a.said.is_cancelled("run-2099"));
   EXPECT_LT(p.a.unheard(8), 2.1);
 }
 
@@ -92,7 +92,7 @@
     if (i % 2 == 0) id.resize(longest_name, 'x');
     p.b.said.record(id, p.b.clock(1));
   }
-  for (int i = 0; i < 100 && !p.a.said.cancelled("run-4999"); ++i) {
+  for (int i = 0; i < 100 && !p.a.said.is_cancelled("run-4999"); ++i) {
     const double time = 2 + i;
     const auto bytes = encode_peer_heartbeat(p.b.heartbeat("a", time));
     PeerHeartbeat read;
@@ -101,7 +101,7 @@
     p.a.merge(read, time);
     p.b.merge(p.a.heartbeat("b", time), time);
   }
-  EXPECT_TRUE(p.a.said.cancelled("run-4999"));
+  EXPECT_TRUE(p.a.said.is_cancelled("run-4999"));
 }
 
 // A burst in an outage: with one part of the list a heartbeat period it would take seconds, in
@@ -145,7 +145,7 @@
   for (int i = 0; i < 6000; ++i) b.said.record("run-" + std::to_string(i), b.loop.now());
   b.peers.wake();
   world.run_until(5);
-  EXPECT_TRUE(a.said.cancelled("run-5999"));
+  EXPECT_TRUE(a.said.is_cancelled("run-5999"));
   a.loop.stop();
   b.loop.stop();
   world.run_until(6);
@@ -177,7 +177,7 @@
     p.b.merge(again.heartbeat("b", t), t + 0.01);
     again.merge(p.b.heartbeat("a", t), t + 0.01);
   }
-  EXPECT_TRUE(again.said.cancelled("run-1"));
+  EXPECT_TRUE(again.said.is_cancelled("run-1"));
   EXPECT_LT(again.unheard(8), 2.1);
 }
 
@@ -187,9 +187,9 @@
   p.b.said.record("run-1", p.b.clock(1));
   p.exchange(2);
   p.a.said.forget_received_before(p.a.clock(1.9));
-  EXPECT_TRUE(p.a.said.cancelled("run-1"));
+  EXPECT_TRUE(p.a.said.is_cancelled("run-1"));
   p.a.said.forget_received_before(p.a.clock(2.1));
-  EXPECT_FALSE(p.a.said.cancelled("run-1"));
+  EXPECT_FALSE(p.a.said.is_cancelled("run-1"));
   p.b.said.forget("run-1");
   Side fresh{"a", 12, 500, {"b"}};
   p.b.merge(fresh.heartbeat("b", 3), 3);
--- a/tests/mixed_versions_test.cpp
+++ b/tests/mixed_versions_test.cpp
@@ -22,9 +22,9 @@
   const auto stored = production();
   ASSERT_EQ(stored.size(), 10u);
   for (auto& [key, text] : stored) {
-    if (key.starts_with(keys::chunks)) {
+    if (key.starts_with(keys::chunk_prefix)) {
       EXPECT_EQ(encode_chunk(decode_chunk(Json::parse(text))).dump(), text);
-    } else if (key.starts_with(keys::jobs)) {
+    } else if (key.starts_with(keys::job_prefix)) {
       const auto value = Json::parse(text);
       auto spec = decode_job(value);
       ASSERT_TRUE(spec) << spec.error();
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -18,7 +18,7 @@
       c.start(i, 999999999, "i-0000000000");
     }
     EXPECT_LE(encode_chunk(c).dump().size(), kb * 1024);
-    for (uint32_t i = 0; i < size; i += 2) c.end(i, false);
+    for (uint32_t i = 0; i < size; i += 2) c.end(i, TaskEnd::restart);
     EXPECT_LE(encode_chunk(c).dump().size(), kb * 1024);
   }
 }
@@ -66,17 +66,17 @@
   EXPECT_EQ(index, 0u);
   EXPECT_EQ(attempt, 1u);
   c.start(0, 1, "m");
-  c.end(0, false);
+  c.end(0, TaskEnd::restart);
   ASSERT_TRUE(c.peek_startable(2, 0, index, attempt));
   EXPECT_EQ(index, 0u);
   EXPECT_EQ(attempt, 2u);
   c.start(0, 2, "m");
   c.start(1, 1, "m");
   EXPECT_FALSE(c.peek_startable(2, 0, index, attempt));
-  c.end(0, true);
+  c.end(0, TaskEnd::done);
   EXPECT_EQ(c.done_count(), 1u);
   EXPECT_FALSE(c.finished(2));
-  c.end(1, true);
+  c.end(1, TaskEnd::done);
   EXPECT_TRUE(c.finished(2));
 }
 
@@ -120,7 +120,7 @@
 const StateLimitSettings limits{hundred_a_second, hundred_a_second};
 
 // A refusal for the rate brings the announced rate, which is kept to for a while.
-TEST(RateLimit, FollowsRefusalsAndTriesThePresentLimitAgain) {
+TEST(RateLimiter, FollowsRefusalsAndTriesThePresentLimitAgain) {
   class Clock : public Loop {
    public:
     explicit Clock(std::seed_seq&& seed) : Loop(seed) {}
@@ -133,7 +133,7 @@
     void ended() override {}
   };
   Clock clock(std::seed_seq{1u});
-  RateLimit limit(clock, {{100, 50, 16, 12}, {100, 35, 2, 4}});
+  RateLimiter limit(clock, {{100, 50, 16, 12}, {100, 35, 2, 4}});
   limit.set_shares(1, 1);
   const double present = limit.writes_per_s();
   limit.refused();
@@ -212,9 +212,9 @@
   cache.apply(copy);
   ASSERT_NE(cache.job("run-1"), nullptr);
   for (uint64_t i = 0; i < 4095; ++i)
-    cache.apply({keys::rental("r-" + std::to_string(i)), Json(), 2 + i, 0});
+    cache.apply({keys::scale_out_request("r-" + std::to_string(i)), Json(), 2 + i, 0});
   cache.apply({keys::job("run-1"), Json(), 5000, 0});
-  cache.apply({keys::rental("r-last"), Json(), 5001, 0});
+  cache.apply({keys::scale_out_request("r-last"), Json(), 5001, 0});
   cache.apply(copy);
   EXPECT_EQ(cache.job("run-1"), nullptr);
 }
@@ -237,7 +237,7 @@
   cache.apply({keys::chunk("run-1", 0), encode_chunk(c), 2, 0});
   c.start(1, 1, "i-2");
   cache.apply({keys::chunk("run-1", 0), encode_chunk(c), 3, 0});
-  c.end(0, true);
+  c.end(0, TaskEnd::done);
   cache.apply({keys::chunk("run-1", 0), encode_chunk(c), 4, 0});
   EXPECT_EQ(told, "+i-1 +i-2 -i-1 ");
   EXPECT_EQ(cache.job("run-1")->live, 1u);
--- a/tests/replicas/gang_tracker_test.cpp
+++ b/tests/replicas/gang_tracker_test.cpp
@@ -46,7 +46,7 @@
   }
   void lose_one(ExitCause cause = ExitCause::stopped) {
     tracker.note_exit(job, replica, record().live.back().attempt, cause, false);
-    record().end(1, false);
+    record().end(1, TaskEnd::restart);
   }
 };
 
@@ -67,7 +67,7 @@
   f.tracker.note_ran(f.job, f.replica, 1);
   f.lose_one();
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::give_up);
-  f.record().end(0, false);
+  f.record().end(0, TaskEnd::restart);
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::start);
   EXPECT_EQ(next_attempt(f.job, f.replica), 2u);
 }
--- a/tests/replicas/replicas_test.cpp
+++ b/tests/replicas/replicas_test.cpp
@@ -120,23 +120,23 @@
   Job job;
   job.spec = replicated_job();
   job.chunk_size = 3;  // replica 1 is tasks 2 and 3, in two records
-  EXPECT_EQ(job.record_of({2, 2}).last_attempt, 0u);
+  EXPECT_EQ(job.summarize({2, 2}).last_attempt, 0u);
   job.chunks[0].record.start(2, 4, "i-1");
-  auto record = job.record_of({2, 2});
+  auto record = job.summarize({2, 2});
   EXPECT_EQ(record.live, 1u);
   EXPECT_EQ(record.live_attempt, 4u);
   EXPECT_EQ(next_attempt(job, {2, 2}), 4u);
   EXPECT_EQ(next_attempt(job, {0, 2}), 1u) << "passed over, and never started";
   job.chunks[1].record.start(0, 5, "i-2");
-  record = job.record_of({2, 2});
-  EXPECT_TRUE(record.mixed_attempts);
+  record = job.summarize({2, 2});
+  EXPECT_TRUE(record.has_mixed_attempts);
   EXPECT_EQ(job.live_tasks({2, 2}).size(), 2u);
   EXPECT_EQ(job.live_tasks({2, 2})[1].name.index, 3u);
   EXPECT_TRUE(job.live_tasks({0, 2}).empty());
   EXPECT_TRUE(job.live_tasks({4, 2}).empty());
-  job.chunks[0].record.end(2, false);
-  job.chunks[1].record.end(0, false);
-  EXPECT_EQ(job.record_of({2, 2}).last_attempt, 5u);
+  job.chunks[0].record.end(2, TaskEnd::restart);
+  job.chunks[1].record.end(0, TaskEnd::restart);
+  EXPECT_EQ(job.summarize({2, 2}).last_attempt, 5u);
   EXPECT_EQ(next_attempt(job, {2, 2}), 6u);
 }
 
--- a/tests/scenarios/fault_scenario.cpp
+++ b/tests/scenarios/fault_scenario.cpp
@@ -257,8 +257,8 @@
     const auto key = text.substr(0, tab);
     if (key.find('/') == std::string::npos) continue;  // a message, no record
     state_->store(key, Json::parse(text.substr(tab + 1)));
-    if (key.starts_with(keys::chunks)) {
-      const auto chunk = parse_chunk_name(key.substr(keys::chunks.size()));
+    if (key.starts_with(keys::chunk_prefix)) {
+      const auto chunk = parse_chunk_name(key.substr(keys::chunk_prefix.size()));
       const auto record = decode_chunk(Json::parse(text.substr(tab + 1)));
       // What was done before: below `next`, and neither live nor waiting.
       std::set<uint32_t> open;
@@ -268,8 +268,8 @@
         if (!open.contains(i)) fleet_->rules().done({chunk->job, i});
       continue;
     }
-    if (!key.starts_with(keys::jobs)) continue;
-    const auto job = key.substr(keys::jobs.size());
+    if (!key.starts_with(keys::job_prefix)) continue;
+    const auto job = key.substr(keys::job_prefix.size());
     fleet_->rules().submitted(jobs_.at(job));
     fleet_->rules().told(job, 201, "queued", world_.now());
     // Whoever knows of a job asks on.
@@ -403,7 +403,7 @@
   } else if (h.verb == "crash") {
     for (auto* c : controllers(h.name)) c->crash(num(w, "for", 6));
   } else if (h.verb == "crash_on_write") {  // crash_on_write JOB times=N after=S for=S
-    crash_on_write_ = {keys::chunks + h.name + "/", static_cast<int>(num(w, "times", 1)),
+    crash_on_write_ = {keys::chunk_prefix + h.name + "/", static_cast<int>(num(w, "times", 1)),
                        num(w, "after"), num(w, "for", 6)};
   } else if (h.verb == "old_version") {  // old_version NODE for=S: as if it ran an older program
     for (auto* c : controllers(h.name)) {
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -215,7 +215,7 @@
 
 TaskChunk waiting_chunk(uint32_t tasks, uint64_t attempt) {
   TaskChunk record = live_chunk(tasks, attempt);
-  for (uint32_t index = 0; index < tasks; ++index) record.end(index, false);
+  for (uint32_t index = 0; index < tasks; ++index) record.end(index, TaskEnd::restart);
   return record;
 }
 
@@ -264,8 +264,9 @@
 }
 
 void check_final_state(const Line& line) {
-  const std::map<std::string, Json> states = {{"run-done", encode_final_state(false, 5)},
-                                              {"run-aborted", encode_final_state(true, 2)}};
+  const std::map<std::string, Json> states = {
+      {"run-done", encode_final_state(FinalState::done, 5)},
+      {"run-aborted", encode_final_state(FinalState::cancelled, 2)}};
   const std::string id = key_tail(line, "f/");
   ASSERT_TRUE(states.contains(id));
   EXPECT_EQ(line.name, keys::final_state(id));
@@ -307,12 +308,12 @@
 
 void check_rental(const Line& line) {
   const std::string id = "r-" + std::to_string(incarnation) + "-2";
-  EXPECT_EQ(line.name, keys::rental(id));
+  EXPECT_EQ(line.name, keys::scale_out_request(id));
   CacheFixture fixture;
   fixture.apply(line);
-  ASSERT_EQ(fixture.cache.rentals().size(), 1u);
-  ASSERT_TRUE(fixture.cache.rentals().contains(id));
-  const ScaleOutRequest& request = fixture.cache.rentals().at(id).request;
+  ASSERT_EQ(fixture.cache.scale_out_requests().size(), 1u);
+  ASSERT_TRUE(fixture.cache.scale_out_requests().contains(id));
+  const ScaleOutRequest& request = fixture.cache.scale_out_requests().at(id).request;
   EXPECT_EQ(request.id, id);
   EXPECT_EQ(request.type, "g8");
   EXPECT_EQ(request.zone, "a");
--- a/tools/fleet/state_process.cpp
+++ b/tools/fleet/state_process.cpp
@@ -38,7 +38,8 @@
     if (what != "finish") return;
     Json quotas = Json::object();
     for (auto& [key, value] : state->all())
-      if (key.starts_with(keys::quotas)) quotas[key.substr(keys::quotas.size())] = value.first;
+      if (key.starts_with(keys::quota_prefix))
+        quotas[key.substr(keys::quota_prefix.size())] = value.first;
     parent.tell({{"kind", "final"},
                  {"writes", writes},
                  {"refused_for_rate", state->refused_for_rate()},
