--- a/src/coordination/api/user_api.cpp
+++ b/src/coordination/api/user_api.cpp
@@ -195,8 +195,8 @@
   if (cache_.job(id) || cache_.final_state(id)) co_return co_await state_of(id);
   // It stays as it is for this job, whatever the file says later.
   settings_.replicas.describe(*spec);
-  auto verdict = judge_job(*spec, settings_, catalog_.types());
-  if (verdict != Verdict::ok) {
+  auto verdict = check_admission(*spec, settings_, catalog_.types());
+  if (verdict != AdmissionResult::admitted) {
     // A job that was accepted once stays accepted, whatever the check would say now.
     auto known = co_await state_of(id);
     if (known.status == 404) {
@@ -219,7 +219,7 @@
     co_return HttpResponse{429, {}, std::clamp(ahead / rate, retry_after_s, latest_retry_after_s)};
   }
   spec->accepted_at = loop_.wall();
-  keep_known_types(*spec, catalog_.types());
+  drop_unknown_machine_types(*spec, catalog_.types());
   if (!job_record_fits(*spec, settings_.state_limits.always().value_kb))
     co_return bad_request("the job's names are too long");
   Submission s;
--- a/src/coordination/autoscaling/machine_type_catalog.cpp
+++ b/src/coordination/autoscaling/machine_type_catalog.cpp
@@ -42,7 +42,7 @@
   return std::max(most, 1e-9);
 }
 
-void keep_known_types(JobSpec& job, const std::vector<MachineType>& types) {
+void drop_unknown_machine_types(JobSpec& job, const std::vector<MachineType>& types) {
   std::vector<std::string> known;
   for (auto& type : types)
     if (std::find(job.types.begin(), job.types.end(), type.name) != job.types.end())
@@ -50,10 +50,10 @@
   if (!known.empty()) job.types = std::move(known);
 }
 
-Verdict judge_job(const JobSpec& job, const Settings& settings,
-                  const std::vector<MachineType>& types) {
+AdmissionResult check_admission(const JobSpec& job, const Settings& settings,
+                                const std::vector<MachineType>& types) {
   auto* team = settings.team(job.team);
-  if (!team) return Verdict::unknown_team;
+  if (!team) return AdmissionResult::unknown_team;
   bool fits = std::any_of(types.begin(), types.end(), [&](const MachineType& t) {
     if (!job.types.empty() &&
         std::find(job.types.begin(), job.types.end(), t.name) == job.types.end())
@@ -62,15 +62,15 @@
       return false;
     return job.cpus <= t.cpus && job.gpus <= t.gpus && job.memory_gb <= t.memory_gb;
   });
-  if (!fits) return Verdict::fits_no_type;
-  if (job.replicated() && job.tasks % job.parts != 0) return Verdict::indivisible;
+  if (!fits) return AdmissionResult::no_fitting_machine_type;
+  if (job.replicated() && job.tasks % job.parts != 0) return AdmissionResult::indivisible_replicas;
   double count = job.kind == JobKind::batch ? 1 : job.tasks;
   const double cpus_here = team->cpus_max - team->cpus_elsewhere;
   const double gpus_here = team->gpus_max - team->gpus_elsewhere;
   if ((team->cpus_max > 0 && job.cpus * count > cpus_here + 1e-9) ||
       (team->gpus_max > 0 && job.gpus * count > gpus_here + 1e-9))
-    return Verdict::over_limit;
-  return Verdict::ok;
+    return AdmissionResult::over_quota_limit;
+  return AdmissionResult::admitted;
 }
 
 }  // namespace damsonport
--- a/src/coordination/autoscaling/machine_type_catalog.hpp
+++ b/src/coordination/autoscaling/machine_type_catalog.hpp
@@ -26,11 +26,17 @@
 };
 
 // Leaves out of the job's list those machine types that the cloud doesn't have.
-void keep_known_types(JobSpec& job, const std::vector<MachineType>& types);
+void drop_unknown_machine_types(JobSpec& job, const std::vector<MachineType>& types);
 
-enum class Verdict : uint8_t { ok, unknown_team, fits_no_type, over_limit, indivisible };
+enum class AdmissionResult : uint8_t {
+  admitted,
+  unknown_team,
+  no_fitting_machine_type,
+  over_quota_limit,
+  indivisible_replicas
+};
 // Whether the job could ever run.
-Verdict judge_job(const JobSpec& job, const Settings& settings,
-                  const std::vector<MachineType>& types);
+AdmissionResult check_admission(const JobSpec& job, const Settings& settings,
+                                const std::vector<MachineType>& types);
 
 }  // namespace damsonport
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -66,7 +66,7 @@
   g.name = "g";
   auto spec = *decode_job(job_message());
   spec.types = {"gone", "g", "g"};
-  keep_known_types(spec, {g});
+  drop_unknown_machine_types(spec, {g});
   EXPECT_EQ(spec.types, std::vector<std::string>{"g"});
 }
 
@@ -83,22 +83,24 @@
   MachineType g;
   g.name = "g", g.cpus = 48, g.gpus = 8, g.memory_gb = 100, g.zones = {"a"};
   auto spec = *decode_job(job_message());
-  EXPECT_EQ(judge_job(spec, s, {g}), Verdict::ok);
+  EXPECT_EQ(check_admission(spec, s, {g}), AdmissionResult::admitted);
   auto other = spec;
   other.team = "nobody";
-  EXPECT_EQ(judge_job(other, s, {g}), Verdict::unknown_team);
+  EXPECT_EQ(check_admission(other, s, {g}), AdmissionResult::unknown_team);
   other = spec;
   other.zone = "b";
-  EXPECT_EQ(judge_job(other, s, {g}), Verdict::fits_no_type);
+  EXPECT_EQ(check_admission(other, s, {g}), AdmissionResult::no_fitting_machine_type);
   other = spec;
   other.tasks = 9;
-  EXPECT_EQ(judge_job(other, s, {g}), Verdict::ok) << "of an array one task has to fit";
+  EXPECT_EQ(check_admission(other, s, {g}), AdmissionResult::admitted)
+      << "of an array one task has to fit";
   other.kind = JobKind::service;
-  EXPECT_EQ(judge_job(other, s, {g}), Verdict::over_limit);
+  EXPECT_EQ(check_admission(other, s, {g}), AdmissionResult::over_quota_limit);
   other.kind = JobKind::gang;
-  EXPECT_EQ(judge_job(other, s, {g}), Verdict::over_limit) << "a gang runs whole or not at all";
+  EXPECT_EQ(check_admission(other, s, {g}), AdmissionResult::over_quota_limit)
+      << "a gang runs whole or not at all";
   other.tasks = 8;
-  EXPECT_EQ(judge_job(other, s, {g}), Verdict::ok);
+  EXPECT_EQ(check_admission(other, s, {g}), AdmissionResult::admitted);
 }
 
 TEST(PeerHeartbeat, ComesBackAndBadFramesAreTold) {
--- a/tests/replicas/replicas_test.cpp
+++ b/tests/replicas/replicas_test.cpp
@@ -109,11 +109,12 @@
   MachineType type;
   type.name = "g";
   JobSpec spec = replicated_job();
-  EXPECT_EQ(judge_job(spec, settings, {type}), Verdict::ok);
+  EXPECT_EQ(check_admission(spec, settings, {type}), AdmissionResult::admitted);
   spec.tasks = 5;
-  EXPECT_EQ(judge_job(spec, settings, {type}), Verdict::indivisible);
+  EXPECT_EQ(check_admission(spec, settings, {type}), AdmissionResult::indivisible_replicas);
   spec.kind = JobKind::batch;
-  EXPECT_EQ(judge_job(spec, settings, {type}), Verdict::ok) << "services alone have replicas";
+  EXPECT_EQ(check_admission(spec, settings, {type}), AdmissionResult::admitted)
+      << "services alone have replicas";
 }
 
 TEST(ReplicaRecord, ARangeIsReadAcrossItsRecords) {
