--- a/src/coordination/api/user_api.cpp
+++ b/src/coordination/api/user_api.cpp
@@ -81,7 +81,7 @@
 // node has told already, so it is confirmed against the state service first.
 Task<HttpResponse> UserApi::state_of(std::string id) {
   for (int tries = 0; tries < 3; ++tries) {
-    if (auto* f = cache_.final_state(id))
+    if (const auto f = cache_.final_state(id))
       co_return HttpResponse{200,
                              encode_job_status(id, *f == FinalState::done ? "done" : "aborted"), 0};
     Job* job = cache_.job(id);
@@ -162,7 +162,8 @@
     }
     auto reply = co_await store_.compare_and_swap(std::move(transaction), RequestPriority::polling);
     auto failed = [&](const std::string& key) {
-      return std::find(reply.failed.begin(), reply.failed.end(), key) != reply.failed.end();
+      return std::find(reply.failed_keys.begin(), reply.failed_keys.end(), key) !=
+             reply.failed_keys.end();
     };
     for (auto* q : batch) {
       if (reply.outcome == TransactionOutcome::committed) {
@@ -171,7 +172,7 @@
         // A refusal need not name every condition that failed: of those it leaves out nothing is
         // known, and they are asked again. Each round answers one at least.
         if (!failed(keys::job(q->id)) && !failed(keys::final_state(q->id)) &&
-            !reply.failed.empty()) {
+            !reply.failed_keys.empty()) {
           again.push_back(q);
           continue;
         }
@@ -211,7 +212,7 @@
   if (spec->replicated() && !versions_.all_have(VersionRegistry::replicas)) co_return busy();
   write_arrivals_.note(loop_.now());
   // Nobody is held beyond what can be written soon; whoever comes later is told when to come back.
-  const double rate = store_.limit().writes_per_s();
+  const double rate = store_.rate_limiter().writes_per_s();
   if (static_cast<double>(submissions_.size()) >= std::max(rate * longest_wait_s, 1.0)) {
     ++refused_lately_;
     const double ahead = static_cast<double>(submissions_.size() + refused_ + refused_lately_);
@@ -280,13 +281,14 @@
     auto writes = transaction.writes;
     auto reply =
         co_await store_.compare_and_swap(std::move(transaction), RequestPriority::accepting);
-    if (reply.outcome == TransactionOutcome::conflict && !reply.failed.empty()) {
+    if (reply.outcome == TransactionOutcome::conflict && !reply.failed_keys.empty()) {
       // Those are known already; the rest goes again.
       std::vector<Submission*> rest, known;
       for (auto* s : batch) {
-        bool failed = std::any_of(reply.failed.begin(), reply.failed.end(), [&](auto& key) {
-          return key == keys::job(s->spec.id) || key == keys::final_state(s->spec.id);
-        });
+        bool failed =
+            std::any_of(reply.failed_keys.begin(), reply.failed_keys.end(), [&](auto& key) {
+              return key == keys::job(s->spec.id) || key == keys::final_state(s->spec.id);
+            });
         (failed ? known : rest).push_back(s);
       }
       if (known.empty()) rest.clear(), known = batch;
@@ -311,7 +313,7 @@
   if (!valid_job_id(id)) co_return HttpResponse{404, {}, 0};
   if (!cache_.loaded()) co_return busy();
   for (int tries = 0; tries < 4; ++tries) {
-    if (auto* f = cache_.final_state(id))
+    if (const auto f = cache_.final_state(id))
       co_return HttpResponse{200,
                              encode_job_status(id, *f == FinalState::done ? "done" : "aborted"), 0};
     auto record = co_await store_.get(keys::job(id), RequestPriority::accepting);
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -57,8 +57,8 @@
       http_(network.client()),
       store_(loop, *http_, settings.state, settings.state_limits),
       changed_(loop),
-      cache_(loop, store_, watch_gap(settings), settings.clock_off_s,
-             settings.state_limits.present().writes_per_s),
+      cache_(loop, settings.clock_off_s, settings.state_limits.present().writes_per_s),
+      record_watcher_(loop, store_, cache_, watch_gap(settings)),
       catalog_(loop, *http_, settings),
       cancellations_(incarnation_, peer_names(settings)),
       peer_network_(loop, network, settings, cancellations_),
@@ -79,7 +79,7 @@
     const auto taken = server_->open() + http_->in_use() + kept_sockets;
     return std::max(all > taken ? all - taken : 0, static_cast<size_t>(kept_sockets) / 4);
   });
-  cache_.on_change = [this](Job* job) {
+  cache_.events().on_change = [this](Job* job) {
     // What this node confirmed or read itself nobody else may know yet.
     if (job && job->cancelled && cancellations_.record(job->spec.id, job->cancelled_since) &&
         job->version > cache_.revision())
@@ -90,10 +90,11 @@
     shard_leader_.cancelled_elsewhere(job);
   };
   regions_.on_news = [this] { shard_leader_.on_quota_news(); };
-  cache_.on_assignment = [this](const std::string& machine, const Job& job, bool added) {
-    shard_leader_.assignment_changed(machine, job, added);
+  cache_.events().on_assignment = [this](const std::string& machine, const Job& job,
+                                         AssignmentChange change) {
+    shard_leader_.assignment_changed(machine, job, change == AssignmentChange::added);
   };
-  cache_.on_job_gone = [this](Job* job) {
+  cache_.events().on_job_gone = [this](Job* job) {
     cancellations_.forget(job->spec.id);
     shard_leader_.job_gone(job);
   };
@@ -115,7 +116,7 @@
   spdlog::info("{} in {} serves on {}", settings_.controller_name, settings_.zone,
                settings_.listen.text());
   auto stop_token = loop_.stop_token();
-  loop_.spawn("cache", cache_.follow(stop_token));
+  loop_.spawn("cache", record_watcher_.run(stop_token));
   loop_.spawn("catalogue", catalog_.follow(stop_token));
   loop_.spawn("peers",
               peer_network_.send_heartbeats([this] { return next_heartbeat(); }, stop_token));
@@ -160,8 +161,9 @@
   double others = static_cast<double>(peer_network_.wanted_writes());
   if (!is_leading && !(cache_.has_leader() && peer_network_.alive(cache_.leader().controller)))
     others += settings_.state_limits.present().writes_per_s;
-  store_.limit().set_shares(share_of(is_leading, settings_.controller_count),
-                            write_share(settings_.controller_count, wanted_writes(), others));
+  store_.rate_limiter().set_shares(
+      share_of(is_leading, settings_.controller_count),
+      write_share(settings_.controller_count, wanted_writes(), others));
 }
 
 Task<void> Controller::housekeeping(std::stop_token stop_token) {
--- a/src/coordination/controller.hpp
+++ b/src/coordination/controller.hpp
@@ -2,6 +2,7 @@
 #pragma once
 #include "coordination/api/user_api.hpp"
 #include "coordination/shard_leader/shard_leader.hpp"
+#include "storage/record_watcher.hpp"
 
 namespace damsonport {
 
@@ -34,6 +35,7 @@
   KeyValueClient store_;
   Notification changed_;
   RecordCache cache_;
+  RecordWatcher record_watcher_;
   MachineTypeCatalog catalog_;
   CancellationGossip cancellations_;
   PeerNetwork peer_network_;
--- a/src/coordination/leadership/election.cpp
+++ b/src/coordination/leadership/election.cpp
@@ -30,22 +30,22 @@
       spdlog::info("leadership lost to {}",
                    cache_.has_leader() ? cache_.leader().controller : "nobody");
       is_leading_ = false;
-      lease_ = 0;
+      lease_.reset();
       changed_.notify();
     }
     if (is_backing_off()) {
-      if (is_leading_ && lease_) co_await store_.end(lease_);
+      if (is_leading_ && lease_) co_await store_.revoke_lease(*lease_);
       is_leading_ = false;
-      lease_ = 0;
+      lease_.reset();
       if (!co_await Sleep(loop_, ttl_s_ / 3.5, stop_token)) co_return;
       continue;
     }
     if (is_leading_) {
-      auto renewal = co_await store_.renew(lease_);
+      auto renewal = co_await store_.renew_lease(*lease_);
       if (renewal == KeyValueClient::Renewal::ended) {
         spdlog::warn("the leader's lease ended");
         is_leading_ = false;
-        lease_ = 0;
+        lease_.reset();
         changed_.notify();
       }
       if (!co_await Sleep(loop_, ttl_s_ / 3.5, stop_token)) co_return;
@@ -63,12 +63,12 @@
   const uint64_t replaced = cache_.has_leader() ? cache_.leader_version() : 0;
   // A new lease for each try: one left from an earlier try would be about to end, and the key with
   // it, while this node still believed to lead.
-  lease_ = co_await store_.new_lease(ttl_s_);
+  lease_ = co_await store_.grant_lease(ttl_s_);
   if (!lease_ || stop_token.stop_requested()) co_return;
   Transaction transaction;
   transaction.preconditions[keys::leader] = replaced;
   transaction.writes.push_back(
-      {keys::leader, encode_leader({settings_.controller_name, incarnation_}), lease_});
+      {keys::leader, encode_leader({settings_.controller_name, incarnation_}), *lease_});
   auto writes = transaction.writes;
   auto reply = co_await store_.compare_and_swap(std::move(transaction), RequestPriority::lease);
   if (reply.outcome == TransactionOutcome::committed) {
--- a/src/coordination/leadership/election.hpp
+++ b/src/coordination/leadership/election.hpp
@@ -31,7 +31,7 @@
   uint64_t incarnation_;
   Notification& changed_;
   double ttl_s_;
-  uint64_t lease_ = 0;
+  std::optional<uint64_t> lease_;
   bool is_leading_ = false;
   double stepped_down_at_ = -1e9;
 };
--- a/src/coordination/scheduling/start_edits.cpp
+++ b/src/coordination/scheduling/start_edits.cpp
@@ -13,7 +13,10 @@
     found.full = record == nullptr;
     if (found.full) return found;
     const uint32_t size = job.size_of(found.chunk);
-    if (!record->peek_startable(size, 0, found.index, found.attempt)) continue;
+    const auto next = record->peek_startable(size);
+    if (!next) continue;
+    found.index = next->index;
+    found.attempt = next->attempt;
     if (must_wait(*record)) continue;
     found.record = record;
     return found;
--- a/src/coordination/shard_leader/shard_leader_commit.cpp
+++ b/src/coordination/shard_leader/shard_leader_commit.cpp
@@ -41,8 +41,8 @@
   }
   if (reply.outcome == TransactionOutcome::conflict) {
     spdlog::debug("a commit lost against a change of {}",
-                  reply.failed.empty() ? "?" : reply.failed.front());
-    co_await reread(std::move(reply.failed));
+                  reply.failed_keys.empty() ? "?" : reply.failed_keys.front());
+    co_await reread(std::move(reply.failed_keys));
   }
   if (reply.outcome == TransactionOutcome::invalid) {
     // Definite: nothing of it was written, and the same again would be refused again.
--- /dev/null
+++ b/src/storage/job_index.cpp
@@ -0,0 +1,145 @@
+#include "storage/job_index.hpp"
+
+#include <utility>
+
+#include "storage/record_encoding.hpp"
+
+namespace damsonport {
+
+namespace {
+const MachineAssignments no_assignments;
+
+bool is_same(const LiveTask* a, const LiveTask& b) {
+  return a && a->attempt == b.attempt && a->machine == b.machine;
+}
+}  // namespace
+
+void JobIndex::notify(Job* changed) const {
+  if (events_.on_change) events_.on_change(changed);
+}
+
+Job& JobIndex::add(const std::string& job_id, JobSpec spec) {
+  auto& slot = jobs_[job_id];
+  slot = std::make_unique<Job>();
+  slot->spec = std::move(spec);
+  return *slot;
+}
+
+void JobIndex::update(Job& job, const JobUpdate& update) {
+  // Rechunked: the chunks of the new layout were all written before the job's record.
+  if (job.chunk_layout != update.chunk_layout) detach_chunks(job);
+  job.chunk_size = update.chunk_size;
+  job.chunk_layout = update.chunk_layout;
+  job.version = update.version;
+  job.cancelled = update.cancelled;
+  if (job.cancelled) job.cancelled_since = update.cancelled_since;
+  attach_chunks(job);
+  notify(&job);
+}
+
+void JobIndex::remove(const std::string& job_id) {
+  auto it = jobs_.find(job_id);
+  Job& job = *it->second;
+  detach_chunks(job);
+  // Those of a layout that it never took go as well.
+  unattached_.orphan_all_of(job_id);
+  if (events_.on_job_gone) events_.on_job_gone(&job);
+  jobs_.erase(it);
+  notify(nullptr);
+}
+
+void JobIndex::apply_chunk(const ChunkName& name, const KeyValue& chunk) {
+  Job* job = find(name.job);
+  if (!job || job->chunk_layout != name.chunk_layout) {
+    if (chunk.value.is_null()) {
+      unattached_.remove(chunk.key);
+      return;
+    }
+    // A chunk of a later layout waits for its job to take it.
+    const bool orphaned = !job || name.chunk_layout < job->chunk_layout;
+    unattached_.put(chunk, orphaned ? ChunkUse::orphaned : ChunkUse::expected);
+    return;
+  }
+  auto known = job->chunks.find(name.number);
+  if (known != job->chunks.end() && chunk.version <= known->second.version) return;
+  // A chunk is removed only together with or after its job.
+  if (chunk.value.is_null()) return;
+  set_chunk(*job, name.number, decode_chunk(chunk.value), chunk.version);
+  notify(job);
+}
+
+Job* JobIndex::find(const std::string& job_id) const {
+  auto it = jobs_.find(job_id);
+  return it == jobs_.end() ? nullptr : it->second.get();
+}
+
+const MachineAssignments& JobIndex::assigned(const std::string& machine) const {
+  auto it = assigned_.find(machine);
+  return it == assigned_.end() ? no_assignments : it->second;
+}
+
+bool JobIndex::places(const TaskId& task, uint64_t attempt, const std::string& machine) const {
+  Job* job = find(task.job);
+  if (!job) return false;
+  auto& tasks = assigned(machine);
+  auto it = tasks.find({job, task.index});
+  return it != tasks.end() && it->second == attempt;
+}
+
+uint64_t JobIndex::chunk_version(const std::string& job_id, uint32_t number) const {
+  const Job* job = find(job_id);
+  if (!job) return 0;
+  auto chunk = job->chunks.find(number);
+  return chunk == job->chunks.end() ? 0 : chunk->second.version;
+}
+
+// Only what differs is touched: a change of one task must not cost as much as the whole chunk.
+void JobIndex::set_chunk(Job& job, uint32_t number, TaskChunk record, uint64_t version) {
+  auto& chunk = job.chunks[number];
+  const uint32_t start = number * job.chunk_size;
+  TaskChunk before = std::exchange(chunk.record, std::move(record));
+  chunk.version = version;
+  job.live += chunk.record.live.size() - before.live.size();
+  job.done += chunk.record.done_count() - before.done_count();
+  for (auto& task : before.live)
+    if (!is_same(chunk.record.find_live(task.index), task))
+      assign(job, task, start, AssignmentChange::removed);
+  for (auto& task : chunk.record.live)
+    if (!is_same(before.find_live(task.index), task))
+      assign(job, task, start, AssignmentChange::added);
+}
+
+void JobIndex::assign(Job& job, const LiveTask& task, uint32_t chunk_start,
+                      AssignmentChange change) {
+  auto& tasks = assigned_[task.machine];
+  const Assignment assignment{&job, chunk_start + task.index};
+  if (change == AssignmentChange::added) {
+    tasks[assignment] = task.attempt;
+  } else {
+    tasks.erase(assignment);
+    if (tasks.empty()) assigned_.erase(task.machine);
+  }
+  if (events_.on_assignment) events_.on_assignment(task.machine, job, change);
+}
+
+// The job's chunks are no longer its own: they are kept as orphaned ones, to be removed.
+void JobIndex::detach_chunks(Job& job) {
+  for (auto& [number, chunk] : job.chunks) {
+    const uint64_t version = chunk.version;
+    const TaskChunk detached = chunk.record;
+    set_chunk(job, number, {}, version);
+    unattached_.put({job.chunk_key(number), encode_chunk(detached), version, 0},
+                    ChunkUse::orphaned);
+  }
+  job.chunks.clear();
+}
+
+// Takes the chunks that were read before the job's record, or before it took their layout.
+void JobIndex::attach_chunks(Job& job) {
+  for (uint32_t number = 0; number < job.chunk_count() && !unattached_.empty(); ++number) {
+    const auto chunk = unattached_.take(job.chunk_key(number));
+    if (chunk) set_chunk(job, number, decode_chunk(chunk->value), chunk->version);
+  }
+}
+
+}  // namespace damsonport
--- a/src/storage/key_value_client.cpp
+++ b/src/storage/key_value_client.cpp
@@ -5,180 +5,230 @@
 namespace damsonport {
 
 namespace {
-constexpr double answer_timeout_s = 1.5;  // answers are usually there in 10 ms, seldom in 300
 
-uint64_t number(const Json& m, const char* key) {
-  auto it = m.find(key);
-  return it != m.end() && it->is_number_integer() ? it->get<uint64_t>() : 0;
+constexpr double answer_timeout_s = 1.5;  // answers usually take 10 ms, seldom 300
+constexpr double range_timeout_s = 2 * answer_timeout_s;
+constexpr int max_page_keys = 250;
+// Between repeats of a transaction whose outcome is unknown; doubled each time.
+constexpr double first_pause_s = 0.02;
+constexpr double longest_pause_s = 1.0;
+
+// Fields of the store's messages.
+namespace wire {
+constexpr const char* key = "path";
+constexpr const char* value = "data";
+constexpr const char* version = "stamp";
+constexpr const char* revision = "ledger";
+constexpr const char* lease = "permit";
+constexpr const char* lease_ms = "life_ms";
+constexpr const char* preconditions = "if";
+constexpr const char* writes = "writes";
+constexpr const char* put = "set";
+constexpr const char* remove = "remove";
+constexpr const char* failed = "failed";
+constexpr const char* pairs = "pairs";
+constexpr const char* more = "more";
+constexpr const char* changes = "news";
+}  // namespace wire
+
+// 0 where the field is missing.
+uint64_t number(const Json& message, const char* field) {
+  auto it = message.find(field);
+  return it != message.end() && it->is_number_integer() ? it->get<uint64_t>() : 0;
 }
 
 // Takes the value out of the message: copying it was most of the work of reading all records.
-KeyValue decode_item(Json& m, const char* key_field) {
-  KeyValue key_value;
-  if (auto it = m.find(key_field); it != m.end() && it->is_string()) key_value.key = *it;
-  if (auto it = m.find("data"); it != m.end()) key_value.value = std::move(*it);
-  key_value.version = number(m, "stamp");
-  key_value.lease = number(m, "permit");
-  return key_value;
+KeyValue take_key_value(Json& message, const char* key_field) {
+  KeyValue out;
+  if (auto it = message.find(key_field); it != message.end() && it->is_string()) out.key = *it;
+  if (auto it = message.find(wire::value); it != message.end()) out.value = std::move(*it);
+  out.version = number(message, wire::version);
+  out.lease = number(message, wire::lease);
+  return out;
 }
-}  // namespace
 
-KeyValueClient::KeyValueClient(Loop& loop, HttpClient& http, Endpoint endpoint,
-                               const StateLimitSettings& limits)
-    : loop_(loop), http_(http), endpoint_(std::move(endpoint)), limit_(loop, limits) {}
+KeyValue take_change(Json& message) {
+  if (!message.contains(wire::remove)) return take_key_value(message, wire::put);
+  KeyValue removed = take_key_value(message, wire::remove);
+  removed.value = Json();
+  return removed;
+}
 
-Task<HttpReply> KeyValueClient::call(Method method, std::string target, std::string body,
-                                     RequestPriority importance, int writes, double timeout_s) {
-  co_await limit_.take(importance, writes);
-  auto reply =
-      co_await http_.request(endpoint_, method, std::move(target), std::move(body), timeout_s);
-  if (reply.answered() && reply.status != 503) last_contact_ = loop_.now();
-  if (reply.status == 429) limit_.refused();
-  co_return reply;
+Json encode_write(Write write) {
+  if (write.value.is_null()) return {{wire::remove, write.key}};
+  Json put = {{wire::put, write.key}, {wire::value, std::move(write.value)}};
+  if (write.lease) put[wire::lease] = write.lease;
+  return put;
 }
 
-Task<TransactionResult> KeyValueClient::compare_and_swap(Transaction transaction,
-                                                         RequestPriority importance) {
-  Json preconditions = Json::array(), writes = Json::array();
+std::string encode_transaction(Transaction transaction) {
+  Json preconditions = Json::array();
   for (auto& [key, version] : transaction.preconditions)
-    preconditions.push_back({{"path", key}, {"stamp", version}});
-  for (auto& w : transaction.writes) {
-    if (w.value.is_null()) {
-      writes.push_back({{"remove", w.key}});
-    } else {
-      Json put = {{"set", w.key}, {"data", std::move(w.value)}};
-      if (w.lease) put["permit"] = w.lease;
-      writes.push_back(std::move(put));
-    }
+    preconditions.push_back({{wire::key, key}, {wire::version, version}});
+  Json message = {{wire::preconditions, std::move(preconditions)}};
+  if (!transaction.writes.empty()) {
+    Json writes = Json::array();
+    for (auto& write : transaction.writes) writes.push_back(encode_write(std::move(write)));
+    message[wire::writes] = std::move(writes);
   }
-  int count = static_cast<int>(writes.size());
-  Json message = {{"if", std::move(preconditions)}};
-  if (count) message["writes"] = std::move(writes);
-  std::string body = encode(message);
-  message = Json();
-  auto reply =
-      co_await call(Method::post, "/txn", std::move(body), importance, count, answer_timeout_s);
-  TransactionResult out;
-  auto m = decode_map(reply.body);
-  switch (reply.status) {
+  return encode(message);
+}
+
+TransactionOutcome outcome_of(int status) {
+  switch (status) {
     case 200:
-      out.outcome = TransactionOutcome::committed;
-      out.revision = number(m, "ledger");
-      break;
+      return TransactionOutcome::committed;
     case 409:
-      out.outcome = TransactionOutcome::conflict;
-      out.revision = number(m, "ledger");
-      if (m.contains("failed") && m["failed"].is_array())
-        for (auto& key : m["failed"])
-          if (key.is_string()) out.failed.push_back(key);
-      break;
+      return TransactionOutcome::conflict;
     case 429:
     case 503:
-      out.outcome = TransactionOutcome::refused;
-      break;
+      return TransactionOutcome::refused;
     case 400:
-      out.outcome = TransactionOutcome::invalid;
-      spdlog::warn("the state service refused a transaction as malformed: {}", m.dump());
-      break;
+      return TransactionOutcome::invalid;
     default:
-      out.outcome = TransactionOutcome::unknown;
+      return TransactionOutcome::unknown;
   }
-  co_return out;
 }
 
-// A transaction with no answer may be applied later, at any time. Repeating the same conditions
+std::vector<std::string> decode_failed_keys(const Json& message) {
+  std::vector<std::string> out;
+  if (!message.contains(wire::failed) || !message[wire::failed].is_array()) return out;
+  for (auto& key : message[wire::failed])
+    if (key.is_string()) out.push_back(key);
+  return out;
+}
+
+TransactionResult decode_transaction_result(const HttpReply& reply) {
+  const auto message = decode_map(reply.body);
+  TransactionResult result;
+  result.outcome = outcome_of(reply.status);
+  const bool conflict = result.outcome == TransactionOutcome::conflict;
+  if (conflict || result.outcome == TransactionOutcome::committed)
+    result.revision = number(message, wire::revision);
+  if (conflict) result.failed_keys = decode_failed_keys(message);
+  if (result.outcome == TransactionOutcome::invalid)
+    spdlog::warn("the key-value store refused a transaction as malformed: {}", message.dump());
+  return result;
+}
+
+}  // namespace
+
+KeyValueClient::KeyValueClient(Loop& loop, HttpClient& http, Endpoint endpoint,
+                               const StateLimitSettings& limits)
+    : loop_(loop), http_(http), endpoint_(std::move(endpoint)), rate_limiter_(loop, limits) {}
+
+Task<HttpReply> KeyValueClient::call(Method method, std::string target, std::string body,
+                                     RequestPriority priority, int writes, double timeout_s) {
+  co_await rate_limiter_.acquire(priority, writes);
+  auto reply =
+      co_await http_.request(endpoint_, method, std::move(target), std::move(body), timeout_s);
+  if (reply.answered() && reply.status != 503) last_contact_ = loop_.now();
+  if (reply.status == 429) rate_limiter_.on_refused();
+  co_return reply;
+}
+
+Task<TransactionResult> KeyValueClient::compare_and_swap(Transaction transaction,
+                                                         RequestPriority priority) {
+  const int writes = static_cast<int>(transaction.writes.size());
+  auto body = encode_transaction(std::move(transaction));
+  const auto reply =
+      co_await call(Method::post, "/txn", std::move(body), priority, writes, answer_timeout_s);
+  co_return decode_transaction_result(reply);
+}
+
+// A transaction with no answer may be applied later, at any time. Repeating the same preconditions
 // settles it: if a repeat commits, the versions have moved and the first copy can only fail; if a
 // repeat conflicts, either the first copy was applied or somebody else changed a key, and either
 // way no copy can be applied any more. The caller reads the keys again after a conflict. This
 // holds only for transactions that write at least one of the keys they are conditional on.
 Task<TransactionResult> KeyValueClient::commit_until_resolved(Transaction transaction,
-                                                              RequestPriority importance,
+                                                              RequestPriority priority,
                                                               std::stop_token stop_token) {
-  bool is_suspected = false;
-  double pause = 0.02;
+  bool may_be_applied = false;  // some earlier copy
+  double pause_s = first_pause_s;
   for (;;) {
-    auto reply = co_await compare_and_swap(transaction, importance);
-    if (reply.outcome == TransactionOutcome::unknown) is_suspected = true;
-    bool definite = reply.outcome == TransactionOutcome::committed ||
-                    reply.outcome == TransactionOutcome::conflict ||
-                    (reply.outcome == TransactionOutcome::invalid && !is_suspected);
-    if (definite) co_return reply;
-    if (!co_await Sleep(loop_, pause * loop_.uniform(0.5, 1.5), stop_token)) co_return reply;
-    pause = std::min(pause * 2, 1.0);
+    auto result = co_await compare_and_swap(transaction, priority);
+    if (result.outcome == TransactionOutcome::unknown) may_be_applied = true;
+    const bool is_definite = result.outcome == TransactionOutcome::committed ||
+                             result.outcome == TransactionOutcome::conflict ||
+                             (result.outcome == TransactionOutcome::invalid && !may_be_applied);
+    if (is_definite) co_return result;
+    if (!co_await Sleep(loop_, pause_s * loop_.uniform(0.5, 1.5), stop_token)) co_return result;
+    pause_s = std::min(pause_s * 2, longest_pause_s);
   }
 }
 
-Task<GetResult> KeyValueClient::get(std::string key, RequestPriority importance) {
-  auto reply = co_await call(Method::get, "/keys/" + key, {}, importance, 0, answer_timeout_s);
-  GetResult out;
-  if (reply.status == 200) out.status = GetStatus::found;
-  if (reply.status == 404) out.status = GetStatus::absent;
-  if (out.found()) {
-    auto m = decode_map(reply.body);
-    out.key_value = decode_item(m, "path");
-  } else if (auto m = decode_map(reply.body); m.is_object()) {
-    out.key_value.version = number(m, "ledger");  // it is absent at this revision
+Task<GetResult> KeyValueClient::get(std::string key, RequestPriority priority) {
+  const auto reply = co_await call(Method::get, "/keys/" + key, {}, priority, 0, answer_timeout_s);
+  GetResult result;
+  if (reply.status == 200) result.status = GetStatus::found;
+  if (reply.status == 404) result.status = GetStatus::absent;
+  auto message = decode_map(reply.body);
+  if (result.found()) {
+    result.key_value = take_key_value(message, wire::key);
+  } else if (message.is_object()) {
+    result.key_value.version = number(message, wire::revision);
   }
-  out.key_value.key = std::move(key);
-  co_return out;
+  result.key_value.key = std::move(key);
+  co_return result;
 }
 
 Task<RangeResult> KeyValueClient::range(std::string prefix, std::string after,
-                                        RequestPriority importance) {
+                                        RequestPriority priority) {
   std::string target = "/keys?starts=" + prefix;
   if (!after.empty()) target += "&since=" + after;
-  target += "&limit=250";
-  auto reply =
-      co_await call(Method::get, std::move(target), {}, importance, 0, answer_timeout_s * 2);
-  RangeResult out;
-  if (reply.status != 200) co_return out;
-  auto m = decode_map(reply.body);
-  if (!m.is_object() || !m.contains("pairs")) co_return out;
-  out.ok = true;
-  out.more = m.value("more", false);
-  out.revision = number(m, "ledger");
-  for (auto& pair : m["pairs"]) out.key_values.push_back(decode_item(pair, "path"));
-  co_return out;
-}
-
-Task<RangeResult> KeyValueClient::watch(std::string prefix, uint64_t after, double wait_s) {
+  target += "&limit=" + std::to_string(max_page_keys);
+  const auto reply =
+      co_await call(Method::get, std::move(target), {}, priority, 0, range_timeout_s);
+  RangeResult page;
+  if (reply.status != 200) co_return page;
+  auto message = decode_map(reply.body);
+  if (!message.is_object() || !message.contains(wire::pairs)) co_return page;
+  page.status = ReadStatus::ok;
+  page.has_more = message.value(wire::more, false);
+  page.revision = number(message, wire::revision);
+  for (auto& pair : message[wire::pairs])
+    page.key_values.push_back(take_key_value(pair, wire::key));
+  co_return page;
+}
+
+Task<WatchResult> KeyValueClient::watch(std::string prefix, uint64_t after, double wait_s) {
   std::string target = "/watch?starts=" + prefix + "&since=" + std::to_string(after) +
                        "&block_ms=" + std::to_string(static_cast<int>(wait_s * 1000));
-  auto reply = co_await call(Method::get, std::move(target), {}, RequestPriority::watching, 0,
-                             wait_s + answer_timeout_s);
-  RangeResult out;
-  out.too_old = reply.status == 410;
-  if (reply.status != 200) co_return out;
-  auto m = decode_map(reply.body);
-  if (!m.is_object() || !m.contains("news")) co_return out;
-  out.ok = true;
-  out.revision = number(m, "ledger");
-  for (auto& event : m["news"]) {
-    bool removed = event.contains("remove");
-    out.key_values.push_back(decode_item(event, removed ? "remove" : "set"));
-    if (removed) out.key_values.back().value = Json();
-  }
-  co_return out;
+  const auto reply = co_await call(Method::get, std::move(target), {}, RequestPriority::watching, 0,
+                                   wait_s + answer_timeout_s);
+  WatchResult result;
+  if (reply.status == 410) result.status = ReadStatus::compacted;
+  if (reply.status != 200) co_return result;
+  auto message = decode_map(reply.body);
+  if (!message.is_object() || !message.contains(wire::changes)) co_return result;
+  result.status = ReadStatus::ok;
+  result.revision = number(message, wire::revision);
+  for (auto& change : message[wire::changes]) result.changes.push_back(take_change(change));
+  co_return result;
 }
 
-Task<uint64_t> KeyValueClient::new_lease(double ttl_s) {
-  Json message = Json::object();
-  message["life_ms"] = static_cast<int>(ttl_s * 1000);
-  auto reply = co_await call(Method::post, "/grants", encode(message), RequestPriority::lease, 0,
-                             answer_timeout_s);
-  if (reply.status != 200) co_return 0;
-  auto m = decode_map(reply.body);
-  co_return m.is_object() ? number(m, "permit") : 0;
+Task<std::optional<uint64_t>> KeyValueClient::grant_lease(double ttl_s) {
+  Json request = Json::object();
+  request[wire::lease_ms] = static_cast<int>(ttl_s * 1000);
+  const auto reply = co_await call(Method::post, "/grants", encode(request), RequestPriority::lease,
+                                   0, answer_timeout_s);
+  if (reply.status != 200) co_return std::nullopt;
+  const auto message = decode_map(reply.body);
+  const uint64_t lease = message.is_object() ? number(message, wire::lease) : 0;
+  if (lease == 0) co_return std::nullopt;
+  co_return lease;
 }
 
-Task<KeyValueClient::Renewal> KeyValueClient::renew(uint64_t lease) {
-  auto reply = co_await call(Method::post, "/grants/" + std::to_string(lease) + "/touch",
-                             encode(Json::object()), RequestPriority::lease, 0, answer_timeout_s);
+Task<KeyValueClient::Renewal> KeyValueClient::renew_lease(uint64_t lease) {
+  const auto reply =
+      co_await call(Method::post, "/grants/" + std::to_string(lease) + "/touch",
+                    encode(Json::object()), RequestPriority::lease, 0, answer_timeout_s);
   if (reply.status == 200) co_return Renewal::renewed;
   co_return reply.status == 404 ? Renewal::ended : Renewal::unknown;
 }
 
-Task<void> KeyValueClient::end(uint64_t lease) {
+Task<void> KeyValueClient::revoke_lease(uint64_t lease) {
   co_await call(Method::del, "/grants/" + std::to_string(lease), {}, RequestPriority::lease, 0,
                 answer_timeout_s);
 }
--- a/src/storage/quota_record.cpp
+++ b/src/storage/quota_record.cpp
@@ -1,5 +1,7 @@
 #include "storage/quota_record.hpp"
 
+#include "storage/record_fields.hpp"
+
 namespace damsonport {
 
 namespace {
@@ -46,16 +48,16 @@
 }
 
 Json encode_quota(const QuotaRecord& record) {
-  return {{"initial", encode_units(record.initial)},
-          {"sent", encode_totals(record.sent)},
-          {"received", encode_totals(record.received)}};
+  return {{fields::initial_quota, encode_units(record.initial)},
+          {fields::sent_quota, encode_totals(record.sent)},
+          {fields::received_quota, encode_totals(record.received)}};
 }
 
 QuotaRecord decode_quota(const Json& value) {
   QuotaRecord record;
-  record.initial = decode_units(value.at("initial"));
-  record.sent = decode_totals(value, "sent");
-  record.received = decode_totals(value, "received");
+  record.initial = decode_units(value.at(fields::initial_quota));
+  record.sent = decode_totals(value, fields::sent_quota);
+  record.received = decode_totals(value, fields::received_quota);
   return record;
 }
 
--- a/src/storage/rechunk.cpp
+++ b/src/storage/rechunk.cpp
@@ -1,55 +1,64 @@
 #include "storage/rechunk.hpp"
 
 #include <algorithm>
+#include <span>
 
 namespace damsonport {
 
 namespace {
+
 enum class TaskPhase : uint8_t { untouched, done, waiting, live };
 
-struct TaskEntry {
+struct TaskRecord {
   TaskPhase phase = TaskPhase::untouched;
   uint64_t attempt = 0;
   std::string machine;
 };
 
-std::vector<TaskEntry> entries_of(const Job& job) {
-  std::vector<TaskEntry> tasks(job.spec.tasks);
-  for (auto& [n, chunk] : job.chunks) {
-    const uint32_t base = n * job.chunk_size;
-    for (uint32_t i = 0; i < chunk.record.next; ++i) tasks[base + i].phase = TaskPhase::done;
-    for (auto& t : chunk.record.waiting)
-      tasks[base + t.index] = {TaskPhase::waiting, t.attempt, {}};
-    for (auto& t : chunk.record.live)
-      tasks[base + t.index] = {TaskPhase::live, t.attempt, t.machine};
+std::vector<TaskRecord> tasks_of(const Job& job) {
+  std::vector<TaskRecord> tasks(job.spec.tasks);
+  for (auto& [number, chunk] : job.chunks) {
+    const uint32_t start = number * job.chunk_size;
+    for (uint32_t i = 0; i < chunk.record.next; ++i) tasks[start + i].phase = TaskPhase::done;
+    for (auto& task : chunk.record.waiting)
+      tasks[start + task.index] = {TaskPhase::waiting, task.attempt, {}};
+    for (auto& task : chunk.record.live)
+      tasks[start + task.index] = {TaskPhase::live, task.attempt, task.machine};
   }
   return tasks;
 }
 
-TaskChunk record_of(const TaskEntry* tasks, uint32_t size) {
-  TaskChunk record;
-  for (uint32_t i = 0; i < size; ++i)
-    if (tasks[i].phase != TaskPhase::untouched) record.next = i + 1;
-  for (uint32_t i = 0; i < record.next; ++i) {
-    const bool waits =
-        tasks[i].phase == TaskPhase::waiting || tasks[i].phase == TaskPhase::untouched;
-    if (waits) record.waiting.push_back({i, tasks[i].attempt});
-    if (tasks[i].phase == TaskPhase::live)
-      record.live.push_back({i, tasks[i].attempt, tasks[i].machine});
+uint32_t first_never_started(std::span<const TaskRecord> tasks) {
+  uint32_t next = 0;
+  for (uint32_t i = 0; i < tasks.size(); ++i)
+    if (tasks[i].phase != TaskPhase::untouched) next = i + 1;
+  return next;
+}
+
+TaskChunk chunk_of(std::span<const TaskRecord> tasks) {
+  TaskChunk chunk;
+  chunk.next = first_never_started(tasks);
+  for (uint32_t i = 0; i < chunk.next; ++i) {
+    const TaskRecord& task = tasks[i];
+    // An untouched task before `next` is a waiting one that never ran.
+    if (task.phase == TaskPhase::waiting || task.phase == TaskPhase::untouched)
+      chunk.waiting.push_back({i, task.attempt});
+    if (task.phase == TaskPhase::live) chunk.live.push_back({i, task.attempt, task.machine});
   }
-  return record;
+  return chunk;
 }
+
 }  // namespace
 
 std::map<uint32_t, TaskChunk> rechunk(const Job& job, uint32_t chunk_size) {
-  const auto tasks = entries_of(job);
-  std::map<uint32_t, TaskChunk> out;
+  const auto tasks = tasks_of(job);
+  std::map<uint32_t, TaskChunk> chunks;
   for (uint32_t first = 0; first < job.spec.tasks; first += chunk_size) {
     const uint32_t size = std::min(chunk_size, job.spec.tasks - first);
-    auto record = record_of(tasks.data() + first, size);
-    if (record.next > 0) out[first / chunk_size] = std::move(record);
+    auto chunk = chunk_of(std::span(tasks).subspan(first, size));
+    if (chunk.next > 0) chunks[first / chunk_size] = std::move(chunk);
   }
-  return out;
+  return chunks;
 }
 
 }  // namespace damsonport
--- a/src/storage/task_range.hpp
+++ b/src/storage/task_range.hpp
@@ -1,11 +1,14 @@
-// Neighbouring tasks of a job.
+/// Neighbouring tasks of a job, by their indices.
 #pragma once
 #include <cstdint>
 
 namespace damsonport {
 
 struct TaskRange {
-  uint32_t first = 0, count = 0;
+  uint32_t first = 0;
+  uint32_t count = 0;
+
+  /// The index after the last one.
   uint32_t end() const { return first + count; }
   bool contains(uint32_t index) const { return index >= first && index < end(); }
   auto operator<=>(const TaskRange&) const = default;
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -60,19 +60,19 @@
 
 TEST(Chunk, AttemptsOnlyGrowAndDoneTasksLeaveNoTrace) {
   TaskChunk c;
-  uint32_t index = 9;
-  uint64_t attempt = 9;
-  ASSERT_TRUE(c.peek_startable(2, 0, index, attempt));
-  EXPECT_EQ(index, 0u);
-  EXPECT_EQ(attempt, 1u);
+  auto next = c.peek_startable(2);
+  ASSERT_TRUE(next);
+  EXPECT_EQ(next->index, 0u);
+  EXPECT_EQ(next->attempt, 1u);
   c.start(0, 1, "m");
   c.end(0, TaskEnd::restart);
-  ASSERT_TRUE(c.peek_startable(2, 0, index, attempt));
-  EXPECT_EQ(index, 0u);
-  EXPECT_EQ(attempt, 2u);
+  next = c.peek_startable(2);
+  ASSERT_TRUE(next);
+  EXPECT_EQ(next->index, 0u);
+  EXPECT_EQ(next->attempt, 2u);
   c.start(0, 2, "m");
   c.start(1, 1, "m");
-  EXPECT_FALSE(c.peek_startable(2, 0, index, attempt));
+  EXPECT_FALSE(c.peek_startable(2));
   c.end(0, TaskEnd::done);
   EXPECT_EQ(c.done_count(), 1u);
   EXPECT_FALSE(c.finished(2));
@@ -136,7 +136,7 @@
   RateLimiter limit(clock, {{100, 50, 16, 12}, {100, 35, 2, 4}});
   limit.set_shares(1, 1);
   const double present = limit.writes_per_s();
-  limit.refused();
+  limit.on_refused();
   EXPECT_NEAR(limit.writes_per_s(), present * 35 / 50, 1e-9);
   clock.time += 29;
   limit.set_shares(1, 1);
@@ -145,7 +145,7 @@
   limit.set_shares(1, 1);
   EXPECT_NEAR(limit.writes_per_s(), present, 1e-9);
   // Refused again: it is kept to for longer.
-  limit.refused();
+  limit.on_refused();
   clock.time += 31;
   limit.set_shares(1, 1);
   EXPECT_LT(limit.writes_per_s(), present);
@@ -168,7 +168,7 @@
   EventLoop loop;
   EventHttpClient http(loop);
   KeyValueClient state(loop, http, {"127.0.0.1", 1}, limits);
-  RecordCache cache(loop, state, 1, 0, 50);
+  RecordCache cache(loop, 0, 50);
   Settings settings;
   settings.controller_name = "n0";
   settings.peers = {{"n1", "a", {}}, {"n2", "a", {}}};
@@ -186,9 +186,7 @@
 // A batch of marks is one record, and each of its machines is marked for good.
 TEST(Marks, OneRecordMarksManyMachines) {
   EventLoop loop;
-  EventHttpClient http(loop);
-  KeyValueClient state(loop, http, {"127.0.0.1", 1}, limits);
-  RecordCache cache(loop, state, 1, 0, 50);
+  RecordCache cache(loop, 0, 50);
   cache.apply({keys::tombstone("a"), {{"machines", {"i-1", "i-2"}}}, 5, 0});
   cache.apply({keys::tombstone("b"), {{"machines", {"i-3"}}}, 6, 0});
   EXPECT_TRUE(cache.has_tombstone("i-1") && cache.has_tombstone("i-2") &&
@@ -205,9 +203,7 @@
 // However many keys are removed after it, a late copy of a read does not bring a job back.
 TEST(Removals, ALateCopyDoesNotBringBackWhatWasJustRemoved) {
   EventLoop loop;
-  EventHttpClient http(loop);
-  KeyValueClient state(loop, http, {"127.0.0.1", 1}, limits);
-  RecordCache cache(loop, state, 1, 0, 50);
+  RecordCache cache(loop, 0, 50);
   const KeyValue copy{keys::job("run-1"), encode_job(two_tasks()), 1, 0};
   cache.apply(copy);
   ASSERT_NE(cache.job("run-1"), nullptr);
@@ -222,12 +218,11 @@
 // Only the tasks that a change moves are told of, not the whole chunk.
 TEST(Assignments, AChangeTouchesOnlyWhatDiffers) {
   EventLoop loop;
-  EventHttpClient http(loop);
-  KeyValueClient state(loop, http, {"127.0.0.1", 1}, limits);
-  RecordCache cache(loop, state, 1, 0, 50);
+  RecordCache cache(loop, 0, 50);
   std::string told;
-  cache.on_assignment = [&](const std::string& machine, const Job&, bool added) {
-    told += (added ? "+" : "-") + machine + " ";
+  cache.events().on_assignment = [&](const std::string& machine, const Job&,
+                                     AssignmentChange change) {
+    told += (change == AssignmentChange::added ? "+" : "-") + machine + " ";
   };
   auto value = encode_job(two_tasks());
   value["chunk"] = 10;
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -67,11 +67,8 @@
 
 // The cache reads the records that no decode function reads.
 struct CacheFixture {
-  static constexpr StateLimits limits{100, 100, 16, 12};
   EventLoop loop;
-  EventHttpClient http{loop};
-  KeyValueClient state{loop, http, {"127.0.0.1", 1}, {limits, limits}};
-  RecordCache cache{loop, state, 1, 0, 50};
+  RecordCache cache{loop, 0, 50};
 
   void apply(const Line& line) { cache.apply({line.name, Json::parse(line.value), 1, 0}); }
 };
