--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -159,7 +159,7 @@
 void Controller::share_limits() {
   const bool is_leading = election_.is_leading();
   double others = static_cast<double>(peer_network_.wanted_writes());
-  if (!is_leading && !(cache_.has_leader() && peer_network_.alive(cache_.leader().controller)))
+  if (!is_leading && !(cache_.has_leader() && peer_network_.is_alive(cache_.leader().controller)))
     others += settings_.state_limits.present().writes_per_s;
   store_.rate_limiter().set_shares(
       share_of(is_leading, settings_.controller_count),
--- a/src/coordination/leadership/cancellation_gossip.cpp
+++ b/src/coordination/leadership/cancellation_gossip.cpp
@@ -7,106 +7,138 @@
 namespace {
 // Bounds on the part of one heartbeat that lists cancellations. Every version reads at least this
 // much; what doesn't fit follows in the next heartbeat.
-constexpr size_t max_entries = 1000, max_bytes = size_t{12} * 1024;
+constexpr size_t max_entries = 1000;
+constexpr size_t max_bytes = size_t{12} * 1024;
 // Of one entry, beside the job's name: the name's length and the age.
 constexpr size_t entry_overhead_bytes = 8;
+// Sent for cancellations of unknown age: older than any that still matters.
+constexpr double max_age_s = 1e7;
 
 uint64_t to_ms(double seconds) { return static_cast<uint64_t>(std::max(seconds, 0.0) * 1000); }
+double from_ms(uint64_t ms) { return static_cast<double>(ms) / 1000; }
 }  // namespace
 
 CancellationGossip::CancellationGossip(uint64_t incarnation, const std::vector<std::string>& peers)
     : incarnation_(incarnation) {
-  for (auto& p : peers) peers_[p];
+  for (auto& peer : peers) peers_[peer];
 }
 
 bool CancellationGossip::record(const std::string& job, double since) {
-  if (!serial_.try_emplace(job, last_ + 1).second) return false;
-  known_[++last_] = {job, since};
+  if (!number_by_job_.try_emplace(job, last_number_ + 1).second) return false;
+  known_[++last_number_] = {job, since};
   return true;
 }
 
 void CancellationGossip::forget(const std::string& job) {
   received_.erase(job);
-  auto it = serial_.find(job);
-  if (it == serial_.end()) return;
-  known_.erase(it->second);
-  serial_.erase(it);
+  auto number = number_by_job_.find(job);
+  if (number == number_by_job_.end()) return;
+  known_.erase(number->second);
+  number_by_job_.erase(number);
 }
 
-std::vector<std::pair<std::string, double>> CancellationGossip::known() const {
-  std::vector<std::pair<std::string, double>> out;
-  for (auto& [serial, entry] : known_) out.push_back(entry);
+std::vector<CancellationGossip::Cancellation> CancellationGossip::known() const {
+  std::vector<Cancellation> out;
+  for (auto& [number, cancellation] : known_) out.push_back(cancellation);
   return out;
 }
 
-void CancellationGossip::add_to(PeerHeartbeat& heartbeat, const std::string& peer,
+void CancellationGossip::add_to(PeerHeartbeat& heartbeat, const std::string& peer_name,
                                 double now) const {
   heartbeat.sent_ms = to_ms(now);
-  heartbeat.last = heartbeat.upto = last_;
-  auto it = peers_.find(peer);
+  heartbeat.last = last_number_;
+  heartbeat.upto = last_number_;
+  auto it = peers_.find(peer_name);
   if (it == peers_.end()) return;
-  const Peer& p = it->second;
-  heartbeat.echo_incarnation = p.stamp_incarnation;
-  heartbeat.echo_ms = p.stamp;
-  heartbeat.have = p.have;
-  heartbeat.from = p.has;
+  const Peer& peer = it->second;
+  heartbeat.echo_incarnation = peer.newest_incarnation;
+  heartbeat.echo_ms = peer.newest_sent_ms;
+  heartbeat.have = peer.received_upto;
+  heartbeat.from = peer.acknowledged_upto;
   size_t bytes = 0;
-  for (auto k = known_.upper_bound(p.has); k != known_.end(); ++k) {
-    bytes += k->second.first.size() + entry_overhead_bytes;
+  for (auto next = known_.upper_bound(peer.acknowledged_upto); next != known_.end(); ++next) {
+    const auto& [number, cancellation] = *next;
+    bytes += cancellation.job.size() + entry_overhead_bytes;
     if (heartbeat.cancelled.size() == max_entries || bytes > max_bytes) {
-      heartbeat.upto = k->first - 1;
+      heartbeat.upto = number - 1;
       break;
     }
-    // An unknown age counts as a very old one.
-    const double age = std::min(now - k->second.second, 1e7);
-    heartbeat.cancelled.push_back({k->second.first, to_ms(age)});
+    const double age_s = std::min(now - cancellation.since, max_age_s);
+    heartbeat.cancelled.push_back({cancellation.job, to_ms(age_s)});
   }
 }
 
-CancellationGossip::Merged CancellationGossip::merge(const PeerHeartbeat& heartbeat, double now) {
-  Merged merged;
-  auto it = peers_.find(heartbeat.controller);
-  if (it == peers_.end()) return merged;
-  Peer& p = it->second;
-  const uint64_t had = p.has, have_before = p.have;
-  // The echo says that it was sent after we had sent that. Whatever is held up on the way is older
-  // than it looks, and by the echo it is never taken for newer than it is.
-  const bool echoed = heartbeat.echo_incarnation == incarnation_;
-  const double sent_after = echoed ? static_cast<double>(heartbeat.echo_ms) / 1000 : 0;
-  if (heartbeat.incarnation != p.incarnation) {
-    // A copy of an earlier life's heartbeat is passed over: its numbers mean nothing in this one's.
-    if (p.ever && echoed && sent_after < p.watermark) return merged;
-    p.incarnation = heartbeat.incarnation;
-    p.have = 0;
-    p.has = 0;
-  }
-  p.ever = true;
-  if (heartbeat.sent_ms >= p.stamp || heartbeat.incarnation != p.stamp_incarnation) {
-    p.stamp_incarnation = heartbeat.incarnation;
-    p.stamp = heartbeat.sent_ms;
-    // As it says, also when that is less than before: it may have begun anew.
-    if (echoed) p.has = std::min(heartbeat.have, last_);
+// The sender echoes the newest time of ours that it has, so its heartbeat was sent after that. One
+// that is held up on the way is older than it looks, and by the echo it is never taken for newer.
+std::optional<double> CancellationGossip::echoed_time(const PeerHeartbeat& heartbeat) const {
+  if (heartbeat.echo_incarnation != incarnation_) return std::nullopt;
+  return from_ms(heartbeat.echo_ms);
+}
+
+bool CancellationGossip::follow_incarnation(Peer& peer, const PeerHeartbeat& heartbeat,
+                                            std::optional<double> echoed) {
+  if (heartbeat.incarnation != peer.incarnation) {
+    // The numbers of an earlier incarnation mean nothing in the present one.
+    if (peer.has_sent && echoed && *echoed < peer.watermark) return false;
+    peer.incarnation = heartbeat.incarnation;
+    peer.received_upto = 0;
+    peer.acknowledged_upto = 0;
   }
-  const double base = echoed ? std::min(sent_after, now) : now;
-  for (auto& c : heartbeat.cancelled) {
-    const double since = base - static_cast<double>(c.age_ms) / 1000;
-    auto [h, first] = received_.try_emplace(c.job, Received{since, now});
-    h->second.since = std::min(h->second.since, since);
-    h->second.at = now;
-    if (first) merged.fresh.push_back(c.job);
+  peer.has_sent = true;
+  return true;
+}
+
+void CancellationGossip::note_acknowledgement(Peer& peer, const PeerHeartbeat& heartbeat,
+                                              std::optional<double> echoed) const {
+  const bool is_newest =
+      heartbeat.sent_ms >= peer.newest_sent_ms || heartbeat.incarnation != peer.newest_incarnation;
+  if (!is_newest) return;
+  peer.newest_incarnation = heartbeat.incarnation;
+  peer.newest_sent_ms = heartbeat.sent_ms;
+  // As it says, also when that is less than before: it may have restarted.
+  if (echoed) peer.acknowledged_upto = std::min(heartbeat.have, last_number_);
+}
+
+std::vector<std::string> CancellationGossip::take_cancellations(const PeerHeartbeat& heartbeat,
+                                                                double sent_after, double now) {
+  std::vector<std::string> new_jobs;
+  for (auto& cancellation : heartbeat.cancelled) {
+    const double since = sent_after - from_ms(cancellation.age_ms);
+    auto [known, is_new] = received_.try_emplace(cancellation.job, Received{since, now});
+    known->second.since = std::min(known->second.since, since);
+    known->second.last_received_at = now;
+    if (is_new) new_jobs.push_back(cancellation.job);
   }
-  if (p.have >= heartbeat.from) p.have = std::max(p.have, heartbeat.upto);
-  // Not loaded, it knows nothing of what its earlier lives told; loaded, it has read all of that,
-  // since they told only what stood in the records.
-  if (echoed && heartbeat.loaded && p.have >= heartbeat.last)
-    p.watermark = std::max(p.watermark, sent_after);
-  const bool peer_waits_for_more = p.has > had && p.has < last_;
-  const bool more_is_to_come = p.have > have_before && p.have < heartbeat.last;
-  merged.answer_at_once = peer_waits_for_more || more_is_to_come;
-  return merged;
+  return new_jobs;
+}
+
+CancellationGossip::MergeResult CancellationGossip::merge(const PeerHeartbeat& heartbeat,
+                                                          double now) {
+  MergeResult result;
+  auto it = peers_.find(heartbeat.controller);
+  if (it == peers_.end()) return result;
+  Peer& peer = it->second;
+  const uint64_t acknowledged_before = peer.acknowledged_upto;
+  const uint64_t received_before = peer.received_upto;
+  const auto echoed = echoed_time(heartbeat);
+  if (!follow_incarnation(peer, heartbeat, echoed)) return result;
+  note_acknowledgement(peer, heartbeat, echoed);
+  result.new_jobs = take_cancellations(heartbeat, std::min(echoed.value_or(now), now), now);
+  if (peer.received_upto >= heartbeat.from)
+    peer.received_upto = std::max(peer.received_upto, heartbeat.upto);
+  // Before it has loaded the records, the peer knows nothing of what its earlier incarnations sent.
+  // Afterwards it knows all of that, since they sent only what stood in the records.
+  if (echoed && heartbeat.loaded && peer.received_upto >= heartbeat.last)
+    peer.watermark = std::max(peer.watermark, *echoed);
+  const bool peer_waits_for_more =
+      peer.acknowledged_upto > acknowledged_before && peer.acknowledged_upto < last_number_;
+  const bool more_follows =
+      peer.received_upto > received_before && peer.received_upto < heartbeat.last;
+  result.answer_at_once = peer_waits_for_more || more_follows;
+  return result;
 }
 
-std::optional<double> CancellationGossip::received(const std::string& job) const {
+std::optional<double> CancellationGossip::cancelled_since(const std::string& job) const {
   auto it = received_.find(job);
   if (it == received_.end()) return std::nullopt;
   return it->second.since;
@@ -114,12 +146,13 @@
 
 double CancellationGossip::watermark(double now) const {
   double least = now;
-  for (auto& [name, p] : peers_) least = std::min(least, p.watermark);
+  for (auto& [name, peer] : peers_) least = std::min(least, peer.watermark);
   return least;
 }
 
 void CancellationGossip::forget_received_before(double records_as_of) {
-  std::erase_if(received_, [&](auto& entry) { return entry.second.at < records_as_of; });
+  std::erase_if(received_,
+                [&](auto& entry) { return entry.second.last_received_at < records_as_of; });
 }
 
 }  // namespace damsonport
--- a/src/coordination/leadership/cancellation_gossip.hpp
+++ b/src/coordination/leadership/cancellation_gossip.hpp
@@ -1,7 +1,12 @@
-// Cancellations that controllers tell one another of, past the state service. Stopping a cancelled
-// job's tasks needs no proof, so a word of mouth is enough for it; and as of when each controller
-// has said all it knows bounds how old a cancellation can be that is unknown here (docs/design.md,
-// "Who may answer a machine"). Time is passed in: the steady clock of this machine alone.
+/// Cancellations that the controllers tell each other of, beside the key-value store.
+///
+/// Stopping the tasks of a cancelled job needs no proof, so hearsay is enough for it; in an outage
+/// of the store this is the only way by which a cancellation gets around. Each controller numbers
+/// the cancellations that it knows, and its heartbeats to a peer list those that the peer has not
+/// acknowledged. From the peers' acknowledgements and echoes follows a watermark: every
+/// cancellation that was sent before it is known here, which bounds how old an unknown one can be
+/// (docs/design.md, "Who may answer a machine"). Times are passed in, by this machine's steady
+/// clock.
 #pragma once
 #include <map>
 #include <optional>
@@ -10,55 +15,80 @@
 #include <vector>
 
 #include "protocol/peer_heartbeat.hpp"
+#include "storage/steady_time.hpp"
 
 namespace damsonport {
 
+/// Does no I/O itself; PeerNetwork carries the heartbeats.
 class CancellationGossip {
  public:
+  struct Cancellation {
+    std::string job;
+    double since = 0;  // steady time of the cancellation, or earlier
+  };
+
   CancellationGossip(uint64_t incarnation, const std::vector<std::string>& peers);
 
-  // Known here, from before anybody is told of it until the records say that its tasks are gone.
-  // `since`: when it was cancelled, or earlier. True the first time.
+  /// Notes a cancellation that the records or a user's request have made known here. Called before
+  /// anybody is told of it. True the first time.
   bool record(const std::string& job, double since);
+  /// The records say that the job's tasks are gone.
   void forget(const std::string& job);
+  /// The recorded cancellations that are not forgotten, in the order in which they were recorded.
+  std::vector<Cancellation> known() const;
 
-  // All that is known here, with when each was cancelled, or earlier.
-  std::vector<std::pair<std::string, double>> known() const;
-
-  // What a heartbeat to this peer says beside the rest.
+  /// Fills in what a heartbeat to this peer says of cancellations.
   void add_to(PeerHeartbeat& heartbeat, const std::string& peer, double now) const;
-  struct Merged {
-    std::vector<std::string> fresh;  // jobs heard of for the first time
-    // A part of a longer list has come, or was taken by the peer: the next one follows the next
-    // heartbeat, so that should not wait for its time.
+
+  struct MergeResult {
+    std::vector<std::string> new_jobs;  // received for the first time
+    // A part of a longer list has come, or was acknowledged: the next part follows the next
+    // heartbeat, which should therefore be sent now.
     bool answer_at_once = false;
   };
-  Merged merge(const PeerHeartbeat& heartbeat, double now);
+  MergeResult merge(const PeerHeartbeat& heartbeat, double now);
 
-  // When the job was cancelled, as others say, or earlier.
-  std::optional<double> received(const std::string& job) const;
+  /// When the job was cancelled, or earlier, as peers say; nothing where none has said so.
+  std::optional<double> cancelled_since(const std::string& job) const;
+  /// Whether a peer has said that the job is cancelled.
   bool is_cancelled(const std::string& job) const { return received_.contains(job); }
-  // Every cancellation that another controller told anyone before this time is known here. Without
-  // peers, `now`.
+  /// Every cancellation that another controller sent before this time is known here. `now` where
+  /// there are no peers, `never` before all of them were heard.
   double watermark(double now) const;
-  // The records are known as of then, and speak for all that was heard before.
+  /// The records are known as of then, and speak for all that was received before.
   void forget_received_before(double records_as_of);
 
  private:
-  static constexpr double never = -1e9;
   struct Peer {
-    uint64_t incarnation = 0, have = 0;         // its cancellations that have come
-    uint64_t stamp_incarnation = 0, stamp = 0;  // for the echo
-    uint64_t has = 0;                           // ours that it has
+    bool has_sent = false;
+    uint64_t incarnation = 0;
+    uint64_t received_upto = 0;      // its cancellations up to this number have come
+    uint64_t acknowledged_upto = 0;  // ours, up to this number, have come to it
+    // The newest heartbeat of it, to be echoed: its sender's incarnation and clock.
+    uint64_t newest_incarnation = 0;
+    uint64_t newest_sent_ms = 0;
     double watermark = never;
-    bool ever = false;
   };
   struct Received {
-    double since, at;
+    double since;
+    double last_received_at;
   };
-  uint64_t incarnation_, last_ = 0;
-  std::map<uint64_t, std::pair<std::string, double>> known_;  // by serial
-  std::unordered_map<std::string, uint64_t> serial_;
+
+  // Our clock when the sender had certainly received our heartbeat of that time; nothing when the
+  // heartbeat echoes none of this incarnation's.
+  std::optional<double> echoed_time(const PeerHeartbeat& heartbeat) const;
+  // False for a late heartbeat of an incarnation that was followed by another one.
+  static bool follow_incarnation(Peer& peer, const PeerHeartbeat& heartbeat,
+                                 std::optional<double> echoed);
+  void note_acknowledgement(Peer& peer, const PeerHeartbeat& heartbeat,
+                            std::optional<double> echoed) const;
+  std::vector<std::string> take_cancellations(const PeerHeartbeat& heartbeat, double sent_after,
+                                              double now);
+
+  const uint64_t incarnation_;
+  uint64_t last_number_ = 0;
+  std::map<uint64_t, Cancellation> known_;  // by number
+  std::unordered_map<std::string, uint64_t> number_by_job_;
   std::map<std::string, Peer> peers_;
   std::unordered_map<std::string, Received> received_;
 };
--- a/src/coordination/leadership/connection_policy.hpp
+++ b/src/coordination/leadership/connection_policy.hpp
@@ -1,4 +1,4 @@
-// Which connections are kept after an answer when sockets run short. Pure.
+/// Which connections are kept open after an answer when sockets are scarce. Pure.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -8,21 +8,26 @@
 enum class Requester : uint8_t { user, worker, other };
 
 struct ConnectionLoad {
-  size_t open = 0, most = 0;  // connections of users and workers
-  size_t fleet = 0;           // machines that are known
+  size_t open = 0;      // connections of users and workers
+  size_t limit = 0;     // the most that there may be of them
+  size_t machines = 0;  // that are known, each with a worker
 };
 
-// A worker keeps its connection, since it reports again soon; users' connections go first. A fleet
-// with more machines than there are connections shares them: each is closed after its report, so
-// that the next machine is accepted.
+/// Whether the connection is closed after the answer. A worker keeps its connection, since it sends
+/// again soon; users' connections go first. Where there are more machines than connections the
+/// workers share them: each is closed after its heartbeat, so that the next worker is accepted.
 inline bool closes_after_answer(Requester requester, const ConnectionLoad& load) {
-  constexpr double crowded_share = 0.75, full_share = 0.9;
-  const auto open = static_cast<double>(load.open), most = static_cast<double>(load.most);
+  // Shares of the limit from which connections of users and of workers are closed.
+  constexpr double crowded_share = 0.75;
+  constexpr double full_share = 0.9;
+  const auto open = static_cast<double>(load.open);
+  const auto limit = static_cast<double>(load.limit);
+  const auto machines = static_cast<double>(load.machines);
   switch (requester) {
     case Requester::user:
-      return open > crowded_share * most;
+      return open > crowded_share * limit;
     case Requester::worker:
-      return open > full_share * most && static_cast<double>(load.fleet) > full_share * most;
+      return open > full_share * limit && machines > full_share * limit;
     case Requester::other:
       return false;
   }
--- a/src/coordination/leadership/election.cpp
+++ b/src/coordination/leadership/election.cpp
@@ -6,6 +6,25 @@
 
 namespace damsonport {
 
+namespace {
+
+constexpr double renewals_per_ttl = 3.5;  // two may fail
+constexpr double campaigns_per_ttl = 10;
+constexpr double not_loaded_pause_s = 0.1;
+
+// Well inside the workers' leases, so that a dead leader costs no tasks, and long enough for a slow
+// answer or two. Rare heartbeats are no reason to wait longer for a successor.
+double lease_ttl_s(const Settings& settings) {
+  constexpr double heartbeats = 1.5;
+  constexpr double shortest_lease_part = 8;
+  constexpr double longest_lease_part = 6;
+  const double wanted =
+      std::min(settings.heartbeat_interval_s * heartbeats, settings.lease_s / longest_lease_part);
+  return std::max(wanted, settings.lease_s / shortest_lease_part);
+}
+
+}  // namespace
+
 Election::Election(Loop& loop, const Settings& settings, KeyValueClient& store, RecordCache& cache,
                    uint64_t incarnation, Notification& changed)
     : loop_(loop),
@@ -14,81 +33,99 @@
       cache_(cache),
       incarnation_(incarnation),
       changed_(changed),
-      // Well inside the workers' lease, so that a dead leader costs no tasks, and long enough for a
-      // slow answer or two. Rare reports are no reason to wait longer for its successor.
-      ttl_s_(std::max(std::min(settings.heartbeat_interval_s * 1.5, settings.lease_s / 6),
-                      settings.lease_s / 8)) {}
+      ttl_s_(lease_ttl_s(settings)) {}
+
+bool Election::record_names_us() const {
+  return cache_.has_leader() && cache_.leader().controller == settings_.controller_name;
+}
+
+bool Election::holds_record() const {
+  return record_names_us() && cache_.leader().incarnation == incarnation_;
+}
+
+void Election::stop_leading() {
+  is_leading_ = false;
+  lease_.reset();
+}
 
 Task<void> Election::run(std::stop_token stop_token) {
   while (!stop_token.stop_requested()) {
     if (!cache_.loaded()) {
-      if (!co_await Sleep(loop_, 0.1, stop_token)) co_return;
+      if (!co_await Sleep(loop_, not_loaded_pause_s, stop_token)) co_return;
       continue;
     }
-    bool mine = cache_.has_leader() && cache_.leader().controller == settings_.controller_name;
-    if (is_leading_ && (!mine || cache_.leader().incarnation != incarnation_)) {
-      spdlog::info("leadership lost to {}",
-                   cache_.has_leader() ? cache_.leader().controller : "nobody");
-      is_leading_ = false;
-      lease_.reset();
-      changed_.notify();
-    }
+    note_lost_leadership();
+    double pause_s = ttl_s_ / renewals_per_ttl;
     if (is_backing_off()) {
-      if (is_leading_ && lease_) co_await store_.revoke_lease(*lease_);
-      is_leading_ = false;
-      lease_.reset();
-      if (!co_await Sleep(loop_, ttl_s_ / 3.5, stop_token)) co_return;
-      continue;
-    }
-    if (is_leading_) {
-      auto renewal = co_await store_.renew_lease(*lease_);
-      if (renewal == KeyValueClient::Renewal::ended) {
-        spdlog::warn("the leader's lease ended");
-        is_leading_ = false;
-        lease_.reset();
-        changed_.notify();
-      }
-      if (!co_await Sleep(loop_, ttl_s_ / 3.5, stop_token)) co_return;
-      continue;
+      co_await resign();
+    } else if (is_leading_) {
+      co_await renew();
+    } else {
+      // A restarted controller need not wait for the record of its earlier incarnation to go.
+      if (!cache_.has_leader() || record_names_us()) co_await campaign(stop_token);
+      if (is_leading_) continue;
+      pause_s = ttl_s_ / campaigns_per_ttl * loop_.uniform(0.5, 1.5);
     }
-    // A restarted node need not wait for the key of its earlier life to run out.
-    if (!cache_.has_leader() || mine) co_await campaign(stop_token);
-    if (!is_leading_ && !co_await Sleep(loop_, ttl_s_ / 10 * loop_.uniform(0.5, 1.5), stop_token))
-      co_return;
+    if (!co_await Sleep(loop_, pause_s, stop_token)) co_return;
   }
 }
 
+void Election::note_lost_leadership() {
+  if (!is_leading_ || holds_record()) return;
+  spdlog::info("leadership lost to {}",
+               cache_.has_leader() ? cache_.leader().controller : "nobody");
+  stop_leading();
+  changed_.notify();
+}
+
+Task<void> Election::resign() {
+  if (is_leading_ && lease_) co_await store_.revoke_lease(*lease_);
+  stop_leading();
+}
+
+Task<void> Election::renew() {
+  const auto renewal = co_await store_.renew_lease(*lease_);
+  if (renewal != KeyValueClient::Renewal::ended) co_return;
+  spdlog::warn("the leader's lease ended");
+  stop_leading();
+  changed_.notify();
+}
+
 Task<void> Election::campaign(std::stop_token stop_token) {
-  // Decided on what stands now: if a key appears while the lease is asked for, ours must lose.
+  // Decided on what stands now: if a record appears while the lease is asked for, ours must lose.
   const uint64_t replaced = cache_.has_leader() ? cache_.leader_version() : 0;
-  // A new lease for each try: one left from an earlier try would be about to end, and the key with
-  // it, while this node still believed to lead.
+  // A new lease for each try: one left from an earlier try would be about to end, and the record
+  // with it, while this controller still believed to lead.
   lease_ = co_await store_.grant_lease(ttl_s_);
   if (!lease_ || stop_token.stop_requested()) co_return;
   Transaction transaction;
   transaction.preconditions[keys::leader] = replaced;
   transaction.writes.push_back(
       {keys::leader, encode_leader({settings_.controller_name, incarnation_}), *lease_});
-  auto writes = transaction.writes;
-  auto reply = co_await store_.compare_and_swap(std::move(transaction), RequestPriority::lease);
-  if (reply.outcome == TransactionOutcome::committed) {
-    cache_.apply_writes(writes, reply.revision);
+  const auto writes = transaction.writes;
+  const auto result =
+      co_await store_.compare_and_swap(std::move(transaction), RequestPriority::lease);
+  if (result.outcome == TransactionOutcome::committed) {
+    cache_.apply_writes(writes, result.revision);
     is_leading_ = true;
-    spdlog::info("elected leader at revision {}", reply.revision);
+    spdlog::info("elected leader at revision {}", result.revision);
     changed_.notify();
-  } else if (reply.outcome == TransactionOutcome::conflict ||
-             reply.outcome == TransactionOutcome::unknown) {
-    // Somebody was faster, or our own lost message was: read what stands there.
-    auto read = co_await store_.get(keys::leader, RequestPriority::lease);
-    if (read.found()) {
-      cache_.apply(read.key_value);
-      auto& l = cache_.leader();
-      if (l.controller == settings_.controller_name && l.incarnation == incarnation_) {
-        is_leading_ = true;
-        changed_.notify();
-      }
-    }
+  } else if (result.outcome == TransactionOutcome::conflict ||
+             result.outcome == TransactionOutcome::unknown) {
+    co_await adopt_standing_record();
   }
 }
 
+// Another controller was faster, or our own transaction whose answer was lost.
+Task<void> Election::adopt_standing_record() {
+  const auto read = co_await store_.get(keys::leader, RequestPriority::lease);
+  if (!read.found()) co_return;
+  cache_.apply(read.key_value);
+  const LeaderRecord& leader = cache_.leader();
+  if (leader.controller != settings_.controller_name || leader.incarnation != incarnation_)
+    co_return;
+  is_leading_ = true;
+  changed_.notify();
+}
+
 }  // namespace damsonport
--- a/src/coordination/leadership/exit_forwarder.hpp
+++ b/src/coordination/leadership/exit_forwarder.hpp
@@ -1,10 +1,10 @@
-// Exits that this controller saw on machines whose holder can't hear them, written to the state
-// service for the holder.
-//
-// In a cut a machine reports to a controller on its side, which renews its lease under the holder's
-// term. Such a report proves an exit to the holder just as one that it takes itself: the worker
-// keeps the exited attempt until the holder orders it removed, and a late copy of the start has no
-// effect meanwhile. Nothing else of the report is passed on.
+/// Exits that this controller learned of from machines of another shard leader, recorded for it.
+///
+/// In a partition a machine sends its heartbeats to a controller on its side, which renews the
+/// worker's lease under the shard leader's fencing token (LeaseRenewal). Such a heartbeat proves an
+/// exit to the shard leader just as one that it receives itself: the worker keeps the exited
+/// attempt until the shard leader orders it removed, and a late copy of the start has no effect
+/// meanwhile. Nothing else of the heartbeat is passed on.
 #pragma once
 #include <set>
 
@@ -14,29 +14,31 @@
 
 namespace damsonport {
 
+/// One coroutine, run(), writes this controller's record, which no other controller writes.
 class ExitForwarder {
  public:
   ExitForwarder(Loop& loop, const Settings& settings, KeyValueClient& store, RecordCache& cache)
       : loop_(loop), settings_(settings), store_(store), cache_(cache), changed_(loop) {}
 
-  // A machine that has learned this term reported the exit.
-  void saw(uint64_t fencing_token, const ForwardedExit& exit);
-  // Keeps this controller's record as it should be: what the job's records are past goes out.
+  /// Notes an exit that was reported by a machine which has learned this fencing token.
+  void forward(uint64_t fencing_token, const ForwardedExit& exit);
+  /// Keeps the record up to date: exits that the shard leader has committed are taken out.
   Task<void> run(std::stop_token stop_token);
 
  private:
-  bool wanted(const ForwardedExit& exit) const;
-  void forget_what_is_committed();
+  bool is_uncommitted(const ForwardedExit& exit) const;
+  void forget_committed();
   ForwardedExits next_record() const;
-  Task<bool> write(ForwardedExits record);
+  bool is_recorded(const ForwardedExits& record) const;
+  Task<void> write(ForwardedExits record);
 
   Loop& loop_;
   const Settings& settings_;
   KeyValueClient& store_;
   RecordCache& cache_;
   Notification changed_;
-  uint64_t fencing_token_ = 0;
-  std::set<ForwardedExit> seen_;
+  uint64_t fencing_token_ = 0;  // the highest one seen
+  std::set<ForwardedExit> exits_;
 };
 
 }  // namespace damsonport
--- a/src/coordination/leadership/lease_renewal.cpp
+++ b/src/coordination/leadership/lease_renewal.cpp
@@ -9,10 +9,21 @@
 namespace damsonport {
 
 namespace {
-// A machine that keeps coming for this share of its lease is taken to miss its holder.
-constexpr double missing_share = 0.25;
-// A machine that was not here for this share of its lease is forgotten.
+// A machine that keeps coming for this share of its worker's lease can't reach its shard leader.
+constexpr double unreachable_share = 0.25;
+// A machine whose visits span this share of its worker's lease counts as misrouted: one that came
+// by and found its shard leader doesn't.
+constexpr double misrouted_share = unreachable_share / 2;
+// A machine that has not come for this share of its worker's lease is forgotten.
 constexpr double forgotten_share = 0.5;
+
+constexpr int ok = 200;
+constexpr int misdirected_request = 421;
+
+HttpResponse redirect_to(const std::string& controller) {
+  return {misdirected_request, encode_redirect(controller), 0};
+}
+HttpResponse redirect_anywhere() { return redirect_to({}); }
 }  // namespace
 
 LeaseRenewal::LeaseRenewal(Loop& loop, const Settings& settings, RecordCache& cache,
@@ -26,50 +37,62 @@
       exit_forwarder_(exit_forwarder),
       contact_(contact) {}
 
-// Silence never counts as proof that a task is gone and a machine is returned first, so running
-// tasks may be kept past the grant's end; only what was cancelled bounds it.
-bool LeaseRenewal::may_renew(bool first) const {
-  RenewalState s;
-  s.in_contact = contact_.in_contact();
-  s.peer_in_contact = peer_network_.any_peer_reaches_store(contact_.limit_s());
-  s.alone = peer_network_.is_isolated();
-  s.first_visit = first;
+// Missed heartbeats never prove that a task is gone, and a machine is returned first, so running
+// tasks may be kept past the shard lease's end; only what was cancelled bounds it.
+bool LeaseRenewal::may_renew(Visit visit) const {
   const double now = loop_.now();
-  s.staleness_s = now - std::max(cache_.as_of(), cancellations_.watermark(now));
-  return decide_renewal(s, staleness_bound_s(settings_.cancel_s, settings_.lease_s)) ==
-         RenewalDecision::renew;
+  RenewalState state;
+  state.reaches_store = contact_.in_contact();
+  state.peer_reaches_store = peer_network_.any_peer_reaches_store(contact_.limit_s());
+  state.is_isolated = peer_network_.is_isolated();
+  state.is_first_visit = visit == Visit::first;
+  state.staleness_s = now - std::max(cache_.as_of(), cancellations_.watermark(now));
+  const double bound_s = staleness_bound_s(settings_.cancel_s, settings_.lease_s);
+  return decide_renewal(state, bound_s) == RenewalDecision::renew;
 }
 
-bool LeaseRenewal::note_visit(const std::string& machine) {
+Visit LeaseRenewal::note_visit(const std::string& machine) {
   const double now = loop_.now();
-  auto [it, fresh] = misrouted_.try_emplace(machine, MisroutedMachine{now, now, false});
-  it->second.last = now;
-  return fresh;
+  auto [known, is_new] = misrouted_.try_emplace(machine, MisroutedMachine{now, now, false});
+  known->second.last_visit_at = now;
+  return is_new ? Visit::first : Visit::repeated;
+}
+
+const ShardLease* LeaseRenewal::recorded_lease() const {
+  const ShardLease* recorded = nullptr;
+  for (auto& lease : cache_.shard_table().leases)
+    if (lease.covers_unassigned) recorded = &lease;
+  return recorded;
+}
+
+// A peer may have a newer lease than the records say that we have read, where we may be named.
+std::string LeaseRenewal::newest_shard_leader(const ShardLease& recorded) const {
+  const auto claimed = peer_network_.newest_shard_leader();
+  const bool is_newer = claimed && claimed->fencing_token > recorded.fencing_token;
+  return is_newer ? claimed->controller : recorded.controller;
 }
 
-const ShardLease* LeaseRenewal::recorded_holder() const {
-  const ShardLease* held = nullptr;
-  for (auto& grant : cache_.shard_table().leases)
-    if (grant.covers_unassigned) held = &grant;
-  return held;
+bool LeaseRenewal::may_answer(const Heartbeat& heartbeat, const ShardLease& recorded) const {
+  return cache_.loaded() && heartbeat.fencing_token <= recorded.fencing_token;
 }
 
 bool LeaseRenewal::should_answer(const MisroutedMachine& machine,
                                  const std::string& shard_leader) const {
-  const double patience = missing_share * settings_.lease_s;
-  // A machine that can reach one controller in five makes the round of all in most of a lease, so
-  // the second visit would be too late: where we can't reach the holder either, and its key stands
-  // longer than a dead node's would, the first visit is answered.
-  const bool apart = peer_network_.since_last_heartbeat_s(shard_leader) > patience &&
-                     cache_.has_leader() && cache_.leader().controller == shard_leader;
-  // Where only the way between controllers is closed the machine must be sent back to its holder
-  // each other time, or it would seem lost to it. In a cut there is nowhere to send it.
-  const bool cut_off = apart && !contact_.in_contact();
-  const bool overdue = apart || loop_.now() - machine.since >= patience;
-  return cut_off || (overdue && !machine.answered);
+  const double grace_s = unreachable_share * settings_.lease_s;
+  // A machine that reaches one controller in five takes most of its lease to try them all, so its
+  // second visit would be too late: where we can't reach the shard leader either, and the leader
+  // record names it for longer than it would name a dead controller, the first visit is answered.
+  const bool leader_unreachable = peer_network_.since_last_heartbeat_s(shard_leader) > grace_s &&
+                                  cache_.has_leader() && cache_.leader().controller == shard_leader;
+  // Where only the way between the controllers is closed, the machine must be sent back to its
+  // shard leader every other time, or it would seem dead to it. In a partition there is nowhere to
+  // send it.
+  const bool is_partitioned = leader_unreachable && !contact_.in_contact();
+  const bool is_overdue = leader_unreachable || loop_.now() - machine.first_visit_at >= grace_s;
+  return is_partitioned || (is_overdue && !machine.was_answered);
 }
 
-std::vector<Command> LeaseRenewal::stops_of_cancelled(const Heartbeat& heartbeat) {
+std::vector<Command> LeaseRenewal::stops_of_cancelled(const Heartbeat& heartbeat) const {
   std::vector<Command> commands;
   for (auto& task : heartbeat.tasks) {
     const Job* job = cache_.job(task.task.job);
@@ -80,56 +103,58 @@
   return commands;
 }
 
-// Mostly the holder's name. But where a cut lies between a machine and its holder, the machine
-// comes back, and its tasks would end with its lease. Any node that knows the holder's term from
-// the state service may renew that lease: the records stay the holder's alone, no start is ordered
-// and nothing forgotten here, and silence never proves to the holder that a task is gone. Tasks of
-// cancelled jobs are stopped, since the holder can't do it.
-HttpResponse LeaseRenewal::answer(const Heartbeat& heartbeat) {
-  const ShardLease* held = recorded_holder();
-  if (!held) return {421, encode_redirect({}), 0};
-  // A peer may hold a newer grant than the records that we have read say, ours among them.
-  const auto newest = peer_network_.newest_shard_leader();
-  const std::string& shard_leader =
-      newest && newest->fencing_token > held->fencing_token ? newest->controller : held->controller;
-  if (shard_leader == settings_.controller_name) return {421, encode_redirect({}), 0};
+HttpResponse LeaseRenewal::answer_misrouted(const Heartbeat& heartbeat) {
+  const ShardLease* recorded = recorded_lease();
+  if (!recorded) return redirect_anywhere();
+  const std::string shard_leader = newest_shard_leader(*recorded);
+  if (shard_leader == settings_.controller_name) return redirect_anywhere();
   note_visit(heartbeat.machine);
   MisroutedMachine& machine = misrouted_.at(heartbeat.machine);
-  const bool answers = cache_.loaded() && heartbeat.fencing_token <= held->fencing_token &&
-                       should_answer(machine, shard_leader) && may_renew(false);
-  if (!answers) {
-    // The node named by the records, unless it seems dead. After an answer it is named in any case:
-    // it may be back in reach, or only our own way to it be closed.
-    const bool named = peer_network_.alive(shard_leader) || machine.answered;
-    machine.answered = false;
-    return {421, encode_redirect(named ? shard_leader : std::string()), 0};
-  }
-  machine.answered = true;
+  const bool answers = may_answer(heartbeat, *recorded) && should_answer(machine, shard_leader) &&
+                       may_renew(Visit::repeated);
+  if (!answers) return redirect(machine, shard_leader);
+  return renew(machine, heartbeat, *recorded, shard_leader);
+}
+
+// To the controller that the records name, unless it seems dead. After an answer it is named in any
+// case: it may be reachable again, or only our own way to it be closed.
+HttpResponse LeaseRenewal::redirect(MisroutedMachine& machine,
+                                    const std::string& shard_leader) const {
+  const bool is_named = peer_network_.is_alive(shard_leader) || machine.was_answered;
+  machine.was_answered = false;
+  return is_named ? redirect_to(shard_leader) : redirect_anywhere();
+}
+
+HttpResponse LeaseRenewal::renew(MisroutedMachine& machine, const Heartbeat& heartbeat,
+                                 const ShardLease& recorded, const std::string& shard_leader) {
+  machine.was_answered = true;
   const auto commands = stops_of_cancelled(heartbeat);
-  forward_exits(heartbeat, held->fencing_token);
+  forward_exits(heartbeat, recorded.fencing_token);
   spdlog::debug("answered {} for {}", heartbeat.machine, shard_leader);
-  return {200, encode_heartbeat_response(held->fencing_token, commands), 0};
+  return {ok, encode_heartbeat_response(recorded.fencing_token, commands), 0};
 }
 
 void LeaseRenewal::forward_exits(const Heartbeat& heartbeat, uint64_t fencing_token) {
-  // Before the machine has learned the term an older holder's orders may still reach it.
+  // Before the machine has learned the token an older shard leader's orders may still reach it.
   if (heartbeat.fencing_token != fencing_token) return;
-  for (auto& task : heartbeat.tasks)
-    if (task.state == TaskState::exited)
-      exit_forwarder_.saw(fencing_token, {heartbeat.machine, task.task, task.attempt, task.cause});
+  for (auto& task : heartbeat.tasks) {
+    if (task.state != TaskState::exited) continue;
+    exit_forwarder_.forward(fencing_token,
+                            {heartbeat.machine, task.task, task.attempt, task.cause});
+  }
 }
 
 uint64_t LeaseRenewal::misrouted_machines() const {
-  // One that came by and found its holder is none.
-  return static_cast<uint64_t>(
-      std::count_if(misrouted_.begin(), misrouted_.end(), [&](auto& entry) {
-        return entry.second.last - entry.second.since > missing_share / 2 * settings_.lease_s;
-      }));
+  const double least_s = misrouted_share * settings_.lease_s;
+  const auto is_misrouted = [&](const auto& entry) {
+    return entry.second.last_visit_at - entry.second.first_visit_at > least_s;
+  };
+  return static_cast<uint64_t>(std::count_if(misrouted_.begin(), misrouted_.end(), is_misrouted));
 }
 
 void LeaseRenewal::forget_old_visits() {
-  const double before = loop_.now() - settings_.lease_s * forgotten_share;
-  std::erase_if(misrouted_, [&](auto& entry) { return entry.second.last < before; });
+  const double oldest = loop_.now() - settings_.lease_s * forgotten_share;
+  std::erase_if(misrouted_, [&](auto& entry) { return entry.second.last_visit_at < oldest; });
 }
 
 }  // namespace damsonport
--- a/src/coordination/leadership/lease_renewal.hpp
+++ b/src/coordination/leadership/lease_renewal.hpp
@@ -1,8 +1,16 @@
-// Lease renewal on behalf of another controller: what a node answers to machines that another one
-// holds, and whether it may answer any machine at all.
+/// Lease renewal on behalf of the shard leader: what a controller answers to misrouted machines,
+/// which belong to another controller's shard, and whether it may answer any machine at all.
+///
+/// Usually the answer is the shard leader's name. But where a partition lies between a machine and
+/// its shard leader, the machine comes back, and its tasks would end with its worker's lease. Any
+/// controller that knows the shard leader's fencing token from the store may renew that lease: only
+/// the shard leader changes records, no start is ordered and no exit is removed here, and missed
+/// heartbeats never prove to the shard leader that a task is gone. Tasks of cancelled jobs are
+/// stopped, since the shard leader can't do it.
 #pragma once
 #include <string>
 #include <unordered_map>
+#include <vector>
 
 #include "coordination/leadership/exit_forwarder.hpp"
 #include "coordination/leadership/peer_network.hpp"
@@ -11,34 +19,43 @@
 
 namespace damsonport {
 
+/// Whether a machine has come to this controller lately.
+enum class Visit : uint8_t { first, repeated };
+
+/// Part of the ShardLeader, whose HTTP handlers and maintenance coroutine call it.
 class LeaseRenewal {
  public:
   LeaseRenewal(Loop& loop, const Settings& settings, RecordCache& cache, PeerNetwork& peer_network,
                const CancellationGossip& cancellations, ExitForwarder& exit_forwarder,
                const StoreContact& contact);
 
-  // A report may be answered with a lease: what this node doesn't know of cancellations is not too
-  // old. `first_visit`: the machine comes here for the first time of late.
-  bool may_renew(bool first_visit) const;
-  // Takes note of the visit; true: the machine was not here lately.
-  bool note_visit(const std::string& machine);
-  // The answer to a report of a machine that another node holds.
-  HttpResponse answer(const Heartbeat& heartbeat);
-  // Machines that keep coming here although another node holds them.
+  /// Whether a heartbeat may be answered with a lease: cancellations that are unknown here are not
+  /// too old. Used for this controller's own machines as well.
+  bool may_renew(Visit visit) const;
+  /// Notes that the machine has come here.
+  Visit note_visit(const std::string& machine);
+  /// The answer to a heartbeat of a machine that another controller leads.
+  HttpResponse answer_misrouted(const Heartbeat& heartbeat);
+  /// Machines that keep coming here although another controller leads them.
   uint64_t misrouted_machines() const;
   void forget_old_visits();
   void clear() { misrouted_.clear(); }
 
  private:
-  // A machine that its holder's answers may not reach.
   struct MisroutedMachine {
-    double since = 0, last = 0;
-    bool answered = false;  // the last time, so that the next report tries the holder again
+    double first_visit_at = 0;
+    double last_visit_at = 0;
+    bool was_answered = false;  // the last time; the next heartbeat tries the shard leader again
   };
-  // The newest holder and its term, by the records and the peers; null: nobody holds.
-  const ShardLease* recorded_holder() const;
+  // The shard leader of this controller's knowledge; null: the records name none.
+  const ShardLease* recorded_lease() const;
+  std::string newest_shard_leader(const ShardLease& recorded) const;
+  bool may_answer(const Heartbeat& heartbeat, const ShardLease& recorded) const;
   bool should_answer(const MisroutedMachine& machine, const std::string& shard_leader) const;
-  std::vector<Command> stops_of_cancelled(const Heartbeat& heartbeat);
+  HttpResponse redirect(MisroutedMachine& machine, const std::string& shard_leader) const;
+  HttpResponse renew(MisroutedMachine& machine, const Heartbeat& heartbeat,
+                     const ShardLease& recorded, const std::string& shard_leader);
+  std::vector<Command> stops_of_cancelled(const Heartbeat& heartbeat) const;
   void forward_exits(const Heartbeat& heartbeat, uint64_t fencing_token);
 
   Loop& loop_;
--- a/src/coordination/leadership/peer_network.cpp
+++ b/src/coordination/leadership/peer_network.cpp
@@ -1,97 +1,121 @@
 #include "coordination/leadership/peer_network.hpp"
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
 #include <limits>
 
 namespace damsonport {
 
+namespace {
+// The controllers' heartbeats for each of the workers'.
+constexpr double heartbeats_per_worker_heartbeat = 3;
+// A peer is alive while its last heartbeat is less than so many intervals old.
+constexpr double alive_intervals = 3;
+// What must be sent at once waits for this part of an interval, for what comes just behind it.
+constexpr double intervals_per_gathering = 20;
+
+// Streams that may be open at once: peers reconnect before the old stream is known to be gone.
+size_t max_streams(const Settings& settings) { return 2 + 4 * settings.peers.size(); }
+
+constexpr long bad_bytes = -1;  // closes the stream
+}  // namespace
+
 PeerNetwork::PeerNetwork(Loop& loop, Network& network, const Settings& settings,
                          CancellationGossip& cancellations)
     : loop_(loop),
       cancellations_(cancellations),
-      period_(settings.heartbeat_interval_s / 3),
+      interval_s_(settings.heartbeat_interval_s / heartbeats_per_worker_heartbeat),
       wake_(loop) {
-  for (auto& p : settings.peers) {
-    links_[p.name] = network.link(p.address);
-    seen_[p.name];
+  for (auto& peer : settings.peers) {
+    links_[peer.name] = network.link(peer.address);
+    peers_[peer.name];
   }
-  listener_ = network.listener(settings.peer_listen, 2 + 4 * settings.peers.size(),
-                               [this](std::string_view b) { return take(b); });
+  listener_ = network.listener(settings.peer_listen, max_streams(settings),
+                               [this](std::string_view bytes) { return receive(bytes); });
 }
 
-long PeerNetwork::take(std::string_view bytes) {
+// Takes whole heartbeats off the front; returns how many bytes they had.
+long PeerNetwork::receive(std::string_view bytes) {
   long used = 0;
   for (;;) {
     PeerHeartbeat heartbeat;
-    size_t n = 0;
-    auto got = decode_peer_heartbeat(bytes.substr(static_cast<size_t>(used)), heartbeat, n);
-    if (got == Framed::bad) return -1;
-    if (got == Framed::partial) return used;
-    used += static_cast<long>(n);
-    // Only the nodes named in the settings: nothing grows with what strangers send.
-    auto it = seen_.find(heartbeat.controller);
-    if (it == seen_.end()) continue;
-    const auto merged = cancellations_.merge(heartbeat, loop_.now());
-    if (merged.answer_at_once) wake_.notify();
-    for (auto& job : merged.fresh)
-      if (on_cancelled) on_cancelled(job);
-    heartbeat.cancelled.clear();
-    it->second = {std::move(heartbeat), loop_.now()};
+    size_t size = 0;
+    const auto framed =
+        decode_peer_heartbeat(bytes.substr(static_cast<size_t>(used)), heartbeat, size);
+    if (framed == Framed::bad) return bad_bytes;
+    if (framed == Framed::partial) return used;
+    used += static_cast<long>(size);
+    take(std::move(heartbeat));
   }
 }
 
-Task<void> PeerNetwork::send_heartbeats(std::function<PeerHeartbeat()> fill,
+void PeerNetwork::take(PeerHeartbeat heartbeat) {
+  // Only the controllers named in the settings: nothing grows with what strangers send.
+  auto peer = peers_.find(heartbeat.controller);
+  if (peer == peers_.end()) return;
+  const auto merged = cancellations_.merge(heartbeat, loop_.now());
+  if (merged.answer_at_once) wake_.notify();
+  for (auto& job : merged.new_jobs)
+    if (on_cancelled) on_cancelled(job);
+  heartbeat.cancelled.clear();
+  peer->second = {std::move(heartbeat), loop_.now()};
+}
+
+Task<void> PeerNetwork::send_heartbeats(std::function<PeerHeartbeat()> make_heartbeat,
                                         std::stop_token stop_token) {
   while (!stop_token.stop_requested()) {
-    const auto common = fill();
+    const auto common = make_heartbeat();
     for (auto& [peer, link] : links_) {
       auto heartbeat = common;
       cancellations_.add_to(heartbeat, peer, loop_.now());
       link->send(encode_peer_heartbeat(heartbeat));
     }
-    // What must be said at once waits only for what comes just behind it.
-    if (!co_await Sleep(loop_, period_ / 20, stop_token)) co_return;
-    co_await wake_.wait(period_ * loop_.uniform(0.85, 1.05), stop_token);
+    if (!co_await Sleep(loop_, interval_s_ / intervals_per_gathering, stop_token)) co_return;
+    co_await wake_.wait(interval_s_ * loop_.uniform(0.85, 1.05), stop_token);
   }
 }
 
 double PeerNetwork::since_last_heartbeat_s(const std::string& controller) const {
-  auto it = seen_.find(controller);
-  return it == seen_.end() ? std::numeric_limits<double>::infinity() : loop_.now() - it->second.at;
+  auto peer = peers_.find(controller);
+  if (peer == peers_.end()) return std::numeric_limits<double>::infinity();
+  return loop_.now() - peer->second.received_at;
 }
 
-bool PeerNetwork::alive(const std::string& controller) const {
-  return since_last_heartbeat_s(controller) < 3 * period_;
+bool PeerNetwork::is_alive(const std::string& controller) const {
+  return since_last_heartbeat_s(controller) < alive_intervals * interval_s_;
+}
+
+int PeerNetwork::unreachable_peers() const {
+  return static_cast<int>(std::count_if(peers_.begin(), peers_.end(),
+                                        [&](auto& peer) { return !is_alive(peer.first); }));
+}
+
+bool PeerNetwork::any_peer_reaches_store(double max_age_s) const {
+  return std::any_of(peers_.begin(), peers_.end(), [&](auto& peer) {
+    const double age_s = static_cast<double>(peer.second.heartbeat.state_age_ms) / 1000;
+    return is_alive(peer.first) && age_s < max_age_s;
+  });
 }
 
 uint64_t PeerNetwork::wanted_writes() const {
   uint64_t sum = 0;
-  for (auto& [controller, s] : seen_)
-    if (alive(controller)) sum += s.heartbeat.writes;
+  for_each_live([&](auto&, const PeerHeartbeat& heartbeat) { sum += heartbeat.writes; });
   return sum;
 }
 
-int PeerNetwork::unreachable_peers() const {
-  return static_cast<int>(
-      std::count_if(seen_.begin(), seen_.end(), [&](auto& s) { return !alive(s.first); }));
-}
-
-bool PeerNetwork::any_peer_reaches_store(double max_age_s) const {
-  for (auto& [controller, s] : seen_)
-    if (alive(controller) && static_cast<double>(s.heartbeat.state_age_ms) / 1000 < max_age_s)
-      return true;
-  return false;
+uint64_t PeerNetwork::max_misrouted_machines() const {
+  uint64_t most = 0;
+  for_each_live([&](auto&, const PeerHeartbeat& heartbeat) {
+    most = std::max(most, heartbeat.misrouted_machines);
+  });
+  return most;
 }
 
 std::optional<PeerNetwork::ShardLeaderClaim> PeerNetwork::newest_shard_leader() const {
   std::optional<ShardLeaderClaim> newest;
-  for (auto& [controller, s] : seen_) {
-    const uint64_t token = s.heartbeat.fencing_token;
-    if (alive(controller) && token > (newest ? newest->fencing_token : 0))
-      newest = {controller, token};
-  }
+  for_each_live([&](const std::string& name, const PeerHeartbeat& heartbeat) {
+    const uint64_t newest_token = newest ? newest->fencing_token : 0;
+    if (heartbeat.fencing_token > newest_token) newest = {name, heartbeat.fencing_token};
+  });
   return newest;
 }
 
@@ -100,11 +124,4 @@
   return newest ? newest->fencing_token : 0;
 }
 
-uint64_t PeerNetwork::misrouted_machines() const {
-  uint64_t most = 0;
-  for (auto& [controller, s] : seen_)
-    if (alive(controller)) most = std::max(most, s.heartbeat.misrouted_machines);
-  return most;
-}
-
 }  // namespace damsonport
--- a/src/coordination/leadership/peer_network.hpp
+++ b/src/coordination/leadership/peer_network.hpp
@@ -1,62 +1,80 @@
-// What the other controllers say of themselves: hints for liveness, for telling a shared outage of
-// the state service from one's own, and what is cancelled.
+/// The heartbeats between the controllers of a region.
+///
+/// They carry hints, never truth: who is alive, who reaches the key-value store, who leads the
+/// shard, and which jobs are cancelled. With them a controller tells a shared outage of the store
+/// from one of its own.
 #pragma once
+#include <functional>
 #include <map>
 #include <memory>
 #include <optional>
+#include <string>
 
 #include "config/settings.hpp"
 #include "coordination/leadership/cancellation_gossip.hpp"
 #include "protocol/peer_heartbeat.hpp"
+#include "storage/steady_time.hpp"
 #include "transport/network.hpp"
 
 namespace damsonport {
 
+/// One coroutine, send_heartbeats(), sends; the listener's callback receives. Both run in the loop.
 class PeerNetwork {
  public:
   PeerNetwork(Loop& loop, Network& network, const Settings& settings,
               CancellationGossip& cancellations);
   bool listening() const { return listener_ && listener_->listening(); }
-  // Sends heartbeats until stopped; `fill` makes what is said to all alike.
-  Task<void> send_heartbeats(std::function<PeerHeartbeat()> fill, std::stop_token stop_token);
-  // Something must be said at once.
+
+  /// Sends heartbeats until stopped. `make_heartbeat` gives what all peers are told alike.
+  Task<void> send_heartbeats(std::function<PeerHeartbeat()> make_heartbeat,
+                             std::stop_token stop_token);
+  /// Sends the next heartbeats now.
   void wake() { wake_.notify(); }
-  // Called for each job that a peer says is cancelled, the first time.
+  /// Called for each job that a peer says is cancelled, the first time.
   std::function<void(const std::string& job)> on_cancelled;
-  // Heard from within two heartbeats.
-  bool alive(const std::string& controller) const;
-  // Seconds since it was heard.
+
+  /// Whether a heartbeat of this peer came within the last few intervals.
+  bool is_alive(const std::string& controller) const;
+  /// Infinite for a peer that was never heard and for a controller that is no peer.
   double since_last_heartbeat_s(const std::string& controller) const;
-  // Writes that live peers want, all together.
-  uint64_t wanted_writes() const;
-  // No peer is reachable.
-  bool is_isolated() const { return unreachable_peers() == static_cast<int>(seen_.size()); }
-  // Peers that are not heard.
   int unreachable_peers() const;
-  // Some live peer has contact with the state service.
+  /// No peer is alive.
+  bool is_isolated() const { return unreachable_peers() == static_cast<int>(peers_.size()); }
+  /// Some live peer had contact with the key-value store within so many seconds.
   bool any_peer_reaches_store(double max_age_s) const;
-  // The live peer with the newest shard lease by its own heartbeat.
+  /// Writes per second that all live peers together want.
+  uint64_t wanted_writes() const;
+  /// The most machines that come to one live peer without being its own.
+  uint64_t max_misrouted_machines() const;
+
   struct ShardLeaderClaim {
     std::string controller;
     uint64_t fencing_token = 0;
   };
+  /// The live peer with the newest shard lease, as its heartbeat says; nothing where none has one.
   std::optional<ShardLeaderClaim> newest_shard_leader() const;
-  // Its fencing token; 0, which no lease has, where no live peer leads.
+  /// Its fencing token; 0, which no lease has, where no live peer has one.
   uint64_t newest_fencing_token() const;
-  // The most machines that come to one live peer without being its own.
-  uint64_t misrouted_machines() const;
 
  private:
-  struct Seen {
-    PeerHeartbeat heartbeat;
-    double at = -1e9;
+  struct Peer {
+    PeerHeartbeat heartbeat;  // the last one
+    double received_at = never;
   };
-  long take(std::string_view bytes);
+  long receive(std::string_view bytes);
+  void take(PeerHeartbeat heartbeat);
+  // Calls `use` with the name and the last heartbeat of each live peer.
+  template <class Use>
+  void for_each_live(Use use) const {
+    for (auto& [name, peer] : peers_)
+      if (is_alive(name)) use(name, peer.heartbeat);
+  }
+
   Loop& loop_;
   CancellationGossip& cancellations_;
-  double period_;
+  const double interval_s_;
   Notification wake_;
-  std::map<std::string, Seen> seen_;
+  std::map<std::string, Peer> peers_;
   std::map<std::string, std::unique_ptr<StreamLink>> links_;
   std::unique_ptr<StreamListener> listener_;
 };
--- a/src/coordination/leadership/store_contact.hpp
+++ b/src/coordination/leadership/store_contact.hpp
@@ -1,4 +1,4 @@
-// How long ago this controller reached the state service.
+/// Whether this controller is in contact with the key-value store.
 #pragma once
 #include "config/settings.hpp"
 #include "storage/key_value_client.hpp"
@@ -7,16 +7,16 @@
 
 class StoreContact {
  public:
-  StoreContact(Loop& loop, const Settings& settings, const KeyValueClient& store)
-      : loop_(loop), settings_(settings), store_(store) {}
-  double age_s() const { return store_.contact_age_s(); }
-  // The state service counts as reached for so long.
+  StoreContact(const Settings& settings, const KeyValueClient& store)
+      : settings_(settings), store_(store) {}
+
+  /// Seconds after the last answer for which the store counts as reached.
   double limit_s() const { return settings_.lease_s * lease_share; }
-  bool in_contact() const { return age_s() < limit_s(); }
+  bool in_contact() const { return store_.contact_age_s() < limit_s(); }
 
  private:
+  // Of a worker's lease.
   static constexpr double lease_share = 0.25;
-  Loop& loop_;
   const Settings& settings_;
   const KeyValueClient& store_;
 };
--- a/src/coordination/shard_leader/shard_leader.cpp
+++ b/src/coordination/shard_leader/shard_leader.cpp
@@ -10,7 +10,7 @@
       settings_(deps.settings),
       tuning_(deps.settings.tuning),
       cache_(deps.cache),
-      contact_(loop_, settings_, deps.store),
+      contact_(settings_, deps.store),
       lease_renewal_(loop_, settings_, cache_, deps.peer_network, deps.cancellations,
                      deps.exit_forwarder, contact_),
       machine_list_(loop_, settings_, deps.http),
@@ -273,7 +273,7 @@
     received += now - m.last_heartbeat_at < heard_within && m.agent_epoch != 0;
   // After a takeover they come here by way of the others.
   const bool acknowledged = now - lease_acquired_at_ > 3 * settings_.heartbeat_interval_s;
-  const bool deaf = acknowledged && deps_.peer_network.misrouted_machines() > received;
+  const bool deaf = acknowledged && deps_.peer_network.max_misrouted_machines() > received;
   if (!deaf || !deps_.election.is_leading()) {
     unreachable_since_ = 0;
     return;
@@ -281,7 +281,7 @@
   if (unreachable_since_ == 0) unreachable_since_ = now;
   if (now - unreachable_since_ < settings_.lease_s * deaf_lease_share) return;
   spdlog::warn("{} machines heard here and {} by other controllers: giving the leadership up",
-               received, deps_.peer_network.misrouted_machines());
+               received, deps_.peer_network.max_misrouted_machines());
   deps_.election.step_down();
   unreachable_since_ = 0;
 }
@@ -291,7 +291,7 @@
   // A newer holder exists: a 200 would only hold the worker here while its lease runs out.
   if (fencing_token > fencing_token_) return HttpResponse{421, encode_redirect({}), 0};
   const bool lost = deps_.peer_network.is_isolated() && !contact_.in_contact();
-  if (!lease_renewal_.may_renew(lost && lease_renewal_.note_visit(machine)))
+  if (!lease_renewal_.may_renew(lost ? lease_renewal_.note_visit(machine) : Visit::repeated))
     return HttpResponse{503, {}, 0};
   return std::nullopt;
 }
@@ -328,7 +328,7 @@
 HttpResponse ShardLeader::on_decoded_heartbeat(const Heartbeat& r, const HttpRequest& request) {
   // Gone, as the cloud said: this is a late copy.
   if (returned_.contains(r.machine)) return {421, encode_redirect({}), 0};
-  if (!is_leading() || is_deposed()) return lease_renewal_.answer(r);
+  if (!is_leading() || is_deposed()) return lease_renewal_.answer_misrouted(r);
   if (auto no = refusal(r.machine, r.fencing_token)) return *no;
   std::vector<Command> commands;
   Machine& m = machine(r.machine);
--- a/src/coordination/shard_leader/shard_leader_cancelled.cpp
+++ b/src/coordination/shard_leader/shard_leader_cancelled.cpp
@@ -12,7 +12,7 @@
 }
 
 double ShardLeader::cancelled_since(const Job& job) const {
-  const auto received = deps_.cancellations.received(job.spec.id);
+  const auto received = deps_.cancellations.cancelled_since(job.spec.id);
   if (!job.cancelled) return received.value_or(loop_.now());
   return received ? std::max(*received, job.cancelled_since) : job.cancelled_since;
 }
--- a/tests/cancellations_test.cpp
+++ b/tests/cancellations_test.cpp
@@ -26,7 +26,7 @@
     return b;
   }
   std::vector<std::string> merge(const PeerHeartbeat& b, double time) {
-    return said.merge(b, clock(time)).fresh;
+    return said.merge(b, clock(time)).new_jobs;
   }
   // How old a cancellation that is unknown here can be.
   double unheard(double time) const { return clock(time) - said.watermark(clock(time)); }
@@ -49,10 +49,10 @@
   EXPECT_FALSE(p.b.said.record("run-1", p.b.clock(2.5)));
   EXPECT_EQ(p.a.merge(p.b.heartbeat("a", 3), 3.01), std::vector<std::string>{"run-1"});
   EXPECT_TRUE(p.a.merge(p.b.heartbeat("a", 3.1), 3.11).empty());
-  ASSERT_TRUE(p.a.said.received("run-1"));
+  ASSERT_TRUE(p.a.said.cancelled_since("run-1"));
   // Never younger than it is, and older by no more than the way of a heartbeat and its echo.
-  EXPECT_LE(*p.a.said.received("run-1"), p.a.clock(1.5));
-  EXPECT_GT(*p.a.said.received("run-1"), p.a.clock(0));
+  EXPECT_LE(*p.a.said.cancelled_since("run-1"), p.a.clock(1.5));
+  EXPECT_GT(*p.a.said.cancelled_since("run-1"), p.a.clock(0));
 }
 
 TEST(CancellationGossip, CoverUpToWhatWasEchoedAndNoFurther) {
