--- a/tests/mixed_versions_test.cpp
+++ b/tests/storage/mixed_versions_test.cpp
@@ -1,16 +1,17 @@
 // Old and new versions work on each other's data: records and messages that the production version
-// wrote, kept in fixtures/, are read here, and what is written here is the same to the letter.
+// wrote, kept in fixtures/, are read here, and what is written here is identical byte for byte.
 #include <gtest/gtest.h>
 
 #include <fstream>
 
 #include "protocol/peer_heartbeat.hpp"
 #include "storage/rechunk.hpp"
+#include "storage/records.hpp"
 
 namespace damsonport {
 namespace {
 
-std::map<std::string, std::string> production() {
+std::map<std::string, std::string> production_data() {
   std::map<std::string, std::string> out;
   std::ifstream in(std::string(FIXTURES_DIR) + "/production.records");
   for (std::string text; std::getline(in, text);)
@@ -18,8 +19,8 @@
   return out;
 }
 
-TEST(Production, ItsRecordsAreReadAndWrittenTheSame) {
-  const auto stored = production();
+TEST(ProductionData, RecordsRoundTripUnchanged) {
+  const auto stored = production_data();
   ASSERT_EQ(stored.size(), 10u);
   for (auto& [key, text] : stored) {
     if (key.starts_with(keys::chunk_prefix)) {
@@ -35,9 +36,9 @@
   }
 }
 
-TEST(Production, ItsMessagesAreReadAndWrittenTheSame) {
+TEST(ProductionData, HeartbeatRoundTripsUnchanged) {
   std::string bytes;
-  const auto hex = production().at("beat");
+  const auto hex = production_data().at("beat");
   for (size_t i = 0; i < hex.size(); i += 2)
     bytes += static_cast<char>(std::stoi(hex.substr(i, 2), nullptr, 16));
   PeerHeartbeat heartbeat;
@@ -49,9 +50,8 @@
   EXPECT_EQ(encode_peer_heartbeat(heartbeat), bytes);
 }
 
-// That version follows no key of ours that it doesn't know, and takes the first layout's names
-// only.
-TEST(Production, NamesOfTheFirstLayoutStayAsTheyWere) {
+// The production version ignores keys that it doesn't know, and knows the first layout's keys only.
+TEST(ProductionData, ChunkKeysOfTheFirstLayoutAreUnchanged) {
   EXPECT_EQ(keys::chunk("run-1", 3), "d/t/run-1/3");
   EXPECT_EQ(keys::chunk("run-1", 3, 2), "d/t/run-1/2/3");
   auto first = parse_chunk_name("run-1/3");
@@ -67,7 +67,7 @@
 }
 
 Job large_job() {
-  const auto stored = production();
+  const auto stored = production_data();
   Job job;
   const auto value = Json::parse(stored.at("d/j/run-1"));
   job.spec = *decode_job(value);
@@ -76,14 +76,14 @@
   return job;
 }
 
-TEST(Layout, DividingAnewKeepsEveryTaskAsItIs) {
+TEST(Rechunk, KeepsTheStateOfEveryTask) {
   const Job job = large_job();
   constexpr double kb = 2;
   const uint32_t size = chunk_size(kb);
   EXPECT_FALSE(chunk_fits(job.chunks.at(0).record, kb));
-  const auto divided = rechunk(job, size);
+  const auto chunks = rechunk(job, size);
   uint64_t live = 0, done = 0, waiting = 0;
-  for (auto& [n, record] : divided) {
+  for (auto& [n, record] : chunks) {
     EXPECT_TRUE(chunk_fits(record, kb));
     live += record.live.size();
     done += record.done_count();
@@ -99,23 +99,23 @@
   EXPECT_EQ(live, 206u);
   EXPECT_EQ(done, 10u);
   EXPECT_EQ(waiting, 4u);
-  EXPECT_EQ(divided.size(), 6u) << "chunks that were never touched have no record";
+  EXPECT_EQ(chunks.size(), 6u) << "chunks that were never touched have no record";
 }
 
-TEST(Layout, ChunksThatStraddleOldOnesKeepWhatWasNeverStarted) {
+TEST(Rechunk, NeverStartedTasksBeforeALiveOneBecomeWaiting) {
   Job job;
   job.spec.tasks = 10;
   job.chunk_size = 4;
   job.chunks[0].record.start(0, 1, "i-1");
   job.chunks[1].record.start(1, 3, "i-2");  // task 5
-  const auto divided = rechunk(job, 3);
-  ASSERT_EQ(divided.size(), 2u);
-  EXPECT_EQ(divided.at(0).next, 1u);
-  EXPECT_EQ(divided.at(1).next, 3u);  // tasks 3 and 4 wait, 5 is live
-  EXPECT_EQ(divided.at(1).waiting.size(), 2u);
-  EXPECT_EQ(divided.at(1).waiting[0].attempt, 0u);
-  ASSERT_EQ(divided.at(1).live.size(), 1u);
-  EXPECT_EQ(divided.at(1).live[0].index, 2u);
+  const auto chunks = rechunk(job, 3);
+  ASSERT_EQ(chunks.size(), 2u);
+  EXPECT_EQ(chunks.at(0).next, 1u);
+  EXPECT_EQ(chunks.at(1).next, 3u);  // tasks 3 and 4 wait, 5 is live
+  EXPECT_EQ(chunks.at(1).waiting.size(), 2u);
+  EXPECT_EQ(chunks.at(1).waiting[0].attempt, 0u);
+  ASSERT_EQ(chunks.at(1).live.size(), 1u);
+  EXPECT_EQ(chunks.at(1).live[0].index, 2u);
 }
 
 }  // namespace
--- /dev/null
+++ b/tests/storage/rate_limiter_test.cpp
@@ -0,0 +1,67 @@
+#include "storage/rate_limiter.hpp"
+
+#include <gtest/gtest.h>
+
+#include "coordination/api/arrival_rate.hpp"
+
+namespace damsonport {
+namespace {
+
+TEST(WriteShare, FollowsDemandAndSumsToAtMostOne) {
+  for (double leader : {0.0, 90.0, 900.0})
+    for (double other : {0.0, 7.0, 270.0}) {
+      double sum = write_share(5, leader, 4 * other);
+      for (int i = 0; i < 4; ++i) sum += write_share(5, other, leader + 3 * other);
+      EXPECT_LE(sum, 1 + 1e-9);
+    }
+  EXPECT_GT(write_share(5, 90, 0), 0.8);  // a leader alone with its work
+  EXPECT_GT(write_share(5, 0, 1000), 0);  // but no controller is left without
+}
+
+// Many small jobs, 12.5 a second over five controllers, beside a busy leader: by their queues alone
+// the others would get their shares only while users wait.
+TEST(WriteShare, CoversArrivalsBeforeAQueueForms) {
+  constexpr double writes_per_s = 46, arrivals_per_s = 2.5, leader_wants = 25;
+  ArrivalRate rate(1.5);
+  double now = 0;
+  for (; now < 6; now += 1 / arrivals_per_s) rate.note(now);
+  EXPECT_NEAR(rate.at(now), arrivals_per_s, 0.5);
+  const double wanted = 2 * rate.at(now);
+  EXPECT_GT(write_share(5, wanted, leader_wants + 3 * wanted) * writes_per_s, arrivals_per_s);
+  EXPECT_LT(rate.at(now + 10), 0.01);  // and the share is given back
+}
+
+// After a refusal for the rate the announced rate is kept to for a while.
+TEST(RateLimiter, LowersItsRatesForAWhileAfterARefusal) {
+  class Clock : public Loop {
+   public:
+    explicit Clock(std::seed_seq&& seed) : Loop(seed) {}
+    double now() const override { return time; }
+    double wall() const override { return time; }
+    std::unique_ptr<Timer> timer(Timer::Fire, void*) override { return nullptr; }
+    double time = 100;
+
+   private:
+    void ended() override {}
+  };
+  Clock clock(std::seed_seq{1u});
+  RateLimiter limit(clock, {{100, 50, 16, 12}, {100, 35, 2, 4}});
+  limit.set_shares(1, 1);
+  const double present = limit.writes_per_s();
+  limit.on_refused();
+  EXPECT_NEAR(limit.writes_per_s(), present * 35 / 50, 1e-9);
+  clock.time += 29;
+  limit.set_shares(1, 1);
+  EXPECT_LT(limit.writes_per_s(), present);
+  clock.time += 2;
+  limit.set_shares(1, 1);
+  EXPECT_NEAR(limit.writes_per_s(), present, 1e-9);
+  // Refused again: the announced rate is kept to for longer.
+  limit.on_refused();
+  clock.time += 31;
+  limit.set_shares(1, 1);
+  EXPECT_LT(limit.writes_per_s(), present);
+}
+
+}  // namespace
+}  // namespace damsonport
