--- a/src/coordination/replicas/replica_manager.cpp
+++ b/src/coordination/replicas/replica_manager.cpp
@@ -71,7 +71,7 @@
   const bool over = standing.gang.broken || standing.gang.stopping || job.cancelled;
   if (!over) status.readiness = readiness_of(job, replica);
   standing.ready = status.readiness.ready;
-  if (standing.ready) gangs_.note_ran(job, replica, status.readiness.attempt);
+  if (standing.ready) gangs_.note_running(job, replica, status.readiness.attempt);
   status.state = replica_state(standing);
   return status;
 }
--- a/src/coordination/replicas/replica_state.cpp
+++ b/src/coordination/replicas/replica_state.cpp
@@ -23,7 +23,7 @@
 }
 
 ReplicaState replica_state(const ReplicaStanding& standing) {
-  const GangStanding& gang = standing.gang;
+  const GangStatus& gang = standing.gang;
   const bool first_attempt = standing.last_attempt <= 1;
   if (gang.live == 0)
     return standing.last_attempt == 0 ? ReplicaState::queued : ReplicaState::repairing;
--- a/src/coordination/replicas/replica_state.hpp
+++ b/src/coordination/replicas/replica_state.hpp
@@ -38,7 +38,7 @@
 Readiness judge_readiness(const std::vector<PartStatus>& parts, double now, double most_age_s);
 
 struct ReplicaStanding {
-  GangStanding gang;
+  GangStatus gang;
   uint64_t last_attempt = 0;  // of its records; 0: never started
   bool ready = false;
 };
--- a/src/coordination/scheduling/gang_placement.cpp
+++ b/src/coordination/scheduling/gang_placement.cpp
@@ -69,7 +69,7 @@
     auto& machine = in_.machines[m];
     if (!job.need.fits(free_[m]) || machine.straggler || !is_feasible(j, m)) continue;
     if (zone != 0 && machine.zone != zone) continue;
-    if (only_with_image && !holds(machine, job.image)) continue;
+    if (only_with_image && !has_image(machine, job.image)) continue;
     const uint32_t most = job.distinct_machines ? 1 : job.waiting;
     const uint32_t fits = std::min(count_fitting(job.need, free_[m]), most);
     if (fits > 0) candidates.push_back({gang_machine_cost(j, m, fits), m, fits});
@@ -175,7 +175,7 @@
   auto& job = in_.jobs[j];
   if (!team_allows_whole(j)) return;
   if (sibling_found_no_room(j)) {
-    out_.unschedulable.push_back(*family_without_room_);
+    out_.unschedulable.push_back(*replica_set_without_capacity_);
     out_.unschedulable.back().job = j;
     return;
   }
@@ -203,7 +203,7 @@
   if (unschedulable.one_zone) unschedulable.zone = zone_of(plan);
   if (unschedulable.zone == 0 && job.replica) unschedulable.zone = only_zone_for(j, plan);
   const bool whole = job.replica && !gang_parts_.contains(j);
-  if (whole) family_without_room_ = unschedulable;
+  if (whole) replica_set_without_capacity_ = unschedulable;
 }
 
 // Room in another zone would be rented in vain.
@@ -225,8 +225,9 @@
 
 // Free room only shrinks during a pass.
 bool SchedulingCycle::sibling_found_no_room(size_t j) const {
-  if (!in_.jobs[j].replica || !family_without_room_ || gang_parts_.contains(j)) return false;
-  return in_.jobs[family_without_room_->job].family == in_.jobs[j].family;
+  if (!in_.jobs[j].replica || !replica_set_without_capacity_ || gang_parts_.contains(j))
+    return false;
+  return in_.jobs[replica_set_without_capacity_->job].replica_set == in_.jobs[j].replica_set;
 }
 
 void SchedulingCycle::bind_replica(size_t j) {
--- a/src/coordination/scheduling/gang_tracker.cpp
+++ b/src/coordination/scheduling/gang_tracker.cpp
@@ -26,14 +26,14 @@
   return hints;
 }
 
-void GangTracker::note_begun(const Job& job, TaskRange gang, uint64_t attempt) {
+void GangTracker::note_attempt_started(const Job& job, TaskRange gang, uint64_t attempt) {
   auto& hints = hints_[{job.spec.id, gang.first}];
   if (hints.attempt == attempt) return;
   hints = {};
   hints.attempt = attempt;
 }
 
-void GangTracker::note_ran(const Job& job, TaskRange gang, uint64_t attempt) {
+void GangTracker::note_running(const Job& job, TaskRange gang, uint64_t attempt) {
   if (auto& known = hints(job, gang); known.attempt == attempt) known.ran = true;
 }
 
@@ -46,15 +46,15 @@
   known.broken |= job.spec.replicated() && known.errors > most_errors_an_attempt;
 }
 
-void GangTracker::note_absent(const Job& job, TaskRange gang, uint64_t attempt) {
+void GangTracker::note_task_missing(const Job& job, TaskRange gang, uint64_t attempt) {
   auto& known = hints(job, gang);
   if (known.attempt == attempt) known.broken |= known.ran;
 }
 
-GangStanding GangTracker::standing(const Job& job, TaskRange gang) {
+GangStatus GangTracker::standing(const Job& job, TaskRange gang) {
   auto& known = hints(job, gang);
   const RangeRecord record = job.record_of(gang);
-  GangStanding standing;
+  GangStatus standing;
   standing.tasks = gang.count;
   standing.live = record.live;
   standing.done = record.done;
@@ -76,7 +76,7 @@
 }
 
 GangAction GangTracker::action_for(const Job& job, TaskRange gang,
-                                   const GangStanding& standing) const {
+                                   const GangStatus& standing) const {
   // Within the time for which a machine that failed a task of it is not used for it again.
   const double patience_s =
       std::min(settings_.gang_wait_s * settings_.tuning.gang_replacement_share, settings_.lease_s);
@@ -92,7 +92,7 @@
 }
 
 uint32_t GangTracker::startable(const Job& job, TaskRange gang) {
-  const GangStanding now = standing(job, gang);
+  const GangStatus now = standing(job, gang);
   const auto action = action_for(job, gang, now);
   if (action != GangAction::start && action != GangAction::complete) return 0;
   return now.tasks - now.live - now.done;
--- a/src/coordination/scheduling/gangs.cpp
+++ b/src/coordination/scheduling/gangs.cpp
@@ -2,13 +2,13 @@
 
 namespace damsonport {
 
-GangAction gang_action(const GangStanding& gang, double patience_s) {
+GangAction gang_action(const GangStatus& gang, double patience_s) {
   // What is left of a gang that has a finished task only has to report the same.
   if (gang.live == 0) return gang.done < gang.tasks ? GangAction::start : GangAction::none;
   if (gang.done > 0) return GangAction::none;
-  if (gang.broken) return GangAction::give_up;
+  if (gang.broken) return GangAction::abandon;
   if (gang.live == gang.tasks) return GangAction::none;
-  if (gang.stopping || gang.ran || gang.incomplete_s >= patience_s) return GangAction::give_up;
+  if (gang.stopping || gang.ran || gang.incomplete_s >= patience_s) return GangAction::abandon;
   return GangAction::complete;
 }
 
@@ -27,7 +27,7 @@
   return size == 0 ? 0 : task / size;
 }
 
-TaskRange gang_with(const JobSpec& spec, uint32_t task) {
+TaskRange gang_containing(const JobSpec& spec, uint32_t task) {
   return gang_range(spec, gang_of(spec, task));
 }
 
--- a/src/coordination/scheduling/gangs.hpp
+++ b/src/coordination/scheduling/gangs.hpp
@@ -11,7 +11,7 @@
 
 namespace damsonport {
 
-struct GangStanding {
+struct GangStatus {
   uint32_t tasks = 0;
   uint32_t live = 0;  // by the records
   uint32_t done = 0;
@@ -25,11 +25,11 @@
   none,      // nothing is missing, or it has to be waited for
   start,     // nothing of it is left: the whole gang may be started, under a new attempt
   complete,  // the missing tasks may be started under the attempt of the others
-  give_up,   // the rest of the attempt has to be stopped
+  abandon,   // the rest of the attempt has to be stopped
 };
 
 // `patience_s`: how long a missing task may take to be replaced while the others hold their places.
-GangAction gang_action(const GangStanding& gang, double patience_s);
+GangAction gang_action(const GangStatus& gang, double patience_s);
 
 // The gangs of a job: one for a gang job, one for each replica of several parts, else none.
 uint32_t gang_count(const JobSpec& spec);
@@ -38,7 +38,7 @@
 // The number of the gang that the task belongs to.
 uint32_t gang_of(const JobSpec& spec, uint32_t task);
 // All tasks of that gang.
-TaskRange gang_with(const JobSpec& spec, uint32_t task);
+TaskRange gang_containing(const JobSpec& spec, uint32_t task);
 
 // The attempt of the tasks that are live; 0: none is.
 uint64_t live_attempt(const Job& job, TaskRange gang);
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -46,7 +46,7 @@
       victim.checkpoint_s > 0 ? 0 : std::min(age(v), std::max(victim.estimate_s, 1.0) * 2);
   double c = (abrupt ? abrupt_loss(v) : lost + victim.grace_s) + 2 + victim.priority * 15;
   if (victim.service) c += 60;
-  if (age(v) < in_.start_counts_s) c += 10;
+  if (age(v) < in_.min_useful_run_s) c += 10;
   if (guaranteed_[v.job]) c += 15;
   // The whole gang goes with one of its tasks.
   if (victim.gang) c *= static_cast<double>(gang_parts_.at(v.job).size());
@@ -189,7 +189,7 @@
   Eviction best;
   best.score = score;
   for (size_t m = 0; m < in_.machines.size(); ++m) {
-    if (least_urgent_[m] >= urgency_[j] || !holds(in_.machines[m], job.image)) continue;
+    if (least_urgent_[m] >= urgency_[j] || !has_image(in_.machines[m], job.image)) continue;
     ++out_.examined;
     if (!is_feasible(j, m)) continue;
     auto eviction = eviction_on(j, m, false);
--- a/src/coordination/scheduling/scheduler.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -32,23 +32,24 @@
 }
 
 void SchedulingCycle::prepare_placement_counts() {
-  std::unordered_map<size_t, size_t> of_family;
+  std::unordered_map<size_t, size_t> of_replica_set;
   for (size_t j = 0; j < in_.jobs.size(); ++j) {
     auto& job = in_.jobs[j];
     if (job.waiting == 0 || job.cancelled) continue;
     order_.push_back(j);
     if (job.replica) {
-      auto [it, fresh] = of_family.try_emplace(job.family, placement_counts_.size());
+      auto [it, fresh] = of_replica_set.try_emplace(job.replica_set, placement_counts_.size());
       placement_count_of_[j] = it->second;
       if (!fresh) continue;
     }
     placement_count_of_[j] = placement_counts_.size();
     placement_counts_.push_back({std::vector<uint32_t>(in_.zones.size()), {}});
   }
-  if (of_family.empty()) return;
+  if (of_replica_set.empty()) return;
   // Those that run count for those that wait.
   for (size_t j = 0; j < in_.jobs.size(); ++j)
-    if (auto it = of_family.find(in_.jobs[j].family); in_.jobs[j].replica && it != of_family.end())
+    if (auto it = of_replica_set.find(in_.jobs[j].replica_set);
+        in_.jobs[j].replica && it != of_replica_set.end())
       placement_count_of_[j] = it->second;
 }
 
@@ -158,10 +159,10 @@
 }
 
 double SchedulingCycle::queue_key(const JobSnapshot& job) const {
-  if (job.due_at <= 0) return job.accepted_at;
+  if (job.deadline <= 0) return job.accepted_at;
   const double patience = in_.begin_within_s * (job.begun ? 3 : 1);
-  const bool behind = in_.now > job.due_at && in_.now < job.accepted_at + patience;
-  return behind ? in_.now + job.accepted_at + patience : job.due_at;
+  const bool behind = in_.now > job.deadline && in_.now < job.accepted_at + patience;
+  return behind ? in_.now + job.accepted_at + patience : job.deadline;
 }
 
 bool SchedulingCycle::team_allows(size_t j) const {
@@ -333,8 +334,8 @@
   size_t where = 0;
   for (size_t m : coming_) {
     if (!has_room(future_[m])) continue;
-    if (beside_image &&
-        !(holds(in_.machines[m], in_.jobs[j].image) && time_to_save(m) < beside_image->within_s))
+    if (beside_image && !(has_image(in_.machines[m], in_.jobs[j].image) &&
+                          time_to_save(m) < beside_image->within_s))
       continue;
     Resources both = free_[m];
     both += future_[m];
@@ -383,7 +384,7 @@
   return static_cast<uint32_t>(std::max(n, 0.0));
 }
 
-bool holds(const MachineSnapshot& m, NameId image) {
+bool has_image(const MachineSnapshot& m, NameId image) {
   return contains(m.images, image) && !contains(m.fetching, image);
 }
 
--- a/src/coordination/scheduling/scheduler.hpp
+++ b/src/coordination/scheduling/scheduler.hpp
@@ -92,11 +92,12 @@
   bool service = false;
   // All that wait start together or none. A gang that runs is stopped as a whole, too.
   bool gang = false;
-  // One replica of several parts, which are a gang. The replicas of a job are a family: the place
-  // of the first one names it, and the job's rules about zones are for all of their parts together.
+  // One replica of several parts, which are a gang. The replicas of a job are a replica_set: the
+  // place of the first one names it, and the job's rules about zones are for all of their parts
+  // together.
   bool replica = false;
   uint32_t replica_number = 0;
-  size_t family = 0;
+  size_t replica_set = 0;
   bool distinct_machines = false;  // for the parts of a replica
   int priority = 0;                // higher is more urgent
   Resources need;
@@ -110,7 +111,7 @@
   // Fails on every machine: it takes what is left over, and nothing is stopped or rented for it.
   bool faulty = false;
   double accepted_at = 0;
-  double due_at = 0;          // 0: no deadline
+  double deadline = 0;        // 0: no deadline
   bool begun = false;         // some task is live or done
   double start_within_s = 0;  // what is expected of its class; 0: nothing
   double estimate_s = 0;      // of a task's run time
@@ -126,8 +127,8 @@
   std::vector<TeamSnapshot> teams;
   std::vector<JobSnapshot> jobs;
   std::vector<BootingMachine> booting;
-  double start_counts_s = 30;  // a start stopped earlier than this was in vain
-  double now = 0;              // of the same clock as accepted_at and due_at
+  double min_useful_run_s = 30;  // a start stopped earlier than this was in vain
+  double now = 0;                // of the same clock as accepted_at and deadline
   double steady_now = 0;
   // A job has to begin within four minutes; half of that after its acceptance an overdue one that
   // has not begun counts as any other, and one that has begun three times later.
@@ -154,7 +155,7 @@
   size_t job;
   uint32_t count;
   bool within_guarantee;
-  bool room_coming;       // room for it is already being made
+  bool capacity_pending;  // room for it is already being made
   uint32_t missing;       // of them, those for which there is no room: a gang waits whole
   NameId zone = 0;        // where a gang bound to one zone has the most room; 0: anywhere
   bool one_zone = false;  // the gang has to be in one zone
@@ -168,7 +169,7 @@
 };
 
 // The image is there now. One that is being fetched is not, whatever is remembered of the machine.
-bool holds(const MachineSnapshot& m, NameId image);
+bool has_image(const MachineSnapshot& m, NameId image);
 
 Decisions place(const SchedulerSnapshot& in);
 
--- a/src/coordination/scheduling/scheduling_cycle.hpp
+++ b/src/coordination/scheduling/scheduling_cycle.hpp
@@ -239,8 +239,8 @@
   bool parts_together_ = false;
   NameId parts_zone_ = 0;
   std::vector<uint8_t> part_on_;
-  // The family that found no room for a whole replica last, and what was said of it.
-  std::optional<UnschedulableTasks> family_without_room_;
+  // The replica_set that found no room for a whole replica last, and what was said of it.
+  std::optional<UnschedulableTasks> replica_set_without_capacity_;
   Decisions out_;
 };
 
--- a/src/coordination/scheduling/scoring.cpp
+++ b/src/coordination/scheduling/scoring.cpp
@@ -36,7 +36,7 @@
   auto& machine = in_.machines[m];
   if (!machine.live.empty() || replicas_[m] > 0) return false;
   // It was kept for such a start.
-  return in_.jobs[j].start_within_s <= 0 || !holds(machine, in_.jobs[j].image);
+  return in_.jobs[j].start_within_s <= 0 || !has_image(machine, in_.jobs[j].image);
 }
 
 double SchedulingCycle::score(size_t j, size_t m, const Resources& room) const {
--- a/src/coordination/shard_leader/shard_leader_cloud.cpp
+++ b/src/coordination/shard_leader/shard_leader_cloud.cpp
@@ -147,7 +147,7 @@
         if (saves ? left < grace + 2 * settings_.heartbeat_interval_s
                   : left < settings_.heartbeat_interval_s / 2) {
           if (s.gang_size() > 0) {
-            stop_gang(*a.job, gang_with(s, a.index), grace);
+            stop_gang(*a.job, gang_containing(s, a.index), grace);
           } else {
             stop_task({name, attempt, id}, grace);
           }
--- a/src/coordination/shard_leader/shard_leader_commit.cpp
+++ b/src/coordination/shard_leader/shard_leader_commit.cpp
@@ -226,7 +226,7 @@
   pending_tasks_ = 0;
   for (auto& u : decided.unschedulable) {
     pending_tasks_ += u.count;
-    if (u.room_coming) continue;
+    if (u.capacity_pending) continue;
     auto& s = job_index_.owner(u.job).job->spec;
     autoscaling::ResourceDemand demand{resources_per_task(s), u.missing, s.types, s.zone, s.spot};
     if (s.gang_size() > 0) {
@@ -256,7 +256,7 @@
 DecidedStart ShardLeader::by_name(size_t job, size_t machine) const {
   auto& m = snapshot_.machines[machine];
   auto& j = snapshot_.jobs[job];
-  return {j.id, m.id, scheduling::holds(m, j.image)};
+  return {j.id, m.id, scheduling::has_image(m, j.image)};
 }
 
 DecidedGang ShardLeader::gang_by_name(const scheduling::GangPlacement& decided) const {
@@ -289,7 +289,7 @@
     if (started.empty()) break;
     // The job may go while this is committed.
     std::function<void()> begun = [&] {
-      if (const Job* now = cache_.job(id)) gangs_.note_begun(*now, gang.tasks, attempt);
+      if (const Job* now = cache_.job(id)) gangs_.note_attempt_started(*now, gang.tasks, attempt);
     };
     if (!co_await commit_and_apply(edits.finish(), stop_token, true, std::move(begun))) break;
     committed.insert(committed.end(), started.begin(), started.end());
--- a/src/coordination/shard_leader/shard_leader_gangs.cpp
+++ b/src/coordination/shard_leader/shard_leader_gangs.cpp
@@ -30,7 +30,7 @@
 }
 
 void ShardLeader::review_gang(const Job& job, TaskRange gang) {
-  if (is_cancelled(job) || gangs_.next_action(job, gang) != GangAction::give_up) return;
+  if (is_cancelled(job) || gangs_.next_action(job, gang) != GangAction::abandon) return;
   for (auto& task : job.live_tasks(gang)) {
     // One that was told to save goes on with it.
     if (is_stopping(task) || exits_.contains(task.name)) continue;
@@ -75,7 +75,7 @@
   const auto [attempt, cause, machine] = exit;
   exits_[task] = std::move(exit);
   if (is_gang && cause == ExitCause::done) return finish_gang(*job, attempt);
-  const TaskRange gang = gang_with(job->spec, task.index);
+  const TaskRange gang = gang_containing(job->spec, task.index);
   const bool stopped = cause == ExitCause::stopped && stopping_.contains(task);
   gangs_.note_exit(*job, gang, attempt, cause, stopped);
   replicas_.note_exit(*job, gang, attempt, cause);
--- a/src/coordination/shard_leader/shard_leader_machines.cpp
+++ b/src/coordination/shard_leader/shard_leader_machines.cpp
@@ -216,7 +216,7 @@
       continue;
     }
     const bool ran = t.state == TaskState::running || t.state == TaskState::saving;
-    if (ran && s.kind == JobKind::gang) gangs_.note_ran(*job, gang_range(s, 0), t.attempt);
+    if (ran && s.kind == JobKind::gang) gangs_.note_running(*job, gang_range(s, 0), t.attempt);
     if (t.state == TaskState::running) note_running(m, name, t.attempt);
   }
   if (!m.tasks.empty()) m.idle_since = now;
@@ -234,8 +234,8 @@
     auto reported = m.tasks.find(name);
     const bool there = reported != m.tasks.end() && reported->second.attempt == attempt;
     if (there || m.start_outstanding({name, attempt}) || exits_.contains(name)) continue;
-    const TaskRange replica = gang_with(job.spec, assignment.index);
-    gangs_.note_absent(job, replica, attempt);
+    const TaskRange replica = gang_containing(job.spec, assignment.index);
+    gangs_.note_task_missing(job, replica, attempt);
     concerned.emplace_back(&job, replica);
   }
   for (auto& [job, replica] : concerned) review_gang(*job, replica);
--- a/tests/gangs_test.cpp
+++ b/tests/gangs_test.cpp
@@ -8,8 +8,8 @@
 
 constexpr double patience_s = 20;
 
-GangStanding standing(uint32_t live, uint32_t done = 0) {
-  GangStanding gang;
+GangStatus standing(uint32_t live, uint32_t done = 0) {
+  GangStatus gang;
   gang.tasks = 4;
   gang.live = live;
   gang.done = done;
@@ -29,19 +29,19 @@
   auto gang = standing(3);
   EXPECT_EQ(gang_action(gang, patience_s), GangAction::complete);
   gang.incomplete_s = patience_s;
-  EXPECT_EQ(gang_action(gang, patience_s), GangAction::give_up);
+  EXPECT_EQ(gang_action(gang, patience_s), GangAction::abandon);
   gang = standing(3);
   gang.ran = true;
-  EXPECT_EQ(gang_action(gang, patience_s), GangAction::give_up);
+  EXPECT_EQ(gang_action(gang, patience_s), GangAction::abandon);
   gang = standing(3);
   gang.stopping = true;
-  EXPECT_EQ(gang_action(gang, patience_s), GangAction::give_up);
+  EXPECT_EQ(gang_action(gang, patience_s), GangAction::abandon);
 }
 
 TEST(Gang, ABrokenAttemptIsGivenUpAsAWhole) {
   auto gang = standing(4);
   gang.broken = true;
-  EXPECT_EQ(gang_action(gang, patience_s), GangAction::give_up);
+  EXPECT_EQ(gang_action(gang, patience_s), GangAction::abandon);
 }
 
 Job gang_of(uint32_t tasks, uint32_t chunk_size) {
--- a/tests/replicas/gang_tracker_test.cpp
+++ b/tests/replicas/gang_tracker_test.cpp
@@ -40,7 +40,7 @@
   TaskChunk& record() { return job.chunks[0].record; }
   // By this holder, or by an earlier one.
   void start_both(uint64_t attempt, bool begun_here) {
-    if (begun_here) tracker.note_begun(job, replica, attempt);
+    if (begun_here) tracker.note_attempt_started(job, replica, attempt);
     record().start(0, attempt, "i-1");
     record().start(1, attempt, "i-2");
   }
@@ -64,9 +64,9 @@
 TEST(GangTracker, APartLostAfterReadinessEndsTheAttempt) {
   Fixture f;
   f.start_both(1, true);
-  f.tracker.note_ran(f.job, f.replica, 1);
+  f.tracker.note_running(f.job, f.replica, 1);
   f.lose_one();
-  EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::give_up);
+  EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::abandon);
   f.record().end(0, false);
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::start);
   EXPECT_EQ(next_attempt(f.job, f.replica), 2u);
@@ -76,14 +76,14 @@
   Fixture f;
   f.start_both(3, false);
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::none);
-  f.tracker.note_absent(f.job, f.replica, 3);
-  EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::give_up);
+  f.tracker.note_task_missing(f.job, f.replica, 3);
+  EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::abandon);
 }
 
 TEST(GangTracker, APartThatIsAbsentBeforeReadinessMayBeOnItsWay) {
   Fixture f;
   f.start_both(1, true);
-  f.tracker.note_absent(f.job, f.replica, 1);
+  f.tracker.note_task_missing(f.job, f.replica, 1);
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::none);
 }
 
@@ -93,7 +93,7 @@
   f.record().start(0, 1, "i-1");
   f.record().start(1, 4, "i-2");
   EXPECT_TRUE(f.tracker.standing(f.job, f.replica).broken);
-  EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::give_up);
+  EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::abandon);
 }
 
 TEST(GangTracker, ASecondFailureEndsTheAttempt) {
@@ -103,7 +103,7 @@
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::complete);
   f.record().start(1, 1, "i-3");
   f.lose_one(ExitCause::error);
-  EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::give_up);
+  EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::abandon);
 }
 
 }  // namespace
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -102,7 +102,8 @@
       // replica=N [family=PLACE of the job's first] [distinct]
       j.replica = w.contains("replica");
       j.replica_number = static_cast<uint32_t>(num(w, "replica"));
-      j.family = static_cast<size_t>(num(w, "family", static_cast<double>(input_.jobs.size())));
+      j.replica_set =
+          static_cast<size_t>(num(w, "family", static_cast<double>(input_.jobs.size())));
       j.distinct_machines = w.contains("distinct");
       j.one_zone = w.contains("one_zone"), j.spread = w.contains("spread");
       j.spot = w.contains("spot"), j.cancelled = w.contains("cancelled");
@@ -110,7 +111,7 @@
       j.waiting = static_cast<uint32_t>(num(w, "waiting", j.tasks));
       j.unfinished = j.tasks;
       j.start_within_s = num(w, "within");
-      j.due_at = num(w, "due"), j.begun = w.contains("begun");
+      j.deadline = num(w, "due"), j.begun = w.contains("begun");
       j.accepted_at = static_cast<double>(input_.jobs.size());
       j.estimate_s = num(w, "estimate"), j.checkpoint_s = num(w, "saves"),
       j.grace_s = num(w, "grace");
@@ -255,7 +256,7 @@
     }
     for (auto& u : d.unschedulable)
       actual_.push_back("wait " + input_.jobs[u.job].id + " " + std::to_string(u.count) +
-                        (u.room_coming ? " (room coming)" : "") +
+                        (u.capacity_pending ? " (room coming)" : "") +
                         (u.zone != 0 ? " in " + zone_name(u.zone) : ""));
   }
   // Of those that the trace names.
