--- a/src/coordination/api/arrival_rate.hpp
+++ b/src/coordination/api/arrival_rate.hpp
@@ -1,17 +1,23 @@
-// How many requests a second arrive of late. Pure: time is passed in.
+/// Estimate of how many events arrive per second. Pure: the time is passed in.
 #pragma once
 #include <cmath>
 
 namespace damsonport {
 
-// An exponentially weighted average: what is older than the window counts little.
+/// Exponentially weighted average of the arrival rate: an event's weight falls to 1/e within one
+/// window.
 class ArrivalRate {
  public:
+  /// `window_s`: the averaging window in seconds.
   explicit ArrivalRate(double window_s) : window_s_(window_s) {}
+
+  /// Counts one event at `now` (seconds of any steady clock, never decreasing).
   void note(double now) {
     per_s_ = at(now) + 1 / window_s_;
     noted_at_ = now;
   }
+
+  /// Events per second as of `now`.
   double at(double now) const { return per_s_ * std::exp((noted_at_ - now) / window_s_); }
 
  private:
--- /dev/null
+++ b/src/coordination/api/submission_batcher.cpp
@@ -0,0 +1,115 @@
+#include "coordination/api/submission_batcher.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <set>
+
+namespace damsonport {
+
+namespace {
+
+/// How long run() sleeps without a submission before it looks at the stop token again.
+constexpr double idle_wait_s = 60;
+/// Body size of one transaction, well below what the key-value store takes.
+constexpr size_t max_transaction_bytes = size_t{48} * 1024;
+/// Upper bounds for a job's record without its machine types, and for each of those.
+constexpr size_t record_bytes = 1024;
+constexpr size_t machine_type_bytes = 210;
+
+size_t estimated_bytes(const JobSpec& spec) {
+  return record_bytes + spec.types.size() * machine_type_bytes;
+}
+
+bool has_failed(const TransactionResult& result, const std::string& job) {
+  return std::any_of(result.failed.begin(), result.failed.end(), [&](const std::string& key) {
+    return key == keys::job(job) || key == keys::final_state(job);
+  });
+}
+
+}  // namespace
+
+SubmissionBatcher::SubmissionBatcher(Loop& loop, const Settings& settings, KeyValueClient& store,
+                                     RecordCache& cache)
+    : settings_(settings), store_(store), cache_(cache), queue_(loop) {}
+
+Task<void> SubmissionBatcher::run(std::stop_token stop_token) {
+  while (!stop_token.stop_requested()) {
+    if (queue_.empty()) {
+      co_await queue_.wait_for_arrival(idle_wait_s, stop_token);
+      if (queue_.empty()) continue;
+    }
+    co_await commit(take_batch());
+  }
+}
+
+// As many of the waiting submissions as one transaction holds, in their order.
+SubmissionBatcher::Batch SubmissionBatcher::take_batch() {
+  const auto max_writes = static_cast<size_t>(settings_.state_limits.always().txn_writes);
+  auto& waiting = queue_.entries();
+  Batch batch;
+  std::set<std::string> ids;
+  size_t bytes = 0;
+  for (auto it = waiting.begin(); it != waiting.end() && batch.size() < max_writes;) {
+    auto* entry = *it;
+    const size_t size = estimated_bytes(entry->request);
+    // Of the same job submitted twice, the second waits for the next transaction.
+    if (bytes + size > max_transaction_bytes || !ids.insert(entry->request.id).second) {
+      ++it;
+      continue;
+    }
+    bytes += size;
+    batch.push_back(entry);
+    it = waiting.erase(it);
+  }
+  return batch;
+}
+
+// Creates every record of the batch, provided that none of the jobs is known.
+Transaction SubmissionBatcher::transaction_for(const Batch& batch) const {
+  const uint32_t chunk = chunk_size(settings_.state_limits.always().value_kb);
+  Transaction transaction;
+  for (auto* entry : batch) {
+    const JobSpec& spec = entry->request;
+    transaction.preconditions[keys::job(spec.id)] = 0;
+    transaction.preconditions[keys::final_state(spec.id)] = 0;
+    transaction.writes.push_back({keys::job(spec.id), encode_job_record(spec, chunk), 0});
+  }
+  return transaction;
+}
+
+Task<void> SubmissionBatcher::commit(Batch batch) {
+  while (!batch.empty()) {
+    Transaction transaction = transaction_for(batch);
+    auto writes = transaction.writes;
+    auto result = co_await store_.compare_and_swap(std::move(transaction), Importance::accepting);
+    if (result.outcome == TransactionOutcome::conflict && !result.failed.empty()) {
+      // The jobs whose precondition failed are known already; the others are tried again.
+      const auto first_known = std::stable_partition(
+          batch.begin(), batch.end(),
+          [&](const Queue::Entry* entry) { return !has_failed(result, entry->request.id); });
+      Batch known(first_known, batch.end());
+      batch.erase(first_known, batch.end());
+      if (known.empty()) std::swap(known, batch);
+      resolve_all(known, SubmissionOutcome::already_known);
+      continue;
+    }
+    // Without a definite result nobody is kept waiting: the same id may be submitted again.
+    const bool committed = result.outcome == TransactionOutcome::committed;
+    if (committed) {
+      cache_.apply_writes(writes, result.revision);
+      for (auto* entry : batch) {
+        const JobSpec& spec = entry->request;
+        spdlog::debug("accepted {}: {} x {} of {}", spec.id, spec.tasks, spec.job_class, spec.team);
+      }
+    }
+    resolve_all(batch, committed ? SubmissionOutcome::accepted : SubmissionOutcome::unavailable);
+    co_return;
+  }
+}
+
+void SubmissionBatcher::resolve_all(const Batch& batch, SubmissionOutcome outcome) {
+  for (auto* entry : batch) entry->resolve(outcome);
+}
+
+}  // namespace damsonport
--- a/src/coordination/api/user_api.hpp
+++ b/src/coordination/api/user_api.hpp
@@ -1,57 +1,53 @@
-// The users' interface: submissions, polls and cancellations.
+/// The users' interface: submission, status and cancellation of jobs.
 #pragma once
-#include <deque>
 #include <optional>
-#include <vector>
+#include <string>
 
-#include "coordination/api/arrival_rate.hpp"
+#include "coordination/api/job_status_reader.hpp"
+#include "coordination/api/responses.hpp"
+#include "coordination/api/submission_batcher.hpp"
+#include "coordination/api/write_demand.hpp"
 #include "coordination/autoscaling/machine_type_catalog.hpp"
 #include "coordination/leadership/version_registry.hpp"
-#include "storage/record_cache.hpp"
 
 namespace damsonport {
 
-// 400, which is not asked again.
-HttpResponse bad_request(const std::string& why);
-
+/// Handles the requests of users on any controller, leader or not.
+///
+/// Owns the submissions that wait to be written, the status requests that wait to be confirmed
+/// and the estimate of the writes they need. The background tasks run_submissions() and
+/// run_confirmations() serve the two queues; the other members may be called from any coroutine of
+/// the event loop. What is passed to the constructor has to outlive the object.
 class UserApi {
  public:
   UserApi(Loop& loop, const Settings& settings, KeyValueClient& store, RecordCache& cache,
           MachineTypeCatalog& catalog, const VersionRegistry& versions);
-  Task<void> run_accept_loop(std::stop_token stop_token);
-  Task<void> run_confirm_loop(std::stop_token stop_token);
-  // Writes that users ask for: those that wait, those told to come back a moment ago, and what is
-  // likely to arrive in the next second.
+
+  Task<void> run_submissions(std::stop_token stop_token);
+  Task<void> run_confirmations(std::stop_token stop_token);
+
+  /// Writes per second that users ask for: those that wait, those rejected a moment ago, and what
+  /// is likely to arrive.
   double wanted_writes() const;
-  void forget_refused() { refused_ = std::exchange(refused_lately_, 0); }
+  /// To be called once a period; see WriteDemand.
+  void begin_demand_period() { demand_.begin_period(); }
+
+  /// Submits the job that the CBOR `body` describes. Idempotent by the job's id.
   Task<HttpResponse> submit(std::string body);
+  /// The status of the job.
   Task<HttpResponse> poll(std::string id);
+  /// Cancels the job. Idempotent; a job that has ended keeps its state.
   Task<HttpResponse> cancel(std::string id);
 
  private:
-  enum class Accepted : uint8_t { fresh, known, unavailable };
-  struct Submission {
-    JobSpec spec;
-    Accepted result = Accepted::unavailable;
-    std::coroutine_handle<> waiter{};
-  };
-  enum class Confirmed : uint8_t { yes, changed, unavailable };
-  struct Question {
-    std::string id;
-    uint64_t version;  // of the job's record; 0: neither accepted nor over
-    Confirmed result = Confirmed::unavailable;
-    std::coroutine_handle<> waiter{};
-  };
-  template <class T>
-  struct Queued;  // waits in a queue for its duty's answer
-  Task<HttpResponse> state_of(std::string id);
-  Task<std::optional<HttpResponse>> read_state(std::string id);
-  // As many of those that wait as one transaction holds.
-  std::vector<Submission*> next_submissions();
-  Task<void> accept(std::vector<Submission*> batch);
-  static void finish(const std::vector<Submission*>& submissions, Accepted result);
-  HttpResponse progress(const Job& job) const;
-  HttpResponse busy() const;
+  Task<HttpResponse> status_response(std::string id);
+  Task<HttpResponse> reject(std::string id, std::string reason);
+  Task<HttpResponse> record(JobSpec spec);
+  bool controllers_support(const JobSpec& spec) const;
+  std::optional<double> overload_retry_after() const;
+  Task<std::optional<HttpResponse>> try_cancel(std::string id);
+  Task<std::optional<HttpResponse>> cancel_without_record(std::string id);
+  Task<std::optional<HttpResponse>> write_cancellation(std::string id, KeyValue record);
 
   Loop& loop_;
   const Settings& settings_;
@@ -59,11 +55,9 @@
   RecordCache& cache_;
   MachineTypeCatalog& catalog_;
   const VersionRegistry& versions_;
-  Notification submitted_, asked_;
-  std::deque<Submission*> submissions_;
-  ArrivalRate write_arrivals_;  // submissions and cancellations that need a write
-  size_t refused_ = 0, refused_lately_ = 0;
-  std::deque<Question*> questions_;
+  JobStatusReader statuses_;
+  SubmissionBatcher submissions_;
+  WriteDemand demand_;
 };
 
 }  // namespace damsonport
--- /dev/null
+++ b/src/coordination/api/version_confirmer.cpp
@@ -0,0 +1,90 @@
+#include "coordination/api/version_confirmer.hpp"
+
+#include <algorithm>
+
+#include "storage/records.hpp"
+
+namespace damsonport {
+
+namespace {
+
+/// How long run() sleeps without a check before it looks at the stop token again.
+constexpr double idle_wait_s = 60;
+/// Checks that arrive within this time of the first one share its transaction.
+constexpr double batching_delay_s = 0.02;
+constexpr size_t max_waiting = 256;
+/// The record's version, and where there is none, the absence of a final state.
+constexpr size_t max_conditions_per_check = 2;
+
+bool has_failed(const TransactionResult& result, const std::string& key) {
+  return std::find(result.failed.begin(), result.failed.end(), key) != result.failed.end();
+}
+
+}  // namespace
+
+VersionConfirmer::VersionConfirmer(Loop& loop, const Settings& settings, KeyValueClient& store)
+    : loop_(loop),
+      store_(store),
+      max_conditions_(static_cast<size_t>(settings.state_limits.always().txn_conditions())),
+      queue_(loop) {}
+
+bool VersionConfirmer::is_full() const { return queue_.size() >= max_waiting; }
+
+Task<void> VersionConfirmer::run(std::stop_token stop_token) {
+  while (!stop_token.stop_requested()) {
+    if (queue_.empty()) {
+      co_await queue_.wait_for_arrival(idle_wait_s, stop_token);
+      if (!co_await Sleep(loop_, batching_delay_s, stop_token)) break;
+      if (queue_.empty()) continue;
+    }
+    PreparedBatch batch = take_batch();
+    const auto result =
+        co_await store_.compare_and_swap(std::move(batch.transaction), Importance::polling);
+    const Batch unresolved = resolve(batch.checks, result);
+    batch.deferred.insert(batch.deferred.end(), unresolved.begin(), unresolved.end());
+    queue_.push_front(batch.deferred);
+  }
+}
+
+VersionConfirmer::PreparedBatch VersionConfirmer::take_batch() {
+  PreparedBatch batch;
+  auto& preconditions = batch.transaction.preconditions;
+  auto& waiting = queue_.entries();
+  while (!waiting.empty() && preconditions.size() + max_conditions_per_check <= max_conditions_) {
+    auto* entry = waiting.front();
+    waiting.pop_front();
+    const auto& [job, version] = entry->request;
+    // One transaction confirms one version of a job: the cache changed between these two checks.
+    const auto [condition, inserted] = preconditions.try_emplace(keys::job(job), version);
+    if (!inserted && condition->second != version) {
+      batch.deferred.push_back(entry);
+      continue;
+    }
+    batch.checks.push_back(entry);
+    if (version == 0) preconditions[keys::final_state(job)] = 0;
+  }
+  return batch;
+}
+
+VersionConfirmer::Batch VersionConfirmer::resolve(const Batch& checks,
+                                                  const TransactionResult& result) {
+  Batch unresolved;
+  for (auto* entry : checks) {
+    const std::string& job = entry->request.job;
+    if (result.outcome == TransactionOutcome::committed) {
+      entry->resolve(Confirmation::confirmed);
+    } else if (result.outcome != TransactionOutcome::conflict) {
+      entry->resolve(Confirmation::unavailable);
+    } else if (result.failed.empty() || has_failed(result, keys::job(job)) ||
+               has_failed(result, keys::final_state(job))) {
+      entry->resolve(Confirmation::changed);
+    } else {
+      // A conflict need not name every precondition that failed. Nothing is known of those that it
+      // leaves out: they are checked again. Each round resolves at least one check.
+      unresolved.push_back(entry);
+    }
+  }
+  return unresolved;
+}
+
+}  // namespace damsonport
