--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -5,48 +5,91 @@
 #include <algorithm>
 #include <cmath>
 
+#include "coordination/api/routes.hpp"
 #include "coordination/leadership/connection_policy.hpp"
 
 namespace damsonport {
 
 namespace {
-constexpr size_t max_body = size_t{64} * 1024;  // by the protocol
-// What the HTTP library takes: beyond it the answer is the library's own, which is no CBOR.
-constexpr size_t max_read = 4 * max_body;
-// Sockets kept free of users and workers for state service, cloud, peers and health probes.
-constexpr int kept_sockets = 64;
+
+/// By the protocol.
+constexpr size_t max_body_bytes = size_t{64} * 1024;
+/// What the HTTP library reads: a longer body gets the library's own answer, which is not CBOR.
+constexpr size_t max_read_bytes = 4 * max_body_bytes;
+/// Sockets kept free of users and workers: for the key-value store, the cloud, the other
+/// controllers and health probes.
+constexpr int reserved_sockets = 64;
+/// At least this share of the reserved sockets may stay open while idle.
+constexpr size_t min_idle_connections = reserved_sockets / 4;
+/// After this time without a request a connection is closed, in seconds.
 constexpr double idle_connection_s = 45;
+/// Housekeeping runs this often per heartbeat interval.
+constexpr double housekeeping_runs_per_heartbeat = 3;
+/// The oldest contact with the key-value store that is told to the other controllers, in seconds.
+constexpr double max_reported_age_s = 1e6;
+/// Without contact with the key-value store for this share of a worker's lease, a controller is
+/// unhealthy, provided that another one has contact.
+constexpr double contact_lease_share = 0.25;
+constexpr double unhealthy_retry_after_s = 1;
 
-constexpr std::string_view jobs_path = "/api/jobs", heartbeat_path = "/hello";
+/// Names of the background tasks, for the log.
+namespace background_task {
+constexpr const char* record_cache = "record cache";
+constexpr const char* machine_type_catalog = "machine type catalog";
+constexpr const char* peer_heartbeats = "peer heartbeats";
+constexpr const char* region_exchange = "region exchange";
+constexpr const char* version_announcement = "version announcement";
+constexpr const char* exit_forwarder = "exit forwarder";
+constexpr const char* election = "election";
+constexpr const char* shard_leader = "shard leader";
+constexpr const char* machine_maintenance = "machine maintenance";
+constexpr const char* machine_list = "machine list";
+constexpr const char* submissions = "submissions";
+constexpr const char* confirmations = "confirmations";
+constexpr const char* housekeeping = "housekeeping";
+}  // namespace background_task
 
-// Of users and workers.
-size_t max_connections(const Settings& s) {
-  const int left = s.max_sockets - kept_sockets - ShardLeader::direct_sockets(s);
-  return static_cast<size_t>(std::max(left, s.max_sockets / 2));
+// Connections of users and workers.
+size_t max_connections(const Settings& settings) {
+  const int unreserved =
+      settings.max_sockets - reserved_sockets - ShardLeader::direct_sockets(settings);
+  return static_cast<size_t>(std::max(unreserved, settings.max_sockets / 2));
 }
 
-// Integers that JSON numbers of any reader can hold.
-uint64_t new_incarnation(Loop& loop) { return loop.random64() >> 12; }
+// Small enough for a JSON number, which any reader takes exactly up to 2^53.
+uint64_t new_incarnation(Loop& loop) {
+  constexpr int dropped_bits = 12;
+  return loop.random64() >> dropped_bits;
+}
 
-std::vector<std::string> peer_names(const Settings& s) {
-  std::vector<std::string> out;
-  for (auto& p : s.peers) out.push_back(p.name);
-  return out;
+std::vector<std::string> peer_names(const Settings& settings) {
+  std::vector<std::string> names;
+  for (auto& peer : settings.peers) names.push_back(peer.name);
+  return names;
 }
 
-// A fifth of the node's plain share of requests goes to watching.
-double watch_gap(const Settings& settings) {
-  constexpr double watch_share = 0.2, least_per_s = 2.0;
+// Seconds between two watches of the cache: they take a fixed part of the controller's equal share
+// of the requests.
+double watch_interval_s(const Settings& settings) {
+  constexpr double watch_share = 0.2;
+  constexpr double min_watches_per_s = 2.0;
   const double share = settings.state_limits.always().requests_per_s / settings.controller_count;
-  return 1.0 / std::max(share * watch_share, least_per_s);
+  return 1.0 / std::max(share * watch_share, min_watches_per_s);
 }
 
-// Of the requests: the others confirm what users are told.
-double share_of(bool is_leading, int controllers) {
-  if (controllers <= 1) return 1;
+// Of the requests to the key-value store: the followers need theirs to confirm what users are told.
+double request_share(bool is_leading, int controllers) {
   constexpr double leader_share = 0.5;
+  if (controllers <= 1) return 1;
   return is_leading ? leader_share : (1 - leader_share) / (controllers - 1);
 }
+
+Requester requester_of(std::string_view path) {
+  if (is_user_path(path)) return Requester::user;
+  if (is_worker_path(path)) return Requester::worker;
+  return Requester::other;
+}
+
 }  // namespace
 
 Controller::Controller(Loop& loop, Network& network, const Settings& settings,
@@ -57,7 +100,7 @@
       http_(network.client()),
       store_(loop, *http_, settings.state, settings.state_limits),
       changed_(loop),
-      cache_(loop, store_, watch_gap(settings), settings.clock_off_s,
+      cache_(loop, store_, watch_interval_s(settings), settings.clock_off_s,
              settings.state_limits.present().writes_per_s),
       catalog_(loop, *http_, settings),
       cancellations_(incarnation_, peer_names(settings)),
@@ -71,16 +114,16 @@
                      cancellations_, election_, versions_, exit_forwarder_, quotas_, regions_,
                      changed_, incarnation_}),
       api_(loop, settings, store_, cache_, catalog_, versions_),
-      server_(network.server(max_read, max_connections(settings), idle_connection_s,
-                             [this](HttpRequest r) { return route(std::move(r)); })) {
-  // Idle connections to workers take what the workers, users and orders under way leave.
-  http_->bound_idle([this] {
-    const auto all = static_cast<size_t>(settings_.max_sockets);
-    const auto taken = server_->open() + http_->in_use() + kept_sockets;
-    return std::max(all > taken ? all - taken : 0, static_cast<size_t>(kept_sockets) / 4);
-  });
+      server_(network.server(max_read_bytes, max_connections(settings), idle_connection_s,
+                             [this](HttpRequest request) { return handle(std::move(request)); })) {
+  connect_callbacks();
+}
+
+void Controller::connect_callbacks() {
+  http_->bound_idle([this] { return max_idle_connections(); });
   cache_.on_change = [this](Job* job) {
-    // What this node confirmed or read itself nobody else may know yet.
+    // A version beyond the watch's was written or read by this controller itself: the others may
+    // not know it yet.
     if (job && job->cancelled && cancellations_.record(job->spec.id, job->cancelled_since) &&
         job->version > cache_.revision())
       peer_network_.wake();
@@ -99,7 +142,23 @@
   };
 }
 
+// Idle connections to workers take the sockets that the connections of workers and users and the
+// requests in progress leave.
+size_t Controller::max_idle_connections() const {
+  const auto all = static_cast<size_t>(settings_.max_sockets);
+  const auto taken = server_->open() + http_->in_use() + reserved_sockets;
+  return std::max(all > taken ? all - taken : 0, min_idle_connections);
+}
+
 bool Controller::start() {
+  if (!listen()) return false;
+  spdlog::info("{} in {} serves on {}", settings_.controller_name, settings_.zone,
+               settings_.listen.text());
+  start_background_tasks();
+  return true;
+}
+
+bool Controller::listen() {
   if (!server_->bind(settings_.listen)) {
     spdlog::error("cannot listen on {}", settings_.listen.text());
     return false;
@@ -112,42 +171,45 @@
     spdlog::error("cannot listen for the controllers of other regions");
     return false;
   }
-  spdlog::info("{} in {} serves on {}", settings_.controller_name, settings_.zone,
-               settings_.listen.text());
-  auto stop_token = loop_.stop_token();
-  loop_.spawn("cache", cache_.follow(stop_token));
-  loop_.spawn("catalogue", catalog_.follow(stop_token));
-  loop_.spawn("peers",
+  return true;
+}
+
+void Controller::start_background_tasks() {
+  namespace names = background_task;
+  const auto stop_token = loop_.stop_token();
+  loop_.spawn(names::record_cache, cache_.follow(stop_token));
+  loop_.spawn(names::machine_type_catalog, catalog_.follow(stop_token));
+  loop_.spawn(names::peer_heartbeats,
               peer_network_.send_heartbeats([this] { return next_heartbeat(); }, stop_token));
-  loop_.spawn("regions",
+  loop_.spawn(names::region_exchange,
               regions_.run([this] { return shard_leader_.fencing_token(); }, stop_token));
-  loop_.spawn("version", versions_.announce(stop_token));
-  loop_.spawn("exit relay", exit_forwarder_.run(stop_token));
-  loop_.spawn("election", election_.run(stop_token));
-  loop_.spawn("holder", shard_leader_.run(stop_token));
-  loop_.spawn("machines", shard_leader_.run_maintenance(stop_token));
-  loop_.spawn("machine list", shard_leader_.follow_machine_list(stop_token));
-  loop_.spawn("accepting", api_.run_accept_loop(stop_token));
-  loop_.spawn("confirming", api_.run_confirm_loop(stop_token));
-  loop_.spawn("housekeeping", housekeeping(stop_token));
-  return true;
+  loop_.spawn(names::version_announcement, versions_.announce(stop_token));
+  loop_.spawn(names::exit_forwarder, exit_forwarder_.run(stop_token));
+  loop_.spawn(names::election, election_.run(stop_token));
+  loop_.spawn(names::shard_leader, shard_leader_.run(stop_token));
+  loop_.spawn(names::machine_maintenance, shard_leader_.run_maintenance(stop_token));
+  loop_.spawn(names::machine_list, shard_leader_.follow_machine_list(stop_token));
+  loop_.spawn(names::submissions, api_.run_submissions(stop_token));
+  loop_.spawn(names::confirmations, api_.run_confirmations(stop_token));
+  loop_.spawn(names::housekeeping, run_housekeeping(stop_token));
 }
 
 PeerHeartbeat Controller::next_heartbeat() const {
-  PeerHeartbeat b;
-  b.controller = settings_.controller_name;
-  b.incarnation = incarnation_;
-  b.state_age_ms = static_cast<uint64_t>(std::min(loop_.now() - store_.last_contact(), 1e6) * 1000);
-  b.waiting = shard_leader_.pending_tasks();
-  b.loaded = cache_.loaded();
-  b.misrouted_machines = shard_leader_.misrouted_machines();
-  b.writes = static_cast<uint64_t>(std::ceil(wanted_writes()));
-  b.fencing_token = shard_leader_.fencing_token();
-  return b;
-}
-
-// The leader writes nearly everything, and more when much fails at once: it counts as wanting half
-// of the limit always, and all of it where it isn't heard.
+  const double state_age_s = std::min(loop_.now() - store_.last_contact(), max_reported_age_s);
+  PeerHeartbeat heartbeat;
+  heartbeat.controller = settings_.controller_name;
+  heartbeat.incarnation = incarnation_;
+  heartbeat.state_age_ms = static_cast<uint64_t>(state_age_s * 1000);
+  heartbeat.waiting = shard_leader_.pending_tasks();
+  heartbeat.loaded = cache_.loaded();
+  heartbeat.misrouted_machines = shard_leader_.misrouted_machines();
+  heartbeat.writes = static_cast<uint64_t>(std::ceil(wanted_writes()));
+  heartbeat.fencing_token = shard_leader_.fencing_token();
+  return heartbeat;
+}
+
+// The leader writes nearly everything, and more when much fails at once: it always counts as
+// wanting half of the limit, and all of it where its heartbeats don't arrive.
 double Controller::wanted_writes() const {
   const double wanted = api_.wanted_writes();
   if (!election_.is_leading()) return wanted;
@@ -155,81 +217,73 @@
          static_cast<double>(shard_leader_.waiting_writes());
 }
 
-void Controller::share_limits() {
+void Controller::divide_store_limits() {
   const bool is_leading = election_.is_leading();
-  double others = static_cast<double>(peer_network_.wanted_writes());
-  if (!is_leading && !(cache_.has_leader() && peer_network_.alive(cache_.leader().controller)))
-    others += settings_.state_limits.present().writes_per_s;
-  store_.limit().set_shares(share_of(is_leading, settings_.controller_count),
-                            write_share(settings_.controller_count, wanted_writes(), others));
+  const bool is_leader_alive =
+      cache_.has_leader() && peer_network_.alive(cache_.leader().controller);
+  double wanted_by_others = static_cast<double>(peer_network_.wanted_writes());
+  if (!is_leading && !is_leader_alive)
+    wanted_by_others += settings_.state_limits.present().writes_per_s;
+  store_.limit().set_shares(
+      request_share(is_leading, settings_.controller_count),
+      write_share(settings_.controller_count, wanted_writes(), wanted_by_others));
 }
 
-Task<void> Controller::housekeeping(std::stop_token stop_token) {
-  const double period = settings_.heartbeat_interval_s / 3;
+Task<void> Controller::run_housekeeping(std::stop_token stop_token) {
+  const double interval_s = settings_.heartbeat_interval_s / housekeeping_runs_per_heartbeat;
   while (!stop_token.stop_requested()) {
-    share_limits();
+    divide_store_limits();
     cancellations_.forget_received_before(cache_.as_of());
-    api_.forget_refused();
+    api_.begin_demand_period();
     http_->trim(idle_connection_s);
     server_->tidy();
     spdlog::debug("connections: {} of users and workers, {} calls, {} idle", server_->open(),
                   http_->in_use(), http_->idle());
-    if (!co_await Sleep(loop_, period, stop_token)) co_return;
+    if (!co_await Sleep(loop_, interval_s, stop_token)) co_return;
   }
 }
 
-// A node that has lost the state service alone should leave the rotation; in an outage that all
-// see, leaving would only make users find nobody, and coming back is made slower each time.
+// A controller that alone has lost the key-value store should leave the load balancer's rotation.
+// In an outage that all see, leaving would only make users reach nobody, and coming back is made
+// slower each time.
 HttpResponse Controller::health() const {
-  if (!cache_.loaded() || !catalog_.known()) return {503, {}, 1};
-  const double limit = settings_.lease_s / 4;
-  bool contact = loop_.now() - store_.last_contact() < limit;
-  if (!contact && peer_network_.peer_has_state(limit)) return {503, {}, 1};
+  const HttpResponse unhealthy{503, {}, unhealthy_retry_after_s};
+  if (!cache_.loaded() || !catalog_.known()) return unhealthy;
+  const double max_age_s = settings_.lease_s * contact_lease_share;
+  const bool has_contact = loop_.now() - store_.last_contact() < max_age_s;
+  if (!has_contact && peer_network_.peer_has_state(max_age_s)) return unhealthy;
   return {200, {}, 0};
 }
 
-Task<HttpResponse> Controller::route(HttpRequest r) {
-  const auto requester = r.path.starts_with(jobs_path) ? Requester::user
-                         : r.path == heartbeat_path    ? Requester::worker
-                                                       : Requester::other;
-  auto response = co_await dispatch(std::move(r));
+Task<HttpResponse> Controller::handle(HttpRequest request) {
+  const auto requester = requester_of(request.path);
+  auto response = co_await dispatch(std::move(request));
   response.close = closes_after_answer(
       requester, {server_->open(), max_connections(settings_), shard_leader_.fleet_size()});
   co_return response;
 }
 
-Task<HttpResponse> Controller::dispatch(HttpRequest r) {
-  const HttpResponse wrong_method{405, {}, 0};
-  if (r.body.size() > max_body)
-    co_return bad_request("the body is longer than " + std::to_string(max_body) + " bytes");
-  std::string_view path = r.path;
-  if (path == heartbeat_path) {
-    if (r.method != Method::post) co_return wrong_method;
-    co_return shard_leader_.on_heartbeat(r);
-  }
-  if (path == "/healthz") {
-    if (r.method != Method::get) co_return wrong_method;
-    co_return health();
-  }
-  if (path == jobs_path) {
-    if (r.method != Method::post) co_return wrong_method;
-    co_return co_await api_.submit(std::move(r.body));
-  }
-  if (path.starts_with(jobs_path) && path.size() > jobs_path.size() + 1 &&
-      path[jobs_path.size()] == '/') {
-    auto rest = path.substr(jobs_path.size() + 1);
-    auto slash = rest.find('/');
-    std::string id(rest.substr(0, slash));
-    if (slash == std::string_view::npos) {
-      if (r.method != Method::get) co_return wrong_method;
-      co_return co_await api_.poll(std::move(id));
-    }
-    if (rest.substr(slash) == "/cancel") {
-      if (r.method != Method::post) co_return wrong_method;
-      co_return co_await api_.cancel(std::move(id));
-    }
+Task<HttpResponse> Controller::dispatch(HttpRequest request) {
+  if (request.body.size() > max_body_bytes)
+    co_return bad_request("the body is longer than " + std::to_string(max_body_bytes) + " bytes");
+  Route route = match_route(request.path);
+  if (route.resource == Resource::unknown) co_return not_found();
+  if (request.method != route.method) co_return method_not_allowed();
+  switch (route.resource) {
+    case Resource::worker_heartbeat:
+      co_return shard_leader_.on_heartbeat(request);
+    case Resource::health:
+      co_return health();
+    case Resource::job_collection:
+      co_return co_await api_.submit(std::move(request.body));
+    case Resource::job:
+      co_return co_await api_.poll(std::move(route.job));
+    case Resource::job_cancellation:
+      co_return co_await api_.cancel(std::move(route.job));
+    case Resource::unknown:
+      break;
   }
-  co_return HttpResponse{404, {}, 0};
+  co_return not_found();
 }
 
 }  // namespace damsonport
--- a/src/coordination/controller.hpp
+++ b/src/coordination/controller.hpp
@@ -1,38 +1,53 @@
-// One controller: its parts, its routes and its duties.
+/// One controller of the fleet: its components, its HTTP routes and its background tasks.
 #pragma once
 #include "coordination/api/user_api.hpp"
 #include "coordination/shard_leader/shard_leader.hpp"
 
 namespace damsonport {
 
+/// Builds the components of a controller, connects them, and runs them on one event loop.
+///
+/// Every component is owned by the controller as a member; the members are declared in the order
+/// of their dependencies, so that each outlives those that refer to it. Each background task that
+/// start() spawns belongs to one component and alone writes that component's state, except for
+/// what request handlers and the callbacks of connect_callbacks() change. All of it runs on the
+/// loop's thread. The loop, the network and the settings have to outlive the controller, and the
+/// controller has to outlive the run of the loop.
 class Controller {
  public:
-  // `regions`: among which the teams' limits are divided; null: there is this region only.
+  /// `regions`: among which the teams' limits are divided; null where there is one region only.
   Controller(Loop& loop, Network& network, const Settings& settings,
              const RegionSettings* regions = nullptr);
-  // False when an address can't be had.
+
+  /// Listens, and starts the background tasks. False when an address can't be listened on; the
+  /// reason is logged, and nothing has been started.
   bool start();
-  // Replicas of several parts, where this node holds the grant.
+  /// The status of replicas of several parts, where this controller leads their shard.
   std::vector<replicas::ReplicaStatus> replica_statuses() {
     return shard_leader_.replica_statuses();
   }
+  /// The TCP port of the HTTP server, valid after start().
   uint16_t port() const { return server_->port(); }
 
  private:
-  Task<HttpResponse> route(HttpRequest request);
+  void connect_callbacks();
+  bool listen();
+  void start_background_tasks();
+  Task<HttpResponse> handle(HttpRequest request);
   Task<HttpResponse> dispatch(HttpRequest request);
   HttpResponse health() const;
+  size_t max_idle_connections() const;
   double wanted_writes() const;
   PeerHeartbeat next_heartbeat() const;
-  void share_limits();
-  Task<void> housekeeping(std::stop_token stop_token);
+  void divide_store_limits();
+  Task<void> run_housekeeping(std::stop_token stop_token);
 
   Loop& loop_;
   const Settings& settings_;
-  uint64_t incarnation_;
+  uint64_t incarnation_;  // of this run of the program
   std::unique_ptr<HttpClient> http_;
   KeyValueClient store_;
-  Notification changed_;
+  Notification changed_;  // wakes the shard leader
   RecordCache cache_;
   MachineTypeCatalog catalog_;
   CancellationGossip cancellations_;
