--- /dev/null
+++ b/src/coordination/autoscaling/scale_in.cpp
@@ -0,0 +1,130 @@
+#include "coordination/autoscaling/scale_in.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <limits>
+#include <map>
+
+namespace damsonport {
+
+namespace {
+constexpr size_t max_machines_a_call = 100;
+// A tick; the cloud's call rate is also needed for scaling out.
+constexpr size_t max_calls_a_tick = 4;
+constexpr double cloud_timeout_s = 3.0;
+}  // namespace
+
+void ScaleIn::begin_lease(uint64_t fencing_token) {
+  fencing_token_ = fencing_token;
+  tracker_.clear();
+}
+
+void ScaleIn::request(const std::string& machine, const std::string& why, ScaleInCause cause) {
+  if (!tracker_.request(machine, cause)) return;
+  deps_.on_requested(machine);
+  spdlog::info("returning {}: {}", machine, why);
+}
+
+void ScaleIn::resume(const std::string& machine) {
+  tracker_.request(machine, ScaleInCause::policy);
+}
+
+void ScaleIn::note_heartbeat(const std::string& machine) {
+  if (!tracker_.is_declared_dead(machine)) return;
+  if (tracker_.heard_again(machine, deps_.cache.has_tombstone(machine)))
+    spdlog::info("{} sends heartbeats again and is kept", machine);
+}
+
+size_t ScaleIn::most_per_tombstone() const {
+  return machines_per_tombstone(deps_.settings.state_limits.always().value_kb);
+}
+
+// Many machines fail together, and the tasks of each wait for its return: so their tombstones are
+// written in bulk, a hundred in one record, and those of the most urgent tasks first.
+Task<void> ScaleIn::return_machines(ScaleInTracker::Selection selection,
+                                    std::stop_token stop_token) {
+  co_await write_deferred_tombstones();
+  for (size_t calls = 0; calls < max_calls_a_tick && deps_.is_leading(); ++calls) {
+    std::vector<std::string> unmarked;
+    std::vector<std::string> marked;
+    for (auto& machine : tracker_.ready_for_return(selection))
+      (deps_.cache.has_tombstone(machine) ? marked : unmarked).push_back(machine);
+    if (unmarked.empty() && marked.empty()) co_return;
+    if (!unmarked.empty()) {
+      sort_most_urgent_first(unmarked);
+      if (unmarked.size() > most_per_tombstone()) unmarked.resize(most_per_tombstone());
+      const bool written = co_await write_tombstones(unmarked);
+      if (!deps_.is_leading()) co_return;
+      if (!written && !defer_tombstones(unmarked)) co_return;
+      marked = std::move(unmarked);
+    }
+    if (marked.size() > max_machines_a_call) marked.resize(max_machines_a_call);
+    if (stop_token.stop_requested() || !co_await ask_cloud(std::move(marked))) co_return;
+  }
+}
+
+Task<void> ScaleIn::write_deferred_tombstones() {
+  if (!deps_.contact.in_contact()) co_return;
+  const auto machines = tracker_.awaiting_tombstone(most_per_tombstone());
+  if (machines.empty() || !co_await write_tombstones(machines)) co_return;
+  for (auto& machine : machines) tracker_.note_tombstone_written(machine);
+}
+
+void ScaleIn::sort_most_urgent_first(std::vector<std::string>& machines) const {
+  constexpr int most_urgent = std::numeric_limits<int>::max() / 2;
+  std::map<std::string, int> urgency;
+  for (auto& machine : machines) {
+    if (tracker_.keeps_cancelled_task(machine)) urgency[machine] = most_urgent;
+    for (auto& [task, attempt] : deps_.cache.assigned(machine))
+      urgency[machine] += task.job->spec.priority >= Priority::high && !task.job->cancelled;
+  }
+  std::stable_sort(machines.begin(), machines.end(),
+                   [&](auto& a, auto& b) { return urgency[a] > urgency[b]; });
+}
+
+// No tombstone can be written in an outage of the store, and a cancelled task must end all the
+// same. Nobody can place anything either. The tombstone is written after the outage; a shard leader
+// that doesn't know of the return declares the machine dead and returns it once more. Keeps only
+// the machines that must go now; false: there are none.
+bool ScaleIn::defer_tombstones(std::vector<std::string>& machines) {
+  std::erase_if(machines, [&](auto& machine) { return !tracker_.keeps_cancelled_task(machine); });
+  if (deps_.contact.in_contact() || machines.empty()) return false;
+  for (auto& machine : machines) tracker_.defer_tombstone(machine);
+  return true;
+}
+
+Task<bool> ScaleIn::write_tombstones(std::vector<std::string> machines) {
+  // A key of its own for each batch: a record that is written again would lose the machines it had.
+  const auto key = keys::tombstone(std::to_string(deps_.incarnation) + "-" +
+                                   std::to_string(deps_.loop.random64()));
+  Transaction transaction;
+  transaction.preconditions[keys::shard_table] = deps_.cache.shard_table_version();
+  transaction.preconditions[key] = 0;
+  transaction.writes.push_back({key, {{"machines", std::move(machines)}}, 0});
+  auto writes = transaction.writes;
+  auto reply =
+      co_await deps_.store.compare_and_swap(std::move(transaction), Importance::scheduling);
+  if (reply.outcome != TransactionOutcome::committed) co_return false;
+  deps_.cache.apply_writes(writes, reply.revision);
+  co_return true;
+}
+
+Task<bool> ScaleIn::ask_cloud(std::vector<std::string> machines) {
+  for (auto& machine : machines) tracker_.begin_return_call(machine);
+  const auto fencing_token = fencing_token_;
+  auto reply = co_await deps_.http.request(deps_.settings.cloud, Method::post, "/hosts/return",
+                                           encode_return(machines), cloud_timeout_s);
+  if (fencing_token != fencing_token_) co_return false;
+  for (auto& machine : machines) tracker_.end_return_call(machine);
+  if (reply.status != 200) co_return false;
+  for (auto& machine : machines) {
+    const bool declared_dead = tracker_.confirm_return(machine);
+    deps_.on_returned(machine, declared_dead);
+  }
+  spdlog::info("returned {} machine{}", machines.size(), machines.size() == 1 ? "" : "s");
+  deps_.changed.notify();
+  co_return true;
+}
+
+}  // namespace damsonport
--- a/src/coordination/shard_leader/shard_leader.cpp
+++ b/src/coordination/shard_leader/shard_leader.cpp
@@ -18,6 +18,7 @@
                       contact_, machine_list_, direct_sockets(settings_)),
       gangs_(loop_, settings_, *this),
       replicas_(loop_, settings_, cache_, *this, gangs_),
+      scale_in_(scale_in_dependencies()),
       scale_out_requests_(loop_, settings_, deps.store, cache_, deps.http, deps.incarnation),
       rechunker_(loop_, settings_, cache_, deps.store, deps.versions,
                  [this](Transaction transaction, std::stop_token stop_token) {
@@ -70,16 +71,11 @@
   exits_.clear();
   stopping_.clear();
   cancelled_.clear();
-  overdue_.clear();
-  awaiting_tombstone_.clear();
-  to_return_.clear();
-  returned_.clear();
-  declared_dead_.clear();
+  scale_in_.begin_lease(fencing_token_);
   lost_capacity_.clear();
   rechunker_.clear();
   uncommitted_starts_ = 0;
   send_queue_.clear();
-  returning_.clear();
   booting_.clear();
   scale_out_requests_.begin_lease(fencing_token_);
   cost_account_.begin_lease(lease_acquired_at_);
@@ -99,7 +95,7 @@
   // Marked by an earlier holder, who may not have got round to it.
   // Those on which nothing is placed any more are returned again where the machine list names them.
   for (auto& [id, mark] : cache_.tombstones())
-    if (!cache_.assigned(id).empty()) to_return_[id] = "marked by an earlier holder";
+    if (!cache_.assigned(id).empty()) scale_in_.resume(id);
   for (auto& [id, job] : cache_.jobs()) {
     if (is_cancelled(*job)) cancelled_.insert(id);
     if (is_over(*job)) over_.insert(id);
@@ -125,6 +121,7 @@
   if (!own && fencing_token_ != 0) {
     spdlog::info("the grant with term {} has gone to another holder", fencing_token_);
     fencing_token_ = 0;
+    scale_in_.end_lease();
     scale_out_requests_.begin_lease(0);
   }
   if (!deps_.election.is_leading()) co_return fencing_token_ != 0;
@@ -245,15 +242,16 @@
     // What changes with time alone: pauses that are over, machines in doubt.
     if (pending_tasks_ > 0 || !held_back_.empty()) scheduling_requested_ = true;
     if (deps_.election.is_leading()) {
-      co_await return_machines(false, stop_token);
+      co_await scale_in_.return_machines(ScaleInTracker::Selection::all, stop_token);
       if (is_leading() && loop_.now() >= next_scaling_at_) {
         next_scaling_at_ = loop_.now() + settings_.heartbeat_interval_s / 2;
         scale_out(stop_token);
       }
-    } else if (!overdue_.empty()) {
+    } else if (scale_in_.tracker().any_keeps_cancelled_task()) {
       // A holder whose leadership ended and whose successor is gone too, in an outage: what others
       // can't return, since they see it hold.
-      co_await return_machines(true, stop_token);
+      co_await scale_in_.return_machines(ScaleInTracker::Selection::only_with_cancelled_task,
+                                         stop_token);
     }
     deps_.changed.notify();
   }
@@ -310,7 +308,8 @@
 std::optional<HttpResponse> ShardLeader::answer_repeated_heartbeat(const HttpRequest& request) {
   if (!is_leading() || is_deposed()) return std::nullopt;
   const auto repeat = deduplicator_.find(request.body);
-  if (!repeat || faults_.any() || declared_dead_.contains(repeat->machine)) return std::nullopt;
+  if (!repeat || faults_.any() || scale_in_.tracker().is_declared_dead(repeat->machine))
+    return std::nullopt;
   auto it = machines_.find(repeat->machine);
   if (it == machines_.end() || repeat->sequence <= it->second.sequence) return std::nullopt;
   Machine& m = it->second;
@@ -326,7 +325,7 @@
 
 HttpResponse ShardLeader::on_decoded_heartbeat(const Heartbeat& r, const HttpRequest& request) {
   // Gone, as the cloud said: this is a late copy.
-  if (returned_.contains(r.machine)) return {421, encode_redirect({}), 0};
+  if (scale_in_.tracker().is_returned(r.machine)) return {421, encode_redirect({}), 0};
   if (!is_leading() || is_deposed()) return lease_renewal_.answer(r);
   if (auto no = refusal(r.machine, r.fencing_token)) return *no;
   std::vector<Command> commands;
--- a/src/coordination/shard_leader/shard_leader.hpp
+++ b/src/coordination/shard_leader/shard_leader.hpp
@@ -10,6 +10,7 @@
 #include "coordination/autoscaling/autoscaler.hpp"
 #include "coordination/autoscaling/cost_account.hpp"
 #include "coordination/autoscaling/machine_type_catalog.hpp"
+#include "coordination/autoscaling/scale_in.hpp"
 #include "coordination/autoscaling/scale_out_requests.hpp"
 #include "coordination/leadership/election.hpp"
 #include "coordination/leadership/exit_forwarder.hpp"
@@ -252,18 +253,13 @@
   void check_drains();
   void check_stragglers();
   const MachineType* coming_type(const std::string& id, const Booting& b) const;
-  Task<void> return_machines(bool overdue_only, std::stop_token stop_token);
-  void sort_most_urgent_first(std::vector<std::string>& machines) const;
-  Task<bool> write_tombstones(std::vector<std::string> machines);
-  // Keeps those that must go without a mark, in an outage; false: none.
-  bool return_without_tombstone(std::vector<std::string>& machines);
-  Task<bool> ask_return(std::vector<std::string> ask);
+  ScaleIn::Dependencies scale_in_dependencies();
+  void on_machine_returned(const std::string& id, bool declared_dead);
   void scale_out(const std::stop_token& stop_token);
   autoscaling::AutoscalerInput autoscaler_input() const;
   void expect_arrivals(autoscaling::AutoscalerInput& in) const;
   uint64_t team_limit(const JobSpec& spec) const;
   void drain(Machine& m, const std::string& why);
-  void request_scale_in(const std::string& id, const std::string& why);
 
   Dependencies deps_;
   Loop& loop_;
@@ -298,15 +294,10 @@
   std::map<TaskId, std::map<uint64_t, Attempt>> attempts_;
   std::map<TaskId, PendingExit> exits_;
   std::map<TaskId, Stopping> stopping_;
-  std::set<std::string> cancelled_;               // jobs, whose tasks may still be there
-  std::map<std::string, std::string> to_return_;  // machine -> why
+  std::set<std::string> cancelled_;  // jobs, whose tasks may still be there
   std::vector<autoscaling::InstanceOffer>
-      lost_capacity_;                         // kinds of machines given up, to be replaced
-  std::set<std::string> declared_dead_;       // to be returned for their silence alone
-  std::set<std::string> overdue_;             // to be returned with a cancelled task on them
-  std::set<std::string> awaiting_tombstone_;  // returned in an outage, to be marked after it
-  std::set<std::string> returned_;            // the cloud has confirmed it
-  std::set<std::string> returning_;
+      lost_capacity_;  // kinds of machines given up, to be replaced
+  ScaleIn scale_in_;
   std::map<std::string, Booting> booting_;
   ScaleOutRequests scale_out_requests_;
   Rechunker rechunker_;
--- a/src/coordination/shard_leader/shard_leader_cancelled.cpp
+++ b/src/coordination/shard_leader/shard_leader_cancelled.cpp
@@ -65,8 +65,8 @@
     for (auto& task : job->live_tasks()) {
       if (exits_.contains(task.name) || has_released(task.machine, task.name, task.attempt))
         continue;
-      overdue_.insert(task.machine);
-      request_scale_in(task.machine, "it keeps a task of cancelled " + id);
+      scale_in_.request(task.machine, "it keeps a task of cancelled " + id,
+                        ScaleInCause::keeps_cancelled_task);
     }
   }
 }
--- a/src/coordination/shard_leader/shard_leader_cloud.cpp
+++ b/src/coordination/shard_leader/shard_leader_cloud.cpp
@@ -10,8 +10,6 @@
 namespace damsonport {
 
 namespace {
-constexpr size_t max_returned_at_once = 100;
-constexpr size_t max_returns_a_tick = 4;  // the cloud's calls are also wanted for rentals
 // A worker that gets no answer in 4 s goes to the next controller a second later.
 constexpr double worker_retry_s = 5;
 // Leases for which a kind that was refused counts as scarce.
@@ -42,14 +40,14 @@
 }
 
 void ShardLeader::note_listed(const ListedMachine& listed) {
-  if (returned_.contains(listed.id)) return;  // the list lags
+  if (scale_in_.tracker().is_returned(listed.id)) return;  // the list lags
   if (cache_.has_tombstone(listed.id)) {
     // The list lags, so a machine that is gone may still stand in it; asking twice is harmless.
-    to_return_.try_emplace(listed.id, "listed though marked");
+    scale_in_.resume(listed.id);
     return;
   }
   if (listed.state == "failed") {
-    request_scale_in(listed.id, "it failed");
+    scale_in_.request(listed.id, "it failed");
   } else if (listed.state == "starting") {
     note_starting(listed);
   } else if (listed.state == "running") {
@@ -74,7 +72,7 @@
   if (machines_.contains(listed.id) && machines_.at(listed.id).agent_epoch != 0) {
     booting_.erase(b);
   } else if (now - b->second.since > boot_s * never_boots) {
-    request_scale_in(listed.id, "it does not boot");
+    scale_in_.request(listed.id, "it does not boot");
   }
 }
 
@@ -87,14 +85,6 @@
   scheduling_requested_ = true;
 }
 
-// Marked in the state service before the return is asked for, and never used again: a return may
-// be carried out late.
-void ShardLeader::request_scale_in(const std::string& id, const std::string& why) {
-  if (returned_.contains(id) || !to_return_.try_emplace(id, why).second) return;
-  mark_changed(id);
-  spdlog::info("returning {}: {}", id, why);
-}
-
 void ShardLeader::detect_dead_machines() {
   const double report = settings_.heartbeat_interval_s;
   const double dead_after = dead_after_s();
@@ -107,7 +97,7 @@
   const double patience =
       dead_machine_timeout_.limit(loop_.now(), known, silent, dead_after, settings_.lease_s);
   for (auto& [id, m] : machines_) {
-    if (cache_.has_tombstone(id) || to_return_.contains(id)) continue;
+    if (scale_in_.is_leaving(id)) continue;
     double silent_s = since_last_heartbeat_s(m);
     if (!is_suspected(m)) continue;
     scheduling_requested_ = true;
@@ -121,8 +111,8 @@
                    ? report * 2
                    : worker_retry_s * (1 + deps_.peer_network.silent_peers());
     if (silent_s > limit && direct > dead_after) {
-      request_scale_in(id, "silent for " + std::to_string(static_cast<int>(silent_s)) + " s");
-      declared_dead_.insert(id);
+      scale_in_.request(id, "silent for " + std::to_string(static_cast<int>(silent_s)) + " s",
+                        ScaleInCause::declared_dead);
     }
   }
 }
@@ -134,7 +124,7 @@
     if (std::erase_if(m.failed_jobs,
                       [&](auto& failed) { return now - failed.second > 2 * settings_.lease_s; }))
       mark_changed(id);
-    if (cache_.has_tombstone(id) || to_return_.contains(id)) continue;
+    if (scale_in_.is_leaving(id)) continue;
     if (m.notice_at) {
       // What can save is stopped in time to do it.
       for (auto& [a, attempt] : cache_.assigned(id)) {
@@ -158,9 +148,9 @@
     const bool in_dispute = m.failing_since > 0 && now - m.failing_since < settings_.lease_s;
     const bool empty = cache_.assigned(id).empty() && m.tasks.empty() && m.agent_epoch != 0;
     if (m.draining && empty && !in_dispute)
-      request_scale_in(id, "empty and drained (" + m.drain_why + ")");
+      scale_in_.request(id, "empty and drained (" + m.drain_why + ")");
     // Its answers don't reach it: sessions end though we answer every report.
-    if (m.failed_sends >= 3 && m.lost_epochs >= 1) request_scale_in(id, "it can't be answered");
+    if (m.failed_sends >= 3 && m.lost_epochs >= 1) scale_in_.request(id, "it can't be answered");
   }
 }
 
@@ -195,103 +185,38 @@
   }
 }
 
-// Many machines fail together, and each waits with all that ran on it: so they are marked in bulk,
-// a hundred in one record, and those of the most urgent tasks go first.
-Task<void> ShardLeader::return_machines(bool overdue_only, std::stop_token stop_token) {
-  const size_t max_marked_at_once =
-      machines_per_tombstone(settings_.state_limits.always().value_kb);
-  if (!awaiting_tombstone_.empty() && contact_.in_contact()) {
-    std::vector<std::string> late(awaiting_tombstone_.begin(), awaiting_tombstone_.end());
-    if (late.size() > max_marked_at_once) late.resize(max_marked_at_once);
-    if (co_await write_tombstones(late))
-      for (auto& id : late) awaiting_tombstone_.erase(id);
-  }
-  for (size_t calls = 0; calls < max_returns_a_tick && is_leading(); ++calls) {
-    std::vector<std::string> mark, ask;
-    for (auto& [id, why] : to_return_)
-      if (!returning_.contains(id) && (!overdue_only || overdue_.contains(id)))
-        (cache_.has_tombstone(id) ? ask : mark).push_back(id);
-    if (mark.empty() && ask.empty()) co_return;
-    if (!mark.empty()) {
-      sort_most_urgent_first(mark);
-      if (mark.size() > max_marked_at_once) mark.resize(max_marked_at_once);
-      const bool marked = co_await write_tombstones(mark);
-      if (!is_leading()) co_return;
-      if (!marked && !return_without_tombstone(mark)) co_return;
-      ask = std::move(mark);
-    }
-    if (ask.size() > max_returned_at_once) ask.resize(max_returned_at_once);
-    if (stop_token.stop_requested() || !co_await ask_return(std::move(ask))) co_return;
-  }
-}
-
-void ShardLeader::sort_most_urgent_first(std::vector<std::string>& machines) const {
-  std::map<std::string, int> urgency;
-  for (auto& id : overdue_) urgency[id] = std::numeric_limits<int>::max() / 2;
-  for (auto& id : machines)
-    for (auto& [a, attempt] : cache_.assigned(id))
-      urgency[id] += a.job->spec.priority >= Priority::high && !a.job->cancelled;
-  std::stable_sort(machines.begin(), machines.end(),
-                   [&](auto& a, auto& b) { return urgency[a] > urgency[b]; });
+ScaleIn::Dependencies ShardLeader::scale_in_dependencies() {
+  return {loop_,
+          settings_,
+          cache_,
+          deps_.store,
+          deps_.http,
+          contact_,
+          deps_.changed,
+          deps_.incarnation,
+          [this] { return is_leading(); },
+          [this](const std::string& id) { mark_changed(id); },
+          [this](const std::string& id, bool declared_dead) {
+            on_machine_returned(id, declared_dead);
+          }};
 }
 
-// Nothing can be marked in an outage, and a cancelled task must be gone all the same. Nobody can
-// place anything either; afterwards the mark is made up for, and a holder that doesn't know of it
-// finds the machine silent and returns it once more.
-bool ShardLeader::return_without_tombstone(std::vector<std::string>& machines) {
-  std::erase_if(machines, [&](auto& id) { return !overdue_.contains(id); });
-  if (contact_.in_contact() || machines.empty()) return false;
-  awaiting_tombstone_.insert(machines.begin(), machines.end());
-  return true;
-}
-
-Task<bool> ShardLeader::write_tombstones(std::vector<std::string> machines) {
-  // A record of its own for each batch: one that is written again would lose the marks it had.
-  const auto key =
-      keys::tombstone(std::to_string(deps_.incarnation) + "-" + std::to_string(loop_.random64()));
-  Transaction transaction;
-  transaction.preconditions[keys::shard_table] = cache_.shard_table_version();
-  transaction.preconditions[key] = 0;
-  transaction.writes.push_back({key, {{"machines", std::move(machines)}}, 0});
-  auto writes = transaction.writes;
-  auto reply =
-      co_await deps_.store.compare_and_swap(std::move(transaction), Importance::scheduling);
-  if (reply.outcome != TransactionOutcome::committed) co_return false;
-  cache_.apply_writes(writes, reply.revision);
-  co_return true;
-}
-
-Task<bool> ShardLeader::ask_return(std::vector<std::string> ask) {
-  returning_.insert(ask.begin(), ask.end());
-  auto fencing_token = fencing_token_;
-  auto reply = co_await deps_.http.request(settings_.cloud, Method::post, "/hosts/return",
-                                           encode_return(ask), 3.0);
-  if (fencing_token != fencing_token_) co_return false;
-  for (auto& id : ask) returning_.erase(id);
-  if (reply.status != 200) co_return false;
-  // Gone, with everything on them: the proof that lets their tasks start elsewhere.
-  for (auto& id : ask) {
-    // The cloud has room for its like again: no pause after an earlier refusal stands against it.
-    if (auto m = machines_.find(id); m != machines_.end() && !m->second.type.empty()) {
-      scale_out_requests_.forget_refusal({m->second.type, m->second.zone, m->second.spot});
-      // What ran on it shows as demand only when its exits are committed, and boots take longer
-      // still.
-      if (declared_dead_.contains(id))
-        lost_capacity_.push_back({m->second.type, m->second.zone, m->second.spot, false});
-    }
-    to_return_.erase(id);
-    overdue_.erase(id);
-    returned_.insert(id);
-    booting_.erase(id);
-    forget_machine(id);
-    for (auto& [a, attempt] : cache_.assigned(id)) {
-      TaskId name{a.job->spec.id, a.index};
-      note_exit(name, {attempt, ExitCause::stopped, id});
-    }
+// Gone, with everything on it: the proof that lets its tasks start elsewhere.
+void ShardLeader::on_machine_returned(const std::string& id, bool declared_dead) {
+  // The cloud has room for its like again: no pause after an earlier refusal stands against it.
+  if (auto m = machines_.find(id); m != machines_.end() && !m->second.type.empty()) {
+    scale_out_requests_.forget_refusal({m->second.type, m->second.zone, m->second.spot});
+    // What ran on it shows as demand only when its exits are committed, and boots take longer
+    // still.
+    if (declared_dead)
+      lost_capacity_.push_back({m->second.type, m->second.zone, m->second.spot, false});
+  }
+  booting_.erase(id);
+  forget_machine(id);
+  for (auto& [a, attempt] : cache_.assigned(id)) {
+    TaskId name{a.job->spec.id, a.index};
+    note_exit(name, {attempt, ExitCause::stopped, id});
   }
-  spdlog::info("returned {} machine{}", ask.size(), ask.size() == 1 ? "" : "s");
-  deps_.changed.notify();
-  co_return true;
 }
 
 // How many tasks of this kind its team may run at once at the most.
@@ -306,7 +231,7 @@
 
 // The type of a machine that is on its way and not overdue, or null.
 const MachineType* ShardLeader::coming_type(const std::string& id, const Booting& b) const {
-  if (machines_.contains(id) || to_return_.contains(id) || cache_.has_tombstone(id)) return nullptr;
+  if (machines_.contains(id) || scale_in_.is_leaving(id)) return nullptr;
   auto* t = deps_.catalog.type(b.type);
   return t && loop_.now() - b.since <= t->boot_s * slow_boot ? t : nullptr;
 }
@@ -365,7 +290,7 @@
         in.offers.push_back(offer);
       }
   for (auto& [id, m] : machines_) {
-    if (cache_.has_tombstone(id) || to_return_.contains(id) || m.type.empty()) continue;
+    if (scale_in_.is_leaving(id) || m.type.empty()) continue;
     autoscaling::MachineState s;
     s.id = id;
     s.type = m.type;
@@ -422,7 +347,7 @@
     return true;
   });
   auto plan = autoscaling::plan(input);
-  for (auto& id : plan.scale_in) request_scale_in(id, "idle");
+  for (auto& id : plan.scale_in) scale_in_.request(id, "idle");
   for (auto& r : plan.scale_out) {
     const MachineKind kind{r.type, r.zone, r.spot};
     if (!scale_out_requests_.under_way(kind))
--- a/src/coordination/shard_leader/shard_leader_commit.cpp
+++ b/src/coordination/shard_leader/shard_leader_commit.cpp
@@ -367,7 +367,7 @@
                   s.image_cached ? "" : " (image to be fetched)");
     // Returned while this was committed, which may take as long as an outage: the start was never
     // ordered and the machine is gone, which is proof.
-    if (returned_.contains(s.machine))
+    if (scale_in_.tracker().is_returned(s.machine))
       note_exit(s.task, {s.attempt, ExitCause::stopped, s.machine});
     auto it = machines_.find(s.machine);
     if (it == machines_.end()) continue;
--- a/src/coordination/shard_leader/shard_leader_gangs.cpp
+++ b/src/coordination/shard_leader/shard_leader_gangs.cpp
@@ -87,7 +87,7 @@
 }
 
 void ShardLeader::stop_task(const PlacedTask& task, double grace_s) {
-  if (returned_.contains(task.machine)) return;  // gone with its machine
+  if (scale_in_.tracker().is_returned(task.machine)) return;  // gone with its machine
   stopping_[task.name] = {task.attempt, grace_s};
   Machine& m = machine(task.machine);
   mark_changed(m.id);
--- a/src/coordination/shard_leader/shard_leader_machines.cpp
+++ b/src/coordination/shard_leader/shard_leader_machines.cpp
@@ -54,9 +54,8 @@
 }
 
 bool ShardLeader::is_schedulable(const Machine& m) const {
-  return m.agent_epoch != 0 && !m.draining && !m.notice_at && !cache_.has_tombstone(m.id) &&
-         !to_return_.contains(m.id) && !returned_.contains(m.id) && m.failed_sends < 2 &&
-         !is_suspected(m);
+  return m.agent_epoch != 0 && !m.draining && !m.notice_at && !scale_in_.is_leaving(m.id) &&
+         !scale_in_.tracker().is_returned(m.id) && m.failed_sends < 2 && !is_suspected(m);
 }
 
 std::set<std::string> ShardLeader::unreachable_zones() const {
@@ -136,9 +135,7 @@
   if (repeated_at > 0) note_images(m, repeated_at);
   if (!apply_heartbeat(m, r, loop_.now(), direct, as_of)) return false;
   mark_changed(m.id);
-  // Back before the return was marked: what runs there is kept.
-  if (declared_dead_.erase(m.id) && !cache_.has_tombstone(m.id) && to_return_.erase(m.id))
-    spdlog::info("{} is heard again and kept", m.id);
+  scale_in_.note_heartbeat(m.id);
   booting_.erase(m.id);
   if (epoch_before != 0 && epoch_before != m.agent_epoch)
     spdlog::info("{} began session {}: what ran there is gone", m.id, m.agent_epoch);
@@ -332,7 +329,8 @@
   faults_.forget_failures_before(loop_.now() - settings_.lease_s * remembered_leases);
   size_t drained = 0;
   for (auto& [id, m] : machines_) {
-    if (m.failing_since > 0 && !to_return_.contains(id) && !faults_.is_machine_faulty(id)) {
+    if (m.failing_since > 0 && !scale_in_.tracker().is_requested(id) &&
+        !faults_.is_machine_faulty(id)) {
       spdlog::info("{} takes tasks again: the jobs that failed on it are at fault", id);
       m.draining = false;
       m.failing_since = 0;
--- a/src/coordination/shard_leader/shard_leader_view.cpp
+++ b/src/coordination/shard_leader/shard_leader_view.cpp
@@ -133,7 +133,6 @@
 }
 
 void ShardLeader::forget_machine(const std::string& id) {
-  declared_dead_.erase(id);
   faults_.forget_machine(id);
   deduplicator_.forget(id);
   auto it = machines_.find(id);
