--- /dev/null
+++ b/src/coordination/machines/failure_detector.cpp
@@ -0,0 +1,113 @@
+#include "coordination/machines/failure_detector.hpp"
+
+#include <algorithm>
+
+namespace damsonport {
+
+namespace {
+// Periods between two ticks after which the process counts as held up.
+constexpr double held_up_periods = 3;
+// A worker that gets no answer in 4 s goes to the next controller a second later.
+constexpr double worker_retry_s = 5;
+// Heartbeat intervals that an idle machine which was never heard is waited for in addition.
+constexpr double booting_heartbeats = 2;
+// Heartbeats that are missing before a zone counts as unreachable, and the shortest time for it in
+// heartbeat intervals.
+constexpr double missing_heartbeats = 10;
+constexpr double least_heartbeat_share = 0.25;
+}  // namespace
+
+void FailureDetector::begin_lease(double now) {
+  liveness_base_ = now;
+  last_tick_ = now;
+  dead_machine_timeout_ = {};
+}
+
+void FailureDetector::note_tick(double now, double period_s) {
+  if (now - last_tick_ > held_up_periods * period_s) liveness_base_ = now;
+  last_tick_ = now;
+}
+
+double FailureDetector::since_last_heartbeat_s(const Machine& machine, double now) const {
+  return now - std::max(machine.last_heartbeat_at, liveness_base_);
+}
+
+bool FailureDetector::is_suspected(const Machine& machine, double now) const {
+  return since_last_heartbeat_s(machine, now) >= suspect_after_s();
+}
+
+double FailureDetector::suspect_after_s() const {
+  const Tuning& tuning = settings_.tuning;
+  return std::min(tuning.suspect_after_heartbeats * settings_.heartbeat_interval_s,
+                  tuning.suspect_lease_share * settings_.lease_s);
+}
+
+double FailureDetector::dead_after_s() const {
+  const Tuning& tuning = settings_.tuning;
+  const double lease_s = settings_.lease_s;
+  return std::max(std::min(tuning.dead_after_heartbeats * settings_.heartbeat_interval_s,
+                           tuning.dead_lease_max * lease_s),
+                  tuning.dead_lease_share * lease_s);
+}
+
+std::set<std::string> FailureDetector::unreachable_zones(
+    const std::map<std::string, Machine>& machines, double now) const {
+  struct Zone {
+    double machines = 0;
+    double last_heartbeat_at = -1e9;
+  };
+  std::map<std::string, Zone> zones;
+  for (auto& [id, machine] : machines) {
+    if (machine.agent_epoch == 0) continue;
+    auto& zone = zones[machine.zone];
+    ++zone.machines;
+    zone.last_heartbeat_at =
+        std::max({zone.last_heartbeat_at, machine.last_heartbeat_at, machine.last_direct});
+  }
+  std::set<std::string> unreachable;
+  for (auto& [name, zone] : zones) {
+    const double timeout_s = settings_.heartbeat_interval_s *
+                             std::max(missing_heartbeats / zone.machines, least_heartbeat_share);
+    const double silent_s = now - std::max(zone.last_heartbeat_at, liveness_base_);
+    if (silent_s > std::min(timeout_s, suspect_after_s())) unreachable.insert(name);
+  }
+  return unreachable;
+}
+
+double FailureDetector::timeout_s(const std::map<std::string, Machine>& machines,
+                                  const FleetFacts& facts, double now) {
+  size_t known = 0;
+  size_t silent = 0;
+  for (auto& [id, machine] : machines) {
+    if (facts.has_tombstone(id)) continue;
+    ++known;
+    silent += is_suspected(machine, now);
+  }
+  return dead_machine_timeout_.limit(now, known, silent, dead_after_s(), settings_.lease_s);
+}
+
+// It may be booting, or still be looking for the new shard leader, past controllers that don't
+// answer.
+double FailureDetector::first_heartbeat_grace_s(const std::string& machine,
+                                                const FleetFacts& facts) const {
+  return facts.has_assignments(machine) ? worker_retry_s * (1 + facts.silent_peers)
+                                        : settings_.heartbeat_interval_s * booting_heartbeats;
+}
+
+std::vector<FailureDetector::SuspectedMachine> FailureDetector::detect(
+    const std::map<std::string, Machine>& machines, const FleetFacts& facts, double now) {
+  const double timeout = timeout_s(machines, facts, now);
+  std::vector<SuspectedMachine> suspected;
+  for (auto& [id, machine] : machines) {
+    if (facts.is_leaving(id) || !is_suspected(machine, now)) continue;
+    const double silent_s = since_last_heartbeat_s(machine, now);
+    const double since_direct_answer_s = now - std::max(machine.last_direct, liveness_base_);
+    double limit_s = timeout;
+    if (machine.agent_epoch == 0) limit_s += first_heartbeat_grace_s(id, facts);
+    const bool is_dead = silent_s > limit_s && since_direct_answer_s > dead_after_s();
+    suspected.push_back({id, silent_s, is_dead});
+  }
+  return suspected;
+}
+
+}  // namespace damsonport
--- a/src/coordination/shard_leader/shard_leader.cpp
+++ b/src/coordination/shard_leader/shard_leader.cpp
@@ -16,6 +16,7 @@
       machine_list_(loop_, settings_, deps.http),
       orphan_cleanup_(loop_, settings_, cache_, deps.http, deps.peer_network, deps.cancellations,
                       contact_, machine_list_, direct_sockets(settings_)),
+      failure_detector_(settings_),
       gangs_(loop_, settings_, *this),
       replicas_(loop_, settings_, cache_, *this, gangs_),
       scale_in_(scale_in_dependencies()),
@@ -61,10 +62,10 @@
   auto* g = own_lease();
   fencing_token_ = g->fencing_token;
   required_revision_ = cache_.shard_table_version();
-  lease_acquired_at_ = liveness_base_ = last_tick_ = loop_.now();
+  lease_acquired_at_ = loop_.now();
+  failure_detector_.begin_lease(lease_acquired_at_);
   lease_renewal_.clear();
   unreachable_since_ = 0;
-  dead_machine_timeout_ = {};
   machines_.clear();
   deduplicator_.clear();
   attempts_.clear();
@@ -226,11 +227,7 @@
       co_await orphan_cleanup_.run_once(stop_token);
       continue;
     }
-    double now = loop_.now();
-    // A process that was held up, or that the state service left, heard nobody; that is no
-    // machine's fault.
-    if (now - last_tick_ > 3 * tick) liveness_base_ = now;
-    last_tick_ = now;
+    failure_detector_.note_tick(loop_.now(), tick);
     if (!records_current() || !deps_.catalog.known()) continue;
     step_down_if_unreachable();
     detect_dead_machines();
--- a/src/coordination/shard_leader/shard_leader.hpp
+++ b/src/coordination/shard_leader/shard_leader.hpp
@@ -17,7 +17,7 @@
 #include "coordination/leadership/lease_renewal.hpp"
 #include "coordination/leadership/peer_network.hpp"
 #include "coordination/leadership/version_registry.hpp"
-#include "coordination/machines/dead_machine_timeout.hpp"
+#include "coordination/machines/failure_detector.hpp"
 #include "coordination/machines/fault_attribution.hpp"
 #include "coordination/machines/heartbeat_deduplicator.hpp"
 #include "coordination/machines/machine.hpp"
@@ -220,13 +220,6 @@
   // A job whose tasks were started again and again by earlier holders and of which nothing is done.
   static bool failed_before(const Job& job);
   bool is_schedulable(const Machine& m) const;
-  // Zones none of whose machines was heard for a time in which several should have been: cut off,
-  // most likely, long before each machine alone is in doubt.
-  std::set<std::string> unreachable_zones() const;
-  double since_last_heartbeat_s(const Machine& m) const;
-  bool is_suspected(const Machine& m) const;  // too silent for new tasks
-  double suspect_after_s() const;
-  double dead_after_s() const;
   scheduling::Resources total_of(const Machine& m) const;
   // Enough for a task that saves, with some room for the message; 0 for one that never does.
   double stop_grace(const JobSpec& s) const;
@@ -272,14 +265,12 @@
   uint64_t required_revision_ = 0;  // records must be complete up to here before anything is placed
   double next_renewal_ = 0;
   double lease_acquired_at_ = 0;
-  double liveness_base_ = 0;  // silence is counted from here at the earliest
-  double last_tick_ = 0;
 
   StoreContact contact_;
   LeaseRenewal lease_renewal_;
   MachineListReader machine_list_;
   OrphanCleanup orphan_cleanup_;
-  DeadMachineTimeout dead_machine_timeout_;
+  FailureDetector failure_detector_;
   double unreachable_since_ = 0;  // 0: the machines are heard
   // Which images the records put on which machine and when, seen by every node from the changes it
   // follows, so that a new holder knows most of what the last one knew.
--- a/src/coordination/shard_leader/shard_leader_cloud.cpp
+++ b/src/coordination/shard_leader/shard_leader_cloud.cpp
@@ -10,8 +10,6 @@
 namespace damsonport {
 
 namespace {
-// A worker that gets no answer in 4 s goes to the next controller a second later.
-constexpr double worker_retry_s = 5;
 // Leases for which a kind that was refused counts as scarce.
 constexpr double scarce_leases = 10;
 constexpr double slow_boot = 1.6;    // times boot_s: the room is no longer counted on
@@ -86,34 +84,18 @@
 }
 
 void ShardLeader::detect_dead_machines() {
-  const double report = settings_.heartbeat_interval_s;
-  const double dead_after = dead_after_s();
-  size_t known = 0, silent = 0;
-  for (auto& [id, m] : machines_) {
-    if (cache_.has_tombstone(id)) continue;
-    ++known;
-    silent += is_suspected(m);
-  }
-  const double patience =
-      dead_machine_timeout_.limit(loop_.now(), known, silent, dead_after, settings_.lease_s);
-  for (auto& [id, m] : machines_) {
-    if (scale_in_.is_leaving(id)) continue;
-    double silent_s = since_last_heartbeat_s(m);
-    if (!is_suspected(m)) continue;
+  FailureDetector::FleetFacts facts;
+  facts.has_tombstone = [this](auto& id) { return cache_.has_tombstone(id); };
+  facts.is_leaving = [this](auto& id) { return scale_in_.is_leaving(id); };
+  facts.has_assignments = [this](auto& id) { return !cache_.assigned(id).empty(); };
+  facts.silent_peers = deps_.peer_network.silent_peers();
+  for (auto& machine : failure_detector_.detect(machines_, facts, loop_.now())) {
     scheduling_requested_ = true;
-    start_probe(id);
-    double direct = loop_.now() - std::max(m.last_direct, liveness_base_);
-    double limit = patience;
-    // Never heard at all: it may be booting, or still be looking for the new holder, past
-    // controllers that don't answer.
-    if (m.agent_epoch == 0)
-      limit += cache_.assigned(id).empty()
-                   ? report * 2
-                   : worker_retry_s * (1 + deps_.peer_network.silent_peers());
-    if (silent_s > limit && direct > dead_after) {
-      scale_in_.request(id, "silent for " + std::to_string(static_cast<int>(silent_s)) + " s",
-                        ScaleInCause::declared_dead);
-    }
+    start_probe(machine.id);
+    if (!machine.is_dead) continue;
+    scale_in_.request(machine.id,
+                      "silent for " + std::to_string(static_cast<int>(machine.silent_s)) + " s",
+                      ScaleInCause::declared_dead);
   }
 }
 
@@ -303,8 +285,8 @@
     s.idle_s = now - m.idle_since;
     for (auto& [image, use] : m.images.images()) s.images_gb += use.second;
     // Up but not heard yet counts as on its way.
-    s.booting =
-        m.agent_epoch == 0 && since_last_heartbeat_s(m) < 4 * settings_.heartbeat_interval_s;
+    s.booting = m.agent_epoch == 0 && failure_detector_.since_last_heartbeat_s(m, now) <
+                                          4 * settings_.heartbeat_interval_s;
     in.machines.push_back(s);
     for (auto& [a, attempt] : cache_.assigned(id)) {
       auto& spec = a.job->spec;
--- a/src/coordination/shard_leader/shard_leader_machines.cpp
+++ b/src/coordination/shard_leader/shard_leader_machines.cpp
@@ -49,53 +49,10 @@
   return room;
 }
 
-double ShardLeader::since_last_heartbeat_s(const Machine& m) const {
-  return loop_.now() - std::max(m.last_heartbeat_at, liveness_base_);
-}
-
 bool ShardLeader::is_schedulable(const Machine& m) const {
   return m.agent_epoch != 0 && !m.draining && !m.notice_at && !scale_in_.is_leaving(m.id) &&
-         !scale_in_.tracker().is_returned(m.id) && m.failed_sends < 2 && !is_suspected(m);
-}
-
-std::set<std::string> ShardLeader::unreachable_zones() const {
-  // Reports that are missing before a zone counts as silent, and the shortest time for it.
-  constexpr double missing_reports = 10, least_report_share = 0.25;
-  struct Zone {
-    double received = 0;  // machines
-    double last_heartbeat_at = -1e9;
-  };
-  std::map<std::string, Zone> zones;
-  for (auto& [id, m] : machines_) {
-    if (m.agent_epoch == 0) continue;
-    auto& zone = zones[m.zone];
-    ++zone.received;
-    zone.last_heartbeat_at = std::max({zone.last_heartbeat_at, m.last_heartbeat_at, m.last_direct});
-  }
-  std::set<std::string> silent;
-  for (auto& [name, zone] : zones) {
-    const double patience = settings_.heartbeat_interval_s *
-                            std::max(missing_reports / zone.received, least_report_share);
-    const double silent_s = loop_.now() - std::max(zone.last_heartbeat_at, liveness_base_);
-    if (silent_s > std::min(patience, suspect_after_s())) silent.insert(name);
-  }
-  return silent;
-}
-
-double ShardLeader::suspect_after_s() const {
-  return std::min(tuning_.suspect_after_heartbeats * settings_.heartbeat_interval_s,
-                  tuning_.suspect_lease_share * settings_.lease_s);
-}
-
-double ShardLeader::dead_after_s() const {
-  const double lease = settings_.lease_s;
-  return std::max(std::min(tuning_.dead_after_heartbeats * settings_.heartbeat_interval_s,
-                           tuning_.dead_lease_max * lease),
-                  tuning_.dead_lease_share * lease);
-}
-
-bool ShardLeader::is_suspected(const Machine& m) const {
-  return since_last_heartbeat_s(m) >= suspect_after_s();
+         !scale_in_.tracker().is_returned(m.id) && m.failed_sends < 2 &&
+         !failure_detector_.is_suspected(m, loop_.now());
 }
 
 std::vector<DesiredTask> ShardLeader::desired_tasks_on(const Machine& m) const {
--- a/src/coordination/shard_leader/shard_leader_orders.cpp
+++ b/src/coordination/shard_leader/shard_leader_orders.cpp
@@ -17,7 +17,7 @@
   if (m.sending || m.agent_epoch == 0 || m.outbox.empty()) return;
   // One that should have reported is likely out of reach: its next report is answered with what is
   // still wanted, and no socket hangs on it.
-  if (is_suspected(m)) return m.outbox.clear();
+  if (failure_detector_.is_suspected(m, loop_.now())) return m.outbox.clear();
   m.sending = true;
   send_queue_.push_back(id);
   start_sends();
--- a/src/coordination/shard_leader/shard_leader_view.cpp
+++ b/src/coordination/shard_leader/shard_leader_view.cpp
@@ -161,7 +161,7 @@
   for (auto& id : changed_machines_)
     if (auto it = machines_.find(id); it != machines_.end()) refresh_machine(it->second);
   changed_machines_.clear();
-  const auto cut_off = unreachable_zones();
+  const auto cut_off = failure_detector_.unreachable_zones(machines_, now);
   for (auto& [id, m] : machines_)
     if (m.slot) snapshot_.machines[*m.slot].open = is_schedulable(m) && !cut_off.contains(m.zone);
   snapshot_.booting.clear();
