--- a/src/coordination/shard_leader/shard_leader.hpp
+++ b/src/coordination/shard_leader/shard_leader.hpp
@@ -10,13 +10,14 @@
 #include "coordination/autoscaling/autoscaler.hpp"
 #include "coordination/autoscaling/cost_account.hpp"
 #include "coordination/autoscaling/machine_type_catalog.hpp"
+#include "coordination/autoscaling/scale_in.hpp"
 #include "coordination/autoscaling/scale_out_requests.hpp"
 #include "coordination/leadership/election.hpp"
 #include "coordination/leadership/exit_forwarder.hpp"
 #include "coordination/leadership/lease_renewal.hpp"
 #include "coordination/leadership/peer_network.hpp"
 #include "coordination/leadership/version_registry.hpp"
-#include "coordination/machines/dead_machine_timeout.hpp"
+#include "coordination/machines/failure_detector.hpp"
 #include "coordination/machines/fault_attribution.hpp"
 #include "coordination/machines/heartbeat_deduplicator.hpp"
 #include "coordination/machines/machine.hpp"
@@ -219,13 +220,6 @@
   // A job whose tasks were started again and again by earlier holders and of which nothing is done.
   static bool failed_before(const Job& job);
   bool is_schedulable(const Machine& m) const;
-  // Zones none of whose machines was heard for a time in which several should have been: cut off,
-  // most likely, long before each machine alone is in doubt.
-  std::set<std::string> unreachable_zones() const;
-  double since_last_heartbeat_s(const Machine& m) const;
-  bool is_suspected(const Machine& m) const;  // too silent for new tasks
-  double suspect_after_s() const;
-  double dead_after_s() const;
   scheduling::Resources total_of(const Machine& m) const;
   // Enough for a task that saves, with some room for the message; 0 for one that never does.
   double stop_grace(const JobSpec& s) const;
@@ -252,18 +246,13 @@
   void check_drains();
   void check_stragglers();
   const MachineType* coming_type(const std::string& id, const Booting& b) const;
-  Task<void> return_machines(bool overdue_only, std::stop_token stop_token);
-  void sort_most_urgent_first(std::vector<std::string>& machines) const;
-  Task<bool> write_tombstones(std::vector<std::string> machines);
-  // Keeps those that must go without a mark, in an outage; false: none.
-  bool return_without_tombstone(std::vector<std::string>& machines);
-  Task<bool> ask_return(std::vector<std::string> ask);
+  ScaleIn::Dependencies scale_in_dependencies();
+  void on_machine_returned(const std::string& id, bool declared_dead);
   void scale_out(const std::stop_token& stop_token);
   autoscaling::AutoscalerInput autoscaler_input() const;
   void expect_arrivals(autoscaling::AutoscalerInput& in) const;
   uint64_t team_limit(const JobSpec& spec) const;
   void drain(Machine& m, const std::string& why);
-  void request_scale_in(const std::string& id, const std::string& why);
 
   Dependencies deps_;
   Loop& loop_;
@@ -276,14 +265,12 @@
   uint64_t required_revision_ = 0;  // records must be complete up to here before anything is placed
   double next_renewal_ = 0;
   double lease_acquired_at_ = 0;
-  double liveness_base_ = 0;  // silence is counted from here at the earliest
-  double last_tick_ = 0;
 
   StoreContact contact_;
   LeaseRenewal lease_renewal_;
   MachineListReader machine_list_;
   OrphanCleanup orphan_cleanup_;
-  DeadMachineTimeout dead_machine_timeout_;
+  FailureDetector failure_detector_;
   double unreachable_since_ = 0;  // 0: the machines are heard
   // Which images the records put on which machine and when, seen by every node from the changes it
   // follows, so that a new holder knows most of what the last one knew.
@@ -298,15 +285,10 @@
   std::map<TaskId, std::map<uint64_t, Attempt>> attempts_;
   std::map<TaskId, PendingExit> exits_;
   std::map<TaskId, Stopping> stopping_;
-  std::set<std::string> cancelled_;               // jobs, whose tasks may still be there
-  std::map<std::string, std::string> to_return_;  // machine -> why
+  std::set<std::string> cancelled_;  // jobs, whose tasks may still be there
   std::vector<autoscaling::InstanceOffer>
-      lost_capacity_;                         // kinds of machines given up, to be replaced
-  std::set<std::string> declared_dead_;       // to be returned for their silence alone
-  std::set<std::string> overdue_;             // to be returned with a cancelled task on them
-  std::set<std::string> awaiting_tombstone_;  // returned in an outage, to be marked after it
-  std::set<std::string> returned_;            // the cloud has confirmed it
-  std::set<std::string> returning_;
+      lost_capacity_;  // kinds of machines given up, to be replaced
+  ScaleIn scale_in_;
   std::map<std::string, Booting> booting_;
   ScaleOutRequests scale_out_requests_;
   Rechunker rechunker_;
--- a/src/coordination/shard_leader/shard_leader_cancelled.cpp
+++ b/src/coordination/shard_leader/shard_leader_cancelled.cpp
@@ -41,7 +41,9 @@
   auto it = machines_.find(id);
   if (it == machines_.end() || it->second.agent_epoch == 0) return false;
   auto& m = it->second;
-  if (loop_.now() - std::max(m.last_heartbeat_at, m.last_direct) > suspect_after_s()) return false;
+  if (loop_.now() - std::max(m.last_heartbeat_at, m.last_direct) >
+      failure_detector_.suspect_after_s())
+    return false;
   if (m.start_outstanding({task, attempt})) return false;
   auto t = m.tasks.find(task);
   return t == m.tasks.end() || t->second.state == TaskState::exited;
@@ -65,8 +67,8 @@
     for (auto& task : job->live_tasks()) {
       if (exits_.contains(task.name) || has_released(task.machine, task.name, task.attempt))
         continue;
-      overdue_.insert(task.machine);
-      request_scale_in(task.machine, "it keeps a task of cancelled " + id);
+      scale_in_.request(task.machine, "it keeps a task of cancelled " + id,
+                        ScaleInCause::keeps_cancelled_task);
     }
   }
 }
