--- /dev/null
+++ b/src/coordination/scheduling/feasibility.cpp
@@ -0,0 +1,82 @@
+#include "coordination/scheduling/feasibility.hpp"
+
+#include "coordination/scheduling/contains.hpp"
+
+namespace damsonport::scheduling {
+
+namespace {
+
+// How many tasks of a job with the spread constraint may be in one zone.
+uint32_t spread_limit(const JobSnapshot& job) { return (job.tasks + 1) / 2; }
+
+bool within_limit(double used, double limit) {
+  return limit <= 0 || used <= limit + resource_tolerance;
+}
+
+bool has_tasks_in_other_zones(const PlacementCount& count, NameId zone) {
+  for (NameId other = 0; other < count.in_zone.size(); ++other)
+    if (count.in_zone[other] > 0 && other != zone) return true;
+  return false;
+}
+
+}  // namespace
+
+bool Feasibility::quota_allows(JobIndex job, uint32_t tasks) const {
+  const JobSnapshot& snapshot = snapshot_.jobs[job];
+  if (!snapshot.team) return false;
+  const Resources& limit = snapshot_.teams[*snapshot.team].limit;
+  const Resources& used = state_.ledger.team_usage[*snapshot.team];
+  return within_limit(used.cpus + tasks * snapshot.need.cpus, limit.cpus) &&
+         within_limit(used.gpus + tasks * snapshot.need.gpus, limit.gpus);
+}
+
+bool Feasibility::zone_allows(JobIndex job, NameId zone) const {
+  const JobSnapshot& snapshot = snapshot_.jobs[job];
+  const NameId parts_zone = state_.ledger.parts_zone;
+  if (snapshot.zone != any_zone && snapshot.zone != zone) return false;
+  if (state_.parts_together() && parts_zone != any_zone && parts_zone != zone) return false;
+  if (!snapshot.one_zone && !snapshot.spread) return true;
+  const PlacementCount& count = state_.placement_count(job);
+  // Tasks on machines of an unknown zone may be in any.
+  const uint32_t unknown = count.in_zone[unknown_zone];
+  if (snapshot.one_zone && (unknown > 0 || has_tasks_in_other_zones(count, zone))) return false;
+  if (!snapshot.spread) return true;
+  // The first part of a replica needs a zone that may take all of them.
+  const bool needs_all = state_.parts_together() && parts_zone == any_zone;
+  const uint32_t needed = needs_all ? snapshot.waiting : 1;
+  return count.in_zone[zone] + unknown + needed <= spread_limit(snapshot);
+}
+
+uint32_t Feasibility::zone_allowance(JobIndex job, NameId zone) const {
+  const JobSnapshot& snapshot = snapshot_.jobs[job];
+  if (!zone_allows(job, zone)) return 0;
+  if (!snapshot.spread) return snapshot.waiting;
+  const PlacementCount& count = state_.placement_count(job);
+  return spread_limit(snapshot) - count.in_zone[zone] - count.in_zone[unknown_zone];
+}
+
+bool Feasibility::fits_one_zone(JobIndex job) const {
+  const JobSnapshot& snapshot = snapshot_.jobs[job];
+  if (!snapshot.spread) return true;
+  for (NameId zone = first_name; zone < snapshot_.zones.size(); ++zone)
+    if (zone_allowance(job, zone) >= snapshot.waiting) return true;
+  return false;
+}
+
+bool Feasibility::matches_constraints(JobIndex job, NameId type, NameId zone, bool spot) const {
+  const JobSnapshot& snapshot = snapshot_.jobs[job];
+  if (spot && !snapshot.spot) return false;
+  if (!snapshot.types.empty() && !contains(snapshot.types, type)) return false;
+  return zone_allows(job, zone);
+}
+
+bool Feasibility::is_feasible(JobIndex job, MachineIndex machine) const {
+  const JobSnapshot& snapshot = snapshot_.jobs[job];
+  const MachineSnapshot& target = snapshot_.machines[machine];
+  if (snapshot.distinct_machines && state_.ledger.part_on[machine]) return false;
+  if (!target.open || !snapshot.need.fits(target.total)) return false;
+  if (!matches_constraints(job, target.type, target.zone, target.spot)) return false;
+  return target.bad_jobs.empty() || !contains(target.bad_jobs, snapshot.id);
+}
+
+}  // namespace damsonport::scheduling
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -1,206 +1,267 @@
-// What may be stopped to make room, and at what cost.
-#include "coordination/scheduling/scheduling_cycle.hpp"
+#include "coordination/scheduling/preemption.hpp"
+
+#include <algorithm>
+
+#include "coordination/scheduling/contains.hpp"
+#include "coordination/scheduling/equivalence_class.hpp"
 
 namespace damsonport::scheduling {
 
-bool SchedulingCycle::standing(const JobSnapshot& job) {
+namespace {
+
+// Costs of a preemption, in seconds.
+constexpr double base_cost = 2;
+constexpr double cost_per_priority = 15;
+constexpr double service_cost = 60;  // users notice the loss of a replica
+constexpr double started_in_vain_cost = 10;
+constexpr double guaranteed_cost = 15;
+
+// A task without checkpoints loses its run time, up to this many times its estimate: beyond that
+// the estimate is wrong and says nothing.
+constexpr double max_loss_in_estimates = 2;
+constexpr double min_estimate_s = 1;
+
+// A task is stopped abruptly if it loses at most this many times what saving its state would take.
+constexpr double bearable_abrupt_loss_in_graces = 2;
+
+// Services of this priority and above never give back what they borrow of another team's guarantee.
+constexpr int production_priority = 3;
+
+bool is_urgent_service(const JobSnapshot& job) {
   return job.service && job.priority >= urgent_priority;
 }
 
-bool SchedulingCycle::may_stop(size_t j, const RunningTaskSnapshot& v) const {
-  auto& job = in_.jobs[j];
-  auto& victim = in_.jobs[v.job];
-  // Only what would also be placed after it: what is placed first would take the room again, and
-  // the two would drive one another out for ever.
-  if (urgency_[j] <= urgency_[v.job] || is_stopping(v)) return false;
-  if (victim.gang && gang_is_stopping(v.job)) return false;
-  if (victim.priority < job.priority) return true;
-  // For its guarantee a team may take back what another team borrows; standing replicas of the
-  // same or a higher rank are left alone all the same, since each stop is seen by users.
-  return guaranteed_[j] && !guaranteed_[v.job] && victim.team != job.team && !victim.service &&
-         victim.priority < 3;
-}
-
-double SchedulingCycle::expected_within(size_t j) const {
-  double s = never;
-  if (in_.jobs[j].start_within_s > 0) s = in_.jobs[j].start_within_s;
-  if (guaranteed_[j] && in_.guarantee_within_s > 0) s = std::min(s, in_.guarantee_within_s);
-  return s;
-}
-
-double SchedulingCycle::abrupt_loss(const RunningTaskSnapshot& v) const {
-  return std::min(age(v), in_.jobs[v.job].checkpoint_s / 2);
-}
-
-bool SchedulingCycle::abruptly(size_t j, size_t m, const RunningTaskSnapshot& v) const {
-  if (in_.jobs[v.job].gang) return false;  // its tasks save together
-  const double grace = in_.jobs[v.job].grace_s;
-  return grace > 0 && abrupt_loss(v) <= 2 * grace &&
-         image_delay(in_.jobs[j], in_.machines[m]) + grace > expected_within(j);
-}
-
-double SchedulingCycle::loss(const RunningTaskSnapshot& v, bool abrupt) const {
-  auto& victim = in_.jobs[v.job];
-  // Stopped with time to save it loses nothing but that time.
-  const double lost =
-      victim.checkpoint_s > 0 ? 0 : std::min(age(v), std::max(victim.estimate_s, 1.0) * 2);
-  double c = (abrupt ? abrupt_loss(v) : lost + victim.grace_s) + 2 + victim.priority * 15;
-  if (victim.service) c += 60;
-  if (age(v) < in_.min_useful_run_s) c += 10;
-  if (guaranteed_[v.job]) c += 15;
-  // The whole gang goes with one of its tasks.
-  if (victim.gang) c *= static_cast<double>(gang_parts_.at(v.job).size());
-  return c;
-}
-
-bool SchedulingCycle::known_hopeless(size_t j, bool also_standing) const {
-  auto& known = hopeless_[also_standing];
-  return std::any_of(known.begin(), known.end(), [&](size_t h) {
-    auto &a = in_.jobs[h], &b = in_.jobs[j];
-    return a.need.fits(b.need) && same_rules(a, b) && urgency_[j] <= urgency_[h] &&
-           b.priority <= a.priority && (!guaranteed_[j] || (guaranteed_[h] && a.team == b.team));
-  });
+// Whether the need of a victim includes a resource that the job still lacks.
+bool frees_what_lacks(const Resources& victim, const Resources& need, const Resources& capacity) {
+  return (victim.gpus > 0 && need.gpus > capacity.gpus) ||
+         (victim.cpus > 0 && need.cpus > capacity.cpus) ||
+         (victim.memory_gb > 0 && need.memory_gb > capacity.memory_gb);
+}
+
+}  // namespace
+
+bool Preemptor::may_preempt(JobIndex job, const RunningTaskSnapshot& victim) const {
+  const JobSnapshot& victim_job = context_.snapshot.jobs[victim.job];
+  // Only what is also queued after the job: what is queued before it would take the capacity back,
+  // and the two would preempt each other for ever.
+  if (context_.queue.urgency(job) <= context_.queue.urgency(victim.job)) return false;
+  if (context_.state.is_stopping(victim)) return false;
+  if (victim_job.gang && context_.state.is_gang_stopping(victim.job)) return false;
+  if (victim_job.priority < context_.snapshot.jobs[job].priority) return true;
+  return may_reclaim_guarantee(job, victim.job);
 }
 
-void SchedulingCycle::stop_task(size_t m, size_t live, double grace_s) {
-  out_.stops.push_back({m, live, grace_s});
-  stopped_[m].push_back(live);
-  future_[m] += in_.jobs[in_.machines[m].live[live].job].need;
+// For its guaranteed quota a team may take back what another team borrows. Services are left alone
+// all the same, since users notice the loss of a replica.
+bool Preemptor::may_reclaim_guarantee(JobIndex job, JobIndex victim) const {
+  const JobSnapshot& victim_job = context_.snapshot.jobs[victim];
+  return context_.queue.within_guarantee(job) && !context_.queue.within_guarantee(victim) &&
+         victim_job.team != context_.snapshot.jobs[job].team && !victim_job.service &&
+         victim_job.priority < production_priority;
 }
 
-void SchedulingCycle::stop_gang(size_t victim_job) {
-  for (auto& part : gang_parts_.at(victim_job)) {
-    stop_task(part.machine, part.live, in_.jobs[victim_job].grace_s);
-    coming_.push_back(part.machine);
-  }
+std::optional<double> Preemptor::start_objective_s(JobIndex job) const {
+  const double of_class = context_.snapshot.jobs[job].start_within_s;
+  const double of_guarantee = context_.snapshot.guarantee_within_s;
+  const bool guaranteed = context_.queue.within_guarantee(job) && of_guarantee > 0;
+  if (of_class > 0) return guaranteed ? std::min(of_class, of_guarantee) : of_class;
+  if (guaranteed) return of_guarantee;
+  return std::nullopt;
+}
+
+double Preemptor::run_time_s(const RunningTaskSnapshot& task) const {
+  return std::max(context_.snapshot.steady_now - task.since, 0.0);
+}
+
+// On average half of its interval between checkpoints.
+double Preemptor::abrupt_loss_s(const RunningTaskSnapshot& task) const {
+  return std::min(run_time_s(task), context_.snapshot.jobs[task.job].checkpoint_s / 2);
+}
+
+// A task with checkpoints loses little when it is stopped at once. It is where the job would start
+// too late otherwise.
+bool Preemptor::is_abrupt(JobIndex job, MachineIndex machine,
+                          const RunningTaskSnapshot& victim) const {
+  const JobSnapshot& victim_job = context_.snapshot.jobs[victim.job];
+  if (victim_job.gang) return false;  // its tasks save their state together
+  const double grace_s = victim_job.grace_s;
+  if (grace_s <= 0) return false;
+  if (abrupt_loss_s(victim) > bearable_abrupt_loss_in_graces * grace_s) return false;
+  const std::optional<double> objective_s = start_objective_s(job);
+  if (!objective_s) return false;
+  const double delay_s =
+      image_delay(context_.snapshot.jobs[job], context_.snapshot.machines[machine]);
+  return delay_s + grace_s > *objective_s;
 }
 
-bool SchedulingCycle::gang_is_stopping(size_t victim_job) const {
-  auto& parts = gang_parts_.at(victim_job);
-  return std::any_of(parts.begin(), parts.end(), [&](const GangPart& p) {
-    return is_stopping(in_.machines[p.machine].live[p.live]);
+double Preemptor::cost_of(JobIndex job, MachineIndex machine,
+                          const RunningTaskSnapshot& victim) const {
+  const JobSnapshot& victim_job = context_.snapshot.jobs[victim.job];
+  const double max_loss = std::max(victim_job.estimate_s, min_estimate_s) * max_loss_in_estimates;
+  // With checkpoints, a task that has time to save its state loses nothing but that time.
+  const double lost = victim_job.checkpoint_s > 0 ? 0 : std::min(run_time_s(victim), max_loss);
+  double cost = is_abrupt(job, machine, victim) ? abrupt_loss_s(victim) : lost + victim_job.grace_s;
+  cost = cost + base_cost + victim_job.priority * cost_per_priority;
+  if (victim_job.service) cost += service_cost;
+  if (run_time_s(victim) < context_.snapshot.min_useful_run_s) cost += started_in_vain_cost;
+  if (context_.queue.within_guarantee(victim.job)) cost += guaranteed_cost;
+  if (!victim_job.gang) return cost;
+  return cost * static_cast<double>(context_.state.find_gang_tasks(victim.job)->size());
+}
+
+// Where a job had no victims, no job has any that needs as much under the same constraints and may
+// preempt no more.
+bool Preemptor::is_known_without_victims(JobIndex job, PreemptionScope scope) const {
+  const JobSnapshot& asking = context_.snapshot.jobs[job];
+  const QueueOrder& queue = context_.queue;
+  const auto& known = context_.state.ledger.without_victims[static_cast<size_t>(scope)];
+  return std::any_of(known.begin(), known.end(), [&](JobIndex other) {
+    const JobSnapshot& representative = context_.snapshot.jobs[other];
+    const bool same_guarantee =
+        !queue.within_guarantee(job) ||
+        (queue.within_guarantee(other) && representative.team == asking.team);
+    return representative.need.fits(asking.need) && has_same_constraints(representative, asking) &&
+           queue.urgency(job) <= queue.urgency(other) &&
+           asking.priority <= representative.priority && same_guarantee;
   });
 }
 
-SchedulingCycle::Eviction SchedulingCycle::eviction_on(size_t j, size_t m,
-                                                       bool also_standing) const {
-  auto& job = in_.jobs[j];
-  auto& live = in_.machines[m].live;
+std::vector<size_t> Preemptor::find_victims(JobIndex job, MachineIndex machine,
+                                            PreemptionScope scope) const {
+  const std::vector<RunningTaskSnapshot>& live = context_.snapshot.machines[machine].live;
+  const std::vector<size_t>& preempted = context_.state.ledger.preempted[machine];
   std::vector<size_t> victims;
-  for (size_t i = 0; i < live.size(); ++i)
-    if (may_stop(j, live[i]) && (also_standing || !standing(in_.jobs[live[i].job])) &&
-        !contains(stopped_[m], i))
-      victims.push_back(i);
-  auto lost = [&](size_t i) { return loss(live[i], abruptly(j, m, live[i])); };
-  std::sort(victims.begin(), victims.end(), [&](size_t a, size_t b) { return lost(a) < lost(b); });
-  Resources room = free_[m];
-  room += future_[m];
-  Eviction eviction{image_delay(job, in_.machines[m]), m, {}};
-  for (size_t i : victims) {
-    if (job.need.fits(room)) break;
-    auto& need = in_.jobs[live[i].job].need;
-    const bool helps = (need.gpus > 0 && job.need.gpus > room.gpus) ||
-                       (need.cpus > 0 && job.need.cpus > room.cpus) ||
-                       (need.memory_gb > 0 && job.need.memory_gb > room.memory_gb);
-    if (!helps) continue;
-    room += need;
-    eviction.score += lost(i);
-    eviction.live.push_back(i);
+  for (size_t i = 0; i < live.size(); ++i) {
+    if (!may_preempt(job, live[i])) continue;
+    const bool spared = scope == PreemptionScope::spare_urgent_services &&
+                        is_urgent_service(context_.snapshot.jobs[live[i].job]);
+    if (!spared && !contains(preempted, i)) victims.push_back(i);
   }
-  if (eviction.live.empty() || !job.need.fits(room)) eviction.score = never;
-  return eviction;
-}
-
-SchedulingCycle::Eviction SchedulingCycle::cheapest_eviction(size_t j, bool also_standing) {
-  Eviction best;
-  for (size_t m = 0; m < in_.machines.size(); ++m) {
-    if (least_urgent_[m] >= urgency_[j]) continue;
-    ++out_.examined;
-    if (!is_feasible(j, m)) continue;
-    auto eviction = eviction_on(j, m, also_standing);
-    if (eviction.score < best.score) best = std::move(eviction);
+  std::sort(victims.begin(), victims.end(), [&](size_t left, size_t right) {
+    return cost_of(job, machine, live[left]) < cost_of(job, machine, live[right]);
+  });
+  return victims;
+}
+
+std::optional<Preemptor::Plan> Preemptor::plan_on(JobIndex job, MachineIndex machine,
+                                                  PreemptionScope scope) const {
+  const JobSnapshot& starting = context_.snapshot.jobs[job];
+  const MachineSnapshot& target = context_.snapshot.machines[machine];
+  Resources capacity = context_.state.ledger.free[machine] + context_.state.ledger.freeing[machine];
+  Plan plan{image_delay(starting, target), machine, {}};
+  for (const size_t victim : find_victims(job, machine, scope)) {
+    if (starting.need.fits(capacity)) break;
+    const RunningTaskSnapshot& task = target.live[victim];
+    const Resources& victim_need = context_.snapshot.jobs[task.job].need;
+    if (!frees_what_lacks(victim_need, starting.need, capacity)) continue;
+    capacity += victim_need;
+    plan.cost += cost_of(job, machine, task);
+    plan.live.push_back(victim);
+  }
+  if (plan.live.empty() || !starting.need.fits(capacity)) return std::nullopt;
+  return plan;
+}
+
+std::optional<Preemptor::Plan> Preemptor::find_cheapest(JobIndex job, PreemptionScope scope) {
+  std::optional<Plan> best;
+  for (MachineIndex machine; machine < context_.snapshot.machines.size(); ++machine) {
+    if (context_.state.least_urgency_on(machine) >= context_.queue.urgency(job)) continue;
+    ++context_.decisions.examined;
+    if (!context_.feasibility.is_feasible(job, machine)) continue;
+    std::optional<Plan> plan = plan_on(job, machine, scope);
+    if (plan && (!best || plan->cost < best->cost)) best = std::move(plan);
   }
   return best;
 }
 
-void SchedulingCycle::evict(size_t j, const Eviction& eviction) {
-  const size_t m = eviction.machine;
-  auto& live = in_.machines[m].live;
-  for (size_t i : eviction.live) {
-    const size_t victim = live[i].job;
-    if (contains(stopped_[m], i)) continue;  // with another task of its gang
-    if (in_.jobs[victim].gang) {
-      stop_gang(victim);
+void Preemptor::stop_task(MachineIndex machine, size_t live, double grace_s) {
+  CapacityLedger& ledger = context_.state.ledger;
+  const RunningTaskSnapshot& task = context_.snapshot.machines[machine].live[live];
+  context_.decisions.stops.push_back({machine, live, grace_s});
+  ledger.preempted[machine].push_back(live);
+  ledger.freeing[machine] += context_.snapshot.jobs[task.job].need;
+}
+
+void Preemptor::stop_gang(JobIndex gang) {
+  const double grace_s = context_.snapshot.jobs[gang].grace_s;
+  for (const GangTask& task : *context_.state.find_gang_tasks(gang)) {
+    stop_task(task.machine, task.live, grace_s);
+    context_.state.ledger.freeing_machines.push_back(task.machine);
+  }
+}
+
+void Preemptor::execute(JobIndex job, const Plan& plan) {
+  CapacityLedger& ledger = context_.state.ledger;
+  for (const size_t live : plan.live) {
+    const RunningTaskSnapshot& task = context_.snapshot.machines[plan.machine].live[live];
+    const JobSnapshot& victim_job = context_.snapshot.jobs[task.job];
+    // Already with another task of its gang.
+    if (contains(ledger.preempted[plan.machine], live)) continue;
+    if (victim_job.gang) {
+      stop_gang(task.job);
     } else {
-      stop_task(m, i, abruptly(j, m, live[i]) ? 0 : in_.jobs[victim].grace_s);
+      const bool abrupt = is_abrupt(job, plan.machine, task);
+      stop_task(plan.machine, live, abrupt ? 0 : victim_job.grace_s);
     }
   }
-  take_future(j, m);
-  coming_.push_back(m);
-  for (auto& known : hopeless_) known.clear();  // more may be coming now than this job takes
+  context_.state.take_freeing(job, plan.machine);
+  ledger.freeing_machines.push_back(plan.machine);
+  // More may become free now than this job takes.
+  for (std::vector<JobIndex>& known : ledger.without_victims) known.clear();
 }
 
-bool SchedulingCycle::make_room(size_t j, bool also_standing) {
-  if (known_hopeless(j, also_standing)) return false;
-  const Eviction best = cheapest_eviction(j, also_standing);
-  if (best.score == never) {
-    if (represents_class(in_.jobs[j])) hopeless_[also_standing].push_back(j);
-    return false;
+bool Preemptor::preempt_for(JobIndex job, PreemptionScope scope) {
+  if (is_known_without_victims(job, scope)) return false;
+  const std::optional<Plan> best = find_cheapest(job, scope);
+  if (best) {
+    execute(job, *best);
+    return true;
   }
-  evict(j, best);
-  return true;
+  if (represents_class(context_.snapshot, context_.snapshot.jobs[job]))
+    context_.state.ledger.without_victims[static_cast<size_t>(scope)].push_back(job);
+  return false;
 }
 
-double SchedulingCycle::time_to_save(size_t m) const {
-  double longest = 0;
-  auto& live = in_.machines[m].live;
-  for (size_t i = 0; i < live.size(); ++i)
-    if (is_stopping(live[i]) || contains(stopped_[m], i))
-      longest = std::max(longest, in_.jobs[live[i].job].grace_s);
-  return longest;
+bool Preemptor::frees_within(JobIndex job, const Plan& plan, double within_s) const {
+  double longest_s = context_.state.time_to_save(plan.machine);
+  for (const size_t live : plan.live) {
+    const RunningTaskSnapshot& victim = context_.snapshot.machines[plan.machine].live[live];
+    const JobSnapshot& victim_job = context_.snapshot.jobs[victim.job];
+    if (victim_job.gang) return false;  // too much for one start
+    if (!is_abrupt(job, plan.machine, victim)) longest_s = std::max(longest_s, victim_job.grace_s);
+  }
+  return longest_s < within_s;
 }
 
-bool SchedulingCycle::beside_image_in_time(size_t j, const Eviction& eviction,
-                                           double precedes) const {
-  double longest = time_to_save(eviction.machine);
-  for (size_t i : eviction.live) {
-    auto& victim = in_.machines[eviction.machine].live[i];
-    if (in_.jobs[victim.job].gang) return false;  // too much for one start
-    if (!abruptly(j, eviction.machine, victim))
-      longest = std::max(longest, in_.jobs[victim.job].grace_s);
-  }
-  return longest < precedes;
-}
-
-double SchedulingCycle::machine_cost_after(size_t j, const Eviction& eviction) const {
-  const size_t m = eviction.machine;
-  Resources room = free_[m];
-  room += future_[m];
-  for (size_t i : eviction.live) room += in_.jobs[in_.machines[m].live[i].job].need;
-  return score(j, m, room);
-}
-
-bool SchedulingCycle::make_room_beside_image(size_t j, double fetch_s, double score) {
-  auto& job = in_.jobs[j];
-  // Room that takes as long as the fetch, or longer than is expected of the start, is no gain.
-  const double precedes = std::min(fetch_s, job.start_within_s);
-  // Also what an earlier pass decided: it would else start elsewhere meanwhile, with a fetch.
-  if (claim_coming(j, BesideImage{precedes, score})) return true;
-  Eviction best;
-  best.score = score;
-  for (size_t m = 0; m < in_.machines.size(); ++m) {
-    if (least_urgent_[m] >= urgency_[j] || !has_image(in_.machines[m], job.image)) continue;
-    ++out_.examined;
-    if (!is_feasible(j, m)) continue;
-    auto eviction = eviction_on(j, m, false);
-    // Where the machine itself costs more than the other one, the task would not start there once
-    // the room is free; what was stopped would, and be stopped again.
-    const bool would_start = machine_cost_after(j, eviction) < score;
-    if (would_start && eviction.score < best.score && beside_image_in_time(j, eviction, precedes))
-      best = std::move(eviction);
+// Of the machine itself, once the tasks are stopped.
+double Preemptor::score_after(JobIndex job, const Plan& plan) const {
+  const MachineSnapshot& machine = context_.snapshot.machines[plan.machine];
+  Resources capacity =
+      context_.state.ledger.free[plan.machine] + context_.state.ledger.freeing[plan.machine];
+  for (const size_t live : plan.live)
+    capacity += context_.snapshot.jobs[machine.live[live].job].need;
+  return context_.scorer.score(job, plan.machine, capacity);
+}
+
+bool Preemptor::preempt_beside_image(JobIndex job, double within_s, double score) {
+  const JobSnapshot& starting = context_.snapshot.jobs[job];
+  std::optional<Plan> best;
+  double best_cost = score;
+  for (MachineIndex machine; machine < context_.snapshot.machines.size(); ++machine) {
+    if (context_.state.least_urgency_on(machine) >= context_.queue.urgency(job)) continue;
+    if (!has_image(context_.snapshot.machines[machine], starting.image)) continue;
+    ++context_.decisions.examined;
+    if (!context_.feasibility.is_feasible(job, machine)) continue;
+    std::optional<Plan> plan = plan_on(job, machine, PreemptionScope::spare_urgent_services);
+    if (!plan || plan->cost >= best_cost) continue;
+    // Where the machine itself scores worse than the other one, the task would not start there once
+    // the capacity is free. What was stopped would, and be stopped again.
+    if (score_after(job, *plan) >= score || !frees_within(job, *plan, within_s)) continue;
+    best_cost = plan->cost;
+    best = std::move(plan);
   }
-  if (best.machine == nowhere) return false;
-  evict(j, best);
+  if (!best) return false;
+  execute(job, *best);
   return true;
 }
 
--- /dev/null
+++ b/src/coordination/scheduling/scheduling_cycle.cpp
@@ -0,0 +1,39 @@
+#include "coordination/scheduling/scheduling_cycle.hpp"
+
+#include <utility>
+
+namespace damsonport::scheduling {
+
+SchedulingCycle::SchedulingCycle(const SchedulerSnapshot& snapshot)
+    : snapshot_(snapshot),
+      queue_(snapshot),
+      state_(snapshot, queue_),
+      feasibility_(snapshot, state_),
+      scorer_(snapshot, state_),
+      context_{snapshot_, queue_, feasibility_, scorer_, state_, decisions_},
+      preemptor_(context_),
+      pending_capacity_(context_, preemptor_),
+      tasks_(context_, pending_capacity_),
+      gangs_(context_, pending_capacity_) {}
+
+Decisions SchedulingCycle::run() {
+  for (const JobIndex job : queue_.pending_jobs()) {
+    begin_job(job);
+    if (snapshot_.jobs[job].gang) {
+      gangs_.place(job);
+    } else {
+      tasks_.place(job);
+    }
+    state_.end_job(job);
+  }
+  return std::move(decisions_);
+}
+
+void SchedulingCycle::begin_job(JobIndex job) {
+  state_.begin_job(job);
+  // The spread constraint comes before the wish to keep the parts of a replica together: where no
+  // zone may take all that are pending, they are divided.
+  if (state_.parts_together() && !feasibility_.fits_one_zone(job)) state_.allow_parts_apart();
+}
+
+}  // namespace damsonport::scheduling
--- a/src/coordination/scheduling/scoring.cpp
+++ b/src/coordination/scheduling/scoring.cpp
@@ -1,73 +1,149 @@
-// What a machine costs a task, in seconds or what counts like them.
+#include "coordination/scheduling/scoring.hpp"
+
+#include <algorithm>
 #include <cmath>
 
-#include "coordination/scheduling/scheduling_cycle.hpp"
+#include "coordination/scheduling/contains.hpp"
 
 namespace damsonport::scheduling {
 
 namespace {
-constexpr double missed_cost = 25;  // seconds that a start later than expected counts for
-// Seconds that the use of an empty machine counts for, which could else be given back: on the
-// dearest type, on others in proportion to their price.
-constexpr double opening_cost = 15;
+
+// All penalties are in seconds.
+constexpr double missed_objective_penalty = 25;
+// For using an empty machine that could be scaled in otherwise: on the dearest type, on others in
+// proportion to their price.
+constexpr double empty_machine_penalty = 15;
+// Jobs that may run on spot machines leave the others free.
+constexpr double not_spot_penalty = 3;
+constexpr double slow_machine_penalty = 20;  // at no speed at all, else in proportion
+// Replicas are kept apart, so that the loss of one machine takes few of them.
+constexpr double same_machine_penalty = 2;
+
+// Accelerators without CPUs or memory beside them are lost. Where it can't be helped, they are lost
+// on machines with few usable ones left, and not a few on each.
+constexpr double cpu_task_on_accelerator_penalty = 15;
+constexpr double lost_accelerator_penalty = 30;
+constexpr double usable_accelerator_penalty = 5;  // for each that is left usable there
+
+constexpr double fragmentation_weight = 4;  // for each largest task that no longer fits
+constexpr double free_gpus_weight = 0.3;
+constexpr double free_cpus_weight = 0.5;
+
+// For gangs: each further machine, since the loss of any one stops all of it.
+constexpr double gang_machine_penalty = 2;
+constexpr double gang_lost_accelerator_penalty = 10;
+
+constexpr double min_fetch_gb_per_s = 1e-3;  // a rate of 0 is not to be divided by
+
+// An image that is being fetched is on average halfway there.
+constexpr double remaining_fetch_share = 0.5;
+
 }  // namespace
 
-double SchedulingCycle::usable_gpus(const Resources& room) const {
-  double n = std::max(room.gpus, 0.0);
-  if (cpus_per_gpu_ > 0) n = std::min(n, room.cpus / cpus_per_gpu_);
-  if (memory_per_gpu_ > 0) n = std::min(n, room.memory_gb / memory_per_gpu_);
-  return std::max(n, 0.0);
+double image_delay(const JobSnapshot& job, const MachineSnapshot& machine) {
+  const double fetch_s = job.image_gb / std::max(machine.fetch_gb_per_s, min_fetch_gb_per_s);
+  if (contains(machine.fetching, job.image)) return fetch_s * remaining_fetch_share;
+  if (contains(machine.images, job.image)) return 0;
+  // The others are fetched first.
+  return fetch_s * (1.0 + static_cast<double>(machine.fetching.size()));
 }
 
-double SchedulingCycle::image_delay(const JobSnapshot& job, const MachineSnapshot& m) const {
-  double fetch = job.image_gb / std::max(m.fetch_gb_per_s, 1e-3);
-  if (contains(m.fetching, job.image)) return fetch * 0.5;
-  if (contains(m.images, job.image)) return 0;
-  return fetch * (1.0 + static_cast<double>(m.fetching.size()));
+double miss_probability(double fetch_s, double objective_s) {
+  if (objective_s <= 0 || fetch_s <= 0) return 0;
+  const double shortest = fetch_s * 2 / 3;
+  const double longest = fetch_s * 4 / 3;
+  return std::clamp((longest - objective_s) / (longest - shortest), 0.0, 1.0);
 }
 
-double SchedulingCycle::miss_chance(double fetch, double within) {
-  if (within <= 0 || fetch <= 0) return 0;
-  const double least = fetch * 2 / 3, most = fetch * 4 / 3;
-  return std::clamp((most - within) / (most - least), 0.0, 1.0);
+AcceleratorShape AcceleratorShape::of(const SchedulerSnapshot& snapshot) {
+  const bool any_fixed =
+      std::any_of(snapshot.jobs.begin(), snapshot.jobs.end(),
+                  [](const JobSnapshot& job) { return job.need.gpus > 0 && !job.spot; });
+  AcceleratorShape shape;
+  for (const JobSnapshot& job : snapshot.jobs) {
+    const Resources& need = job.need;
+    if (need.gpus <= 0 || (any_fixed && job.spot)) continue;
+    shape.largest_task_gpus = std::max(shape.largest_task_gpus, need.gpus);
+    shape.cpus_per_gpu = std::max(shape.cpus_per_gpu, need.cpus / need.gpus);
+    shape.memory_gb_per_gpu = std::max(shape.memory_gb_per_gpu, need.memory_gb / need.gpus);
+  }
+  return shape;
 }
 
-bool SchedulingCycle::uses_empty_machine(size_t j, size_t m) const {
-  auto& machine = in_.machines[m];
-  if (!machine.live.empty() || replicas_[m] > 0) return false;
-  // It was kept for such a start.
-  return in_.jobs[j].start_within_s <= 0 || !has_image(machine, in_.jobs[j].image);
+double AcceleratorShape::usable_gpus(const Resources& capacity) const {
+  double usable = std::max(capacity.gpus, 0.0);
+  if (cpus_per_gpu > 0) usable = std::min(usable, capacity.cpus / cpus_per_gpu);
+  if (memory_gb_per_gpu > 0) usable = std::min(usable, capacity.memory_gb / memory_gb_per_gpu);
+  return std::max(usable, 0.0);
 }
 
-double SchedulingCycle::score(size_t j, size_t m, const Resources& room) const {
-  auto& job = in_.jobs[j];
-  auto& machine = in_.machines[m];
-  double c = image_delay(job, machine);
-  c += missed_cost * miss_chance(c, job.start_within_s);
-  if (job.spot && !machine.spot) c += 3;  // what may use cheap machines leaves others free
-  c += (1.0 - std::min(machine.speed, 1.0)) * 20;
-  if (uses_empty_machine(j, m)) c += opening_cost * machine.price_share;
-  // Replicas apart, so that one machine's loss takes few of them.
-  if (job.service) c += 2.0 * replicas_[m];
-  if (machine.total.gpus > 0 && job.need.gpus <= 0) {
-    // Accelerators without CPUs or memory beside them are lost room. Where it can't be helped, it
-    // is lost on machines that are of little use already, and not a little of it on each.
-    c += 15;
-    Resources left = room;
-    left -= job.need;
-    const double precedes = usable_gpus(room), after = usable_gpus(left);
-    if (after < precedes - 1e-6) c += 30 + 5 * after;
-    c += 1.0 / (1.0 + left.cpus);
-  } else if (job.need.gpus > 0 && large_gpus_ > 0) {
-    double left = room.gpus - job.need.gpus;
-    double broken = std::floor(room.gpus / large_gpus_ + 1e-6) -
-                    std::floor(left / large_gpus_ + 1e-6) - job.need.gpus / large_gpus_;
-    if (broken > 1e-6) c += 4 * broken;
-    c += 0.3 * left / std::max(machine.total.gpus, 1.0);
-  } else {
-    c += 0.5 * (room.cpus - job.need.cpus) / std::max(machine.total.cpus, 1.0);
+bool Scorer::uses_empty_machine(const JobSnapshot& job, MachineIndex machine) const {
+  const MachineSnapshot& target = snapshot_.machines[machine];
+  if (!target.live.empty() || state_.ledger.tasks_on[machine] > 0) return false;
+  // A machine with the image is kept empty for jobs with a start-up objective.
+  return job.start_within_s <= 0 || !has_image(target, job.image);
+}
+
+double Scorer::score(JobIndex job, MachineIndex machine, const Resources& capacity) const {
+  const JobSnapshot& snapshot = snapshot_.jobs[job];
+  const MachineSnapshot& target = snapshot_.machines[machine];
+  double score = image_delay(snapshot, target);
+  score += missed_objective_penalty * miss_probability(score, snapshot.start_within_s);
+  if (snapshot.spot && !target.spot) score += not_spot_penalty;
+  score += (1.0 - std::min(target.speed, 1.0)) * slow_machine_penalty;
+  if (uses_empty_machine(snapshot, machine)) score += empty_machine_penalty * target.price_share;
+  if (snapshot.service) score += same_machine_penalty * state_.ledger.tasks_on[machine];
+  return add_packing_penalty(score, snapshot, target, capacity);
+}
+
+// The terms of a score are added one by one, in this order: sums of floating-point numbers depend
+// on it, and equal scores have to stay equal.
+double Scorer::add_packing_penalty(double score, const JobSnapshot& job,
+                                   const MachineSnapshot& machine,
+                                   const Resources& capacity) const {
+  const Resources left = capacity - job.need;
+  if (machine.total.gpus > 0 && job.need.gpus <= 0)
+    return add_cpu_task_penalty(score, capacity, left);
+  if (job.need.gpus > 0 && shape_.largest_task_gpus > 0) {
+    score += fragmentation_penalty(capacity.gpus, left.gpus, job.need.gpus);
+    return score + free_gpus_weight * left.gpus / std::max(machine.total.gpus, 1.0);
   }
-  return c;
+  return score + free_cpus_weight * left.cpus / std::max(machine.total.cpus, 1.0);
+}
+
+double Scorer::add_cpu_task_penalty(double score, const Resources& capacity,
+                                    const Resources& left) const {
+  score += cpu_task_on_accelerator_penalty;
+  const double usable_before = shape_.usable_gpus(capacity);
+  const double usable_after = shape_.usable_gpus(left);
+  if (usable_after < usable_before - resource_tolerance)
+    score += lost_accelerator_penalty + usable_accelerator_penalty * usable_after;
+  return score + 1.0 / (1.0 + left.cpus);
+}
+
+double Scorer::fragmentation_penalty(double free_gpus, double left_gpus, double need_gpus) const {
+  const double largest = shape_.largest_task_gpus;
+  const double slots_before = std::floor(free_gpus / largest + resource_tolerance);
+  const double slots_after = std::floor(left_gpus / largest + resource_tolerance);
+  const double slots_broken = slots_before - slots_after - need_gpus / largest;
+  return slots_broken > resource_tolerance ? fragmentation_weight * slots_broken : 0;
+}
+
+double Scorer::gang_score(JobIndex job, MachineIndex machine, uint32_t tasks) const {
+  const JobSnapshot& snapshot = snapshot_.jobs[job];
+  const MachineSnapshot& target = snapshot_.machines[machine];
+  const Resources& free = state_.ledger.free[machine];
+  double score = image_delay(snapshot, target);
+  score += (1.0 - std::min(target.speed, 1.0)) * slow_machine_penalty;
+  score += gang_machine_penalty * std::ceil(static_cast<double>(snapshot.waiting) / tasks);
+  if (snapshot.replica) score += same_machine_penalty * state_.ledger.tasks_on[machine];
+  if (target.total.gpus <= 0 || snapshot.need.gpus > 0) return score;
+  Resources left = free;
+  for (uint32_t i = 0; i < tasks; ++i) left -= snapshot.need;
+  score += cpu_task_on_accelerator_penalty;
+  const double lost_gpus = shape_.usable_gpus(free) - shape_.usable_gpus(left);
+  return score + gang_lost_accelerator_penalty * lost_gpus;
 }
 
 }  // namespace damsonport::scheduling
--- a/src/coordination/scheduling/snapshot_index.hpp
+++ b/src/coordination/scheduling/snapshot_index.hpp
@@ -1,5 +1,5 @@
-// Which places in placement's view a job has: one for each of its gangs, else a single one. Places
-// of jobs that are gone stay empty until they are used again.
+/// Which entries of SchedulerSnapshot::jobs belong to which job: one for each of its gangs, or a
+/// single one. Entries of jobs that are gone stay empty until they are used again.
 #pragma once
 #include <unordered_map>
 #include <vector>
@@ -9,33 +9,38 @@
 
 namespace damsonport {
 
+/// Owned by the shard leader, beside the snapshot whose `jobs` it is passed.
 class SnapshotIndex {
  public:
+  using JobIndex = scheduling::JobIndex;
+
   struct Owner {
-    Job* job = nullptr;  // null: the place is empty
-    uint32_t gang = 0;
+    Job* job = nullptr;  ///< null: the entry is empty
+    uint32_t gang = 0;   ///< the number of the gang within the job
   };
-  // The job's places, taken now where it has none yet; `fresh` tells which.
-  const std::vector<size_t>& take(Job& job, std::vector<scheduling::JobSnapshot>& views,
-                                  bool& fresh);
-  void release(const Job* job, std::vector<scheduling::JobSnapshot>& views);
-  // Where the job's task is counted; the job has its places.
-  size_t of(const Job* job, uint32_t task) const;
-  const Owner& owner(size_t slot) const { return owners_[slot]; }
+
+  /// The job's entries, by gang. `fresh`: they were created by this call and are to be filled in.
+  const std::vector<JobIndex>& take(Job& job, std::vector<scheduling::JobSnapshot>& jobs,
+                                    bool& fresh);
+  /// Empties the job's entries, if it has any.
+  void release(const Job* job, std::vector<scheduling::JobSnapshot>& jobs);
+  /// The entry of one of the job's tasks. The job has to have its entries.
+  [[nodiscard]] JobIndex of(const Job* job, uint32_t task) const;
+  [[nodiscard]] const Owner& owner(JobIndex entry) const { return owners_[entry]; }
   void clear();
 
  private:
-  std::unordered_map<const Job*, std::vector<size_t>> slots_;
-  std::vector<Owner> owners_;
-  std::vector<size_t> free_;
+  std::unordered_map<const Job*, std::vector<JobIndex>> entries_;
+  std::vector<Owner> owners_;  // by entry
+  std::vector<size_t> free_;   // empty entries
 };
 
-// A place that became free, or a new one at the end.
+/// Position of an unused entry: one that became free, or a new one at the end.
 template <class T>
-size_t take_slot(std::vector<size_t>& free, std::vector<T>& places) {
+[[nodiscard]] size_t take_slot(std::vector<size_t>& free, std::vector<T>& entries) {
   if (free.empty()) {
-    places.emplace_back();
-    return places.size() - 1;
+    entries.emplace_back();
+    return entries.size() - 1;
   }
   const size_t slot = free.back();
   free.pop_back();
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -102,8 +102,8 @@
       // replica=N [family=PLACE of the job's first] [distinct]
       j.replica = w.contains("replica");
       j.replica_number = static_cast<uint32_t>(num(w, "replica"));
-      j.replica_set =
-          static_cast<size_t>(num(w, "family", static_cast<double>(input_.jobs.size())));
+      j.replica_set = scheduling::JobIndex(
+          static_cast<size_t>(num(w, "family", static_cast<double>(input_.jobs.size()))));
       j.distinct_machines = w.contains("distinct");
       j.one_zone = w.contains("one_zone"), j.spread = w.contains("spread");
       j.spot = w.contains("spot"), j.cancelled = w.contains("cancelled");
@@ -119,7 +119,7 @@
     } else if (verb == "live") {  // live JOB machine=M [age=S] [stopping]
       scheduling::RunningTaskSnapshot l;
       for (size_t i = 0; i < input_.jobs.size(); ++i)
-        if (input_.jobs[i].id == name) l.job = i;
+        if (input_.jobs[i].id == name) l.job = scheduling::JobIndex(i);
       l.since = -num(w, "age", 100);
       l.stopping = w.contains("stopping");
       for (auto& m : input_.machines) {
