--- a/src/coordination/replicas/replica_manager.cpp
+++ b/src/coordination/replicas/replica_manager.cpp
@@ -65,7 +65,7 @@
   const TaskRange replica = gang_range(job.spec, number);
   ReplicaStatus status{job.spec.id, number, ReplicaState::queued, {}, job.record_of(replica)};
   ReplicaStanding standing;
-  standing.gang = gangs_.standing(job, replica);
+  standing.gang = gangs_.status(job, replica);
   standing.last_attempt = status.record.last_attempt;
   // An attempt of which a part has ended is never ready again.
   const bool over = standing.gang.broken || standing.gang.stopping || job.cancelled;
--- a/src/coordination/scheduling/chunk_edits.cpp
+++ b/src/coordination/scheduling/chunk_edits.cpp
@@ -3,30 +3,37 @@
 namespace damsonport {
 
 namespace {
-// Of the 64 KiB that a transaction may have; the rest is for its keys and conditions.
+
+// Of the 64 KiB that a transaction may have. The rest is for its keys and preconditions.
 constexpr size_t max_bytes = size_t{48} * 1024;
-constexpr size_t head_bytes = 64, entry_bytes = 48;
+// Estimated sizes of an encoded chunk without tasks, and of one task in it.
+constexpr size_t chunk_header_bytes = 64;
+constexpr size_t task_entry_bytes = 48;
+// Writes that end a job: its own record, and its final state.
+constexpr int writes_to_end_job = 2;
+
 }  // namespace
 
 TaskChunk* ChunkEdits::edit(const Job& job, uint32_t chunk) {
-  const auto key = job.chunk_key(chunk);
-  if (auto it = edits_.find(key); it != edits_.end()) return &it->second;
+  const std::string key = job.chunk_key(chunk);
+  if (const auto it = edits_.find(key); it != edits_.end()) return &it->second;
   if (writes() >= limits_.txn_writes) return nullptr;
   TaskChunk record;
-  if (auto c = job.chunks.find(chunk); c != job.chunks.end()) record = c->second.record;
+  if (const auto known = job.chunks.find(chunk); known != job.chunks.end())
+    record = known->second.record;
   const size_t entries = record.live.size() + record.waiting.size();
-  const size_t size = head_bytes + entry_bytes * entries;
+  const size_t size = chunk_header_bytes + task_entry_bytes * entries;
   if (bytes_ + size > max_bytes && !edits_.empty()) return nullptr;
   bytes_ += size;
   transaction_.preconditions[key] = cache_.chunk_version(job.spec.id, chunk);
-  return &(edits_[key] = std::move(record));
+  return &edits_.insert_or_assign(key, std::move(record)).first->second;
 }
 
-// A record that was nearly empty may have hundreds of tasks started in it at once. The first always
-// fits, since a record does.
+// A chunk that was nearly empty may have hundreds of tasks started in it at once. The first entry
+// always fits, since a chunk with one does.
 bool ChunkEdits::take_entry() {
-  if (any_entry_ && bytes_ + entry_bytes > max_bytes) return false;
-  bytes_ += entry_bytes;
+  if (any_entry_ && bytes_ + task_entry_bytes > max_bytes) return false;
+  bytes_ += task_entry_bytes;
   any_entry_ = true;
   return true;
 }
@@ -36,9 +43,8 @@
 }
 
 bool ChunkEdits::end_with_edit(const Job& job) {
-  constexpr int records = 2;  // the job's own, and its final state
-  if (writes() + records > limits_.txn_writes) return false;
-  const auto& id = job.spec.id;
+  if (writes() + writes_to_end_job > limits_.txn_writes) return false;
+  const std::string& id = job.spec.id;
   require_unchanged(job);
   ended_.insert(job.chunk_key(0));
   transaction_.writes.push_back({keys::job(id), Json(), 0});
@@ -49,8 +55,10 @@
 
 Transaction ChunkEdits::finish() {
   transaction_.preconditions[keys::shard_table] = cache_.shard_table_version();
-  for (auto& [key, record] : edits_)
-    transaction_.writes.push_back({key, ended_.contains(key) ? Json() : encode_chunk(record), 0});
+  for (const auto& [key, record] : edits_) {
+    Json value = ended_.contains(key) ? Json() : encode_chunk(record);
+    transaction_.writes.push_back({key, std::move(value), 0});
+  }
   return std::move(transaction_);
 }
 
--- a/src/coordination/scheduling/chunk_edits.hpp
+++ b/src/coordination/scheduling/chunk_edits.hpp
@@ -1,4 +1,4 @@
-// Edits of chunk records, gathered into one transaction inside the state service's limits.
+/// Edits of task chunks, gathered into one transaction within the limits of the key-value store.
 #pragma once
 #include <map>
 #include <set>
@@ -9,31 +9,39 @@
 
 namespace damsonport {
 
+/// Used for one transaction: edit, then finish(). Every edited chunk has to be unchanged since it
+/// was read into the cache, and so has the shard table, which makes the leader's writes fail once
+/// it is deposed.
 class ChunkEdits {
  public:
+  /// The cache has to outlive the edits.
   ChunkEdits(const RecordCache& cache, const StateLimits& limits)
       : cache_(cache), limits_(limits) {}
 
-  // The record to edit, or null when the transaction is full.
-  TaskChunk* edit(const Job& job, uint32_t chunk);
-  // Makes room for one more started task in the records edited; false: the transaction is full.
-  bool take_entry();
-  bool empty() const { return edits_.empty(); }
-  // The job's record has to be as it is known here.
+  /// The chunk to edit, valid until finish(). Null: the transaction is full.
+  [[nodiscard]] TaskChunk* edit(const Job& job, uint32_t chunk);
+  /// Accounts for one more started task in the edited chunks. False: the transaction is full.
+  [[nodiscard]] bool take_entry();
+  [[nodiscard]] bool empty() const { return edits_.empty(); }
+  /// The job's own record has to be unchanged, too.
   void require_unchanged(const Job& job);
-  // The job is over with the edit of its only chunk: its records go, and its final state stays. The
-  // edit stands as it is where the transaction has no room for that: false.
-  bool end_with_edit(const Job& job);
-  Transaction finish();
+  /// The edit of the job's only chunk ends the job: its records are deleted, and its final state is
+  /// written. False: the transaction has no room for that, and the edit stands as it is.
+  [[nodiscard]] bool end_with_edit(const Job& job);
+  /// The transaction; nothing may be called after it.
+  [[nodiscard]] Transaction finish();
 
  private:
+  [[nodiscard]] int writes() const {
+    return static_cast<int>(edits_.size() + transaction_.writes.size());
+  }
+
   const RecordCache& cache_;
-  int writes() const { return static_cast<int>(edits_.size() + transaction_.writes.size()); }
   StateLimits limits_;
-  size_t bytes_ = 0;
+  size_t bytes_ = 0;  // estimated size of the transaction
   bool any_entry_ = false;
-  std::map<std::string, TaskChunk> edits_;
-  std::set<std::string> ended_;  // keys of chunks that go with their jobs
+  std::map<std::string, TaskChunk> edits_;  // by key
+  std::set<std::string> ended_;             // keys of chunks that are deleted with their jobs
   Transaction transaction_;
 };
 
--- a/src/coordination/scheduling/gang_tracker.cpp
+++ b/src/coordination/scheduling/gang_tracker.cpp
@@ -5,97 +5,113 @@
 namespace damsonport {
 
 namespace {
-// A task that fails is tried once more elsewhere under the same attempt of its replica.
-constexpr int most_errors_an_attempt = 1;
+
+// A task that fails is tried once more on another machine, under the same attempt of its replica.
+constexpr int max_failures_per_attempt = 1;
+
 }  // namespace
 
 void GangTracker::forget_job(const std::string& job) {
-  auto it = hints_.lower_bound({job, 0});
-  while (it != hints_.end() && it->first.first == job) it = hints_.erase(it);
+  auto it = attempts_.lower_bound({job, 0});
+  while (it != attempts_.end() && it->first.first == job) it = attempts_.erase(it);
 }
 
-GangTracker::Hints& GangTracker::hints(const Job& job, TaskRange gang) {
-  auto& hints = hints_[{job.spec.id, gang.first}];
-  if (const uint64_t attempt = live_attempt(job, gang); hints.attempt != attempt) {
-    hints = {};
-    hints.attempt = attempt;
-    // Begun by an earlier holder, under whom it may have been ready: no part of that attempt is
-    // started any more, so that a replica is never ready again under an attempt that lost a part.
-    hints.ran = job.spec.replicated() && attempt != 0;
-  }
-  return hints;
+GangTracker::AttemptState& GangTracker::attempt_state(const Job& job, TaskRange gang) {
+  AttemptState& state = attempts_[{job.spec.id, gang.first}];
+  const uint64_t attempt = live_attempt(job, gang);
+  if (state.attempt == attempt) return state;
+  state = {};
+  state.attempt = attempt;
+  // Started by an earlier leader, under which the replica may have been ready. No part of such an
+  // attempt is started any more, so that no attempt becomes ready again after it has lost a part.
+  state.ran = job.spec.replicated() && attempt != 0;
+  return state;
 }
 
 void GangTracker::note_attempt_started(const Job& job, TaskRange gang, uint64_t attempt) {
-  auto& hints = hints_[{job.spec.id, gang.first}];
-  if (hints.attempt == attempt) return;
-  hints = {};
-  hints.attempt = attempt;
+  AttemptState& state = attempts_[{job.spec.id, gang.first}];
+  if (state.attempt == attempt) return;
+  state = {};
+  state.attempt = attempt;
 }
 
 void GangTracker::note_running(const Job& job, TaskRange gang, uint64_t attempt) {
-  if (auto& known = hints(job, gang); known.attempt == attempt) known.ran = true;
+  AttemptState& state = attempt_state(job, gang);
+  if (state.attempt == attempt) state.ran = true;
 }
 
 void GangTracker::note_exit(const Job& job, TaskRange gang, uint64_t attempt, ExitCause cause,
                             bool stopped) {
-  auto& known = hints(job, gang);
-  if (known.attempt != attempt) return;
-  known.errors += cause == ExitCause::error;
-  known.broken |= known.ran || stopped || cause == ExitCause::peers || cause == ExitCause::alone;
-  known.broken |= job.spec.replicated() && known.errors > most_errors_an_attempt;
+  AttemptState& state = attempt_state(job, gang);
+  if (state.attempt != attempt) return;
+  if (cause == ExitCause::error) ++state.failures;
+  const bool because_of_others = cause == ExitCause::peers || cause == ExitCause::alone;
+  const bool too_many_failures = job.spec.replicated() && state.failures > max_failures_per_attempt;
+  if (state.ran || stopped || because_of_others || too_many_failures) state.broken = true;
 }
 
 void GangTracker::note_task_missing(const Job& job, TaskRange gang, uint64_t attempt) {
-  auto& known = hints(job, gang);
-  if (known.attempt == attempt) known.broken |= known.ran;
+  AttemptState& state = attempt_state(job, gang);
+  if (state.attempt == attempt && state.ran) state.broken = true;
 }
 
-GangStatus GangTracker::standing(const Job& job, TaskRange gang) {
-  auto& known = hints(job, gang);
+GangStatus GangTracker::status(const Job& job, TaskRange gang) {
+  AttemptState& state = attempt_state(job, gang);
   const RangeRecord record = job.record_of(gang);
-  GangStatus standing;
-  standing.tasks = gang.count;
-  standing.live = record.live;
-  standing.done = record.done;
-  standing.ran = known.ran;
-  standing.broken = known.broken || record.mixed_attempts;
-  for (auto& task : job.live_tasks(gang)) standing.stopping |= facts_.is_stopping(task);
-  const bool incomplete = standing.live > 0 && standing.live < standing.tasks;
+  const std::vector<PlacedTask> live_tasks = job.live_tasks(gang);
+  GangStatus status;
+  status.tasks = gang.count;
+  status.live = record.live;
+  status.done = record.done;
+  status.ran = state.ran;
+  status.broken = state.broken || record.mixed_attempts;
+  status.stopping =
+      std::any_of(live_tasks.begin(), live_tasks.end(),
+                  [this](const PlacedTask& task) { return facts_.is_stopping(task); });
+  const bool incomplete = status.live > 0 && status.live < status.tasks;
+  status.incomplete_s = update_incomplete_s(state, incomplete);
+  return status;
+}
+
+double GangTracker::update_incomplete_s(AttemptState& state, bool incomplete) const {
   if (!incomplete) {
-    known.incomplete_since = 0;
-  } else if (known.incomplete_since == 0) {
-    known.incomplete_since = loop_.now();
+    state.incomplete_since.reset();
+    return 0;
   }
-  standing.incomplete_s = incomplete ? loop_.now() - known.incomplete_since : 0;
-  return standing;
+  if (!state.incomplete_since) state.incomplete_since = loop_.now();
+  return loop_.now() - *state.incomplete_since;
 }
 
 GangAction GangTracker::next_action(const Job& job, TaskRange gang) {
-  return action_for(job, gang, standing(job, gang));
+  return action_for(job, gang, status(job, gang));
 }
 
-GangAction GangTracker::action_for(const Job& job, TaskRange gang,
-                                   const GangStatus& standing) const {
-  // Within the time for which a machine that failed a task of it is not used for it again.
-  const double patience_s =
-      std::min(settings_.gang_wait_s * settings_.tuning.gang_replacement_share, settings_.lease_s);
-  const auto action = gang_action(standing, patience_s);
-  if (action != GangAction::complete) return action;
-  // Whether it runs already is not known before all its machines were heard.
-  const auto live = job.live_tasks(gang);
-  const bool all_heard = std::all_of(live.begin(), live.end(), [&](const PlacedTask& task) {
+// Not longer than a machine that failed a task of the gang is kept from starting it again.
+double GangTracker::replacement_timeout_s() const {
+  return std::min(settings_.gang_wait_s * settings_.tuning.gang_replacement_share,
+                  settings_.lease_s);
+}
+
+bool GangTracker::all_machines_reported(const Job& job, TaskRange gang) const {
+  const std::vector<PlacedTask> live_tasks = job.live_tasks(gang);
+  return std::all_of(live_tasks.begin(), live_tasks.end(), [this](const PlacedTask& task) {
     const Machine* machine = facts_.find_machine(task.machine);
     return machine && machine->agent_epoch != 0;
   });
-  return all_heard ? GangAction::complete : GangAction::none;
+}
+
+GangAction GangTracker::action_for(const Job& job, TaskRange gang, const GangStatus& status) const {
+  const GangAction action = gang_action(status, replacement_timeout_s());
+  if (action != GangAction::complete) return action;
+  // Before all its machines have sent a heartbeat it is not known whether the gang runs already.
+  return all_machines_reported(job, gang) ? GangAction::complete : GangAction::none;
 }
 
 uint32_t GangTracker::startable(const Job& job, TaskRange gang) {
-  const GangStatus now = standing(job, gang);
-  const auto action = action_for(job, gang, now);
+  const GangStatus current = status(job, gang);
+  const GangAction action = action_for(job, gang, current);
   if (action != GangAction::start && action != GangAction::complete) return 0;
-  return now.tasks - now.live - now.done;
+  return current.tasks - current.live - current.done;
 }
 
 }  // namespace damsonport
--- a/src/coordination/scheduling/gangs.cpp
+++ b/src/coordination/scheduling/gangs.cpp
@@ -2,13 +2,14 @@
 
 namespace damsonport {
 
-GangAction gang_action(const GangStatus& gang, double patience_s) {
-  // What is left of a gang that has a finished task only has to report the same.
+GangAction gang_action(const GangStatus& gang, double replacement_timeout_s) {
   if (gang.live == 0) return gang.done < gang.tasks ? GangAction::start : GangAction::none;
+  // A gang with a finished task has finished: the others only have to report it.
   if (gang.done > 0) return GangAction::none;
   if (gang.broken) return GangAction::abandon;
   if (gang.live == gang.tasks) return GangAction::none;
-  if (gang.stopping || gang.ran || gang.incomplete_s >= patience_s) return GangAction::abandon;
+  if (gang.stopping || gang.ran) return GangAction::abandon;
+  if (gang.incomplete_s >= replacement_timeout_s) return GangAction::abandon;
   return GangAction::complete;
 }
 
--- a/src/coordination/scheduling/start_edits.cpp
+++ b/src/coordination/scheduling/start_edits.cpp
@@ -21,29 +21,59 @@
   return found;
 }
 
-std::vector<CommittedStart> edit_gang_starts(const Job& job, const DecidedGang& gang,
-                                             size_t committed, uint64_t attempt,
-                                             ChunkEdits& edits) {
-  std::vector<CommittedStart> started;
-  auto all_placed = [&] { return committed + started.size() >= gang.starts.size(); };
-  for (uint32_t n = gang.tasks.first / job.chunk_size; n * job.chunk_size < gang.tasks.end(); ++n) {
-    if (all_placed()) break;
-    if (job.all_started(n)) continue;
-    auto* record = edits.edit(job, n);
-    if (!record) break;
-    const uint32_t chunk_start = n * job.chunk_size;
-    const uint32_t first = std::max(gang.tasks.first, chunk_start) - chunk_start;
-    const uint32_t end = std::min(gang.tasks.end() - chunk_start, job.size_of(n));
+namespace {
+
+/// Puts a gang's starts into the chunks of one transaction, task by task.
+class GangStartEditor {
+ public:
+  GangStartEditor(const Job& job, const DecidedGang& gang, size_t committed, uint64_t attempt,
+                  ChunkEdits& edits)
+      : job_(job), gang_(gang), committed_(committed), attempt_(attempt), edits_(edits) {}
+
+  std::vector<CommittedStart> run() {
+    const uint32_t first_chunk = gang_.tasks.first / job_.chunk_size;
+    for (uint32_t chunk = first_chunk; chunk * job_.chunk_size < gang_.tasks.end(); ++chunk) {
+      if (all_placed()) break;
+      if (job_.all_started(chunk)) continue;
+      TaskChunk* record = edits_.edit(job_, chunk);
+      if (!record) break;
+      edit_chunk(chunk, *record);
+    }
+    return std::move(started_);
+  }
+
+ private:
+  [[nodiscard]] size_t placed() const { return committed_ + started_.size(); }
+  [[nodiscard]] bool all_placed() const { return placed() >= gang_.starts.size(); }
+
+  void edit_chunk(uint32_t chunk, TaskChunk& record) {
+    const uint32_t chunk_start = chunk * job_.chunk_size;
+    const uint32_t first = std::max(gang_.tasks.first, chunk_start) - chunk_start;
+    const uint32_t end = std::min(gang_.tasks.end() - chunk_start, job_.size_of(chunk));
     for (uint32_t index = first; index < end && !all_placed(); ++index) {
-      if (!record->startable(index)) continue;
-      if (!edits.take_entry()) break;
-      auto& place = gang.starts[committed + started.size()];
-      record->start(index, attempt, place.machine);
-      started.push_back(
-          {{job.spec.id, chunk_start + index}, attempt, place.machine, place.image_cached});
+      if (!record.startable(index)) continue;
+      if (!edits_.take_entry()) break;
+      const DecidedStart& start = gang_.starts[placed()];
+      record.start(index, attempt_, start.machine);
+      const TaskId task{job_.spec.id, chunk_start + index};
+      started_.push_back({task, attempt_, start.machine, start.image_cached});
     }
   }
-  return started;
+
+  const Job& job_;
+  const DecidedGang& gang_;
+  const size_t committed_;
+  const uint64_t attempt_;
+  ChunkEdits& edits_;
+  std::vector<CommittedStart> started_;
+};
+
+}  // namespace
+
+std::vector<CommittedStart> edit_gang_starts(const Job& job, const DecidedGang& gang,
+                                             size_t committed, uint64_t attempt,
+                                             ChunkEdits& edits) {
+  return GangStartEditor(job, gang, committed, attempt, edits).run();
 }
 
 }  // namespace damsonport
--- a/src/coordination/scheduling/task_facts.hpp
+++ b/src/coordination/scheduling/task_facts.hpp
@@ -1,4 +1,5 @@
-// What a holder knows of the tasks that the records place, for those who judge several of them.
+/// What a shard leader knows of the tasks that the records place on machines, for the parts of it
+/// that judge several tasks together.
 #pragma once
 #include <string>
 
@@ -13,12 +14,13 @@
   TaskFacts(const TaskFacts&) = delete;
   TaskFacts& operator=(const TaskFacts&) = delete;
   virtual ~TaskFacts() = default;
-  // This attempt was told to stop, or is about to be.
-  virtual bool is_stopping(const PlacedTask& task) const = 0;
-  // It is proven gone; the records are about to say so.
-  virtual bool has_ended(const PlacedTask& task) const = 0;
-  // Null: not a machine of this holder.
-  virtual const Machine* find_machine(const std::string& id) const = 0;
+
+  /// Whether this attempt was told to stop, or is about to be.
+  [[nodiscard]] virtual bool is_stopping(const PlacedTask& task) const = 0;
+  /// Whether this attempt is proven gone and only the records don't say so yet.
+  [[nodiscard]] virtual bool has_ended(const PlacedTask& task) const = 0;
+  /// Null: not a machine of this leader. Valid until the machine is forgotten.
+  [[nodiscard]] virtual const Machine* find_machine(const std::string& id) const = 0;
 };
 
 }  // namespace damsonport
