--- a/src/coordination/api/user_api.cpp
+++ b/src/coordination/api/user_api.cpp
@@ -4,6 +4,7 @@
 
 #include <algorithm>
 
+#include "coordination/api/admission.hpp"
 #include "coordination/scheduling/gangs.hpp"
 
 namespace damsonport {
--- a/src/coordination/autoscaling/machine_type_catalog.cpp
+++ b/src/coordination/autoscaling/machine_type_catalog.cpp
@@ -42,35 +42,4 @@
   return std::max(most, 1e-9);
 }
 
-void drop_unknown_machine_types(JobSpec& job, const std::vector<MachineType>& types) {
-  std::vector<std::string> known;
-  for (auto& type : types)
-    if (std::find(job.types.begin(), job.types.end(), type.name) != job.types.end())
-      known.push_back(type.name);
-  if (!known.empty()) job.types = std::move(known);
-}
-
-AdmissionResult check_admission(const JobSpec& job, const Settings& settings,
-                                const std::vector<MachineType>& types) {
-  auto* team = settings.team(job.team);
-  if (!team) return AdmissionResult::unknown_team;
-  bool fits = std::any_of(types.begin(), types.end(), [&](const MachineType& t) {
-    if (!job.types.empty() &&
-        std::find(job.types.begin(), job.types.end(), t.name) == job.types.end())
-      return false;
-    if (!job.zone.empty() && std::find(t.zones.begin(), t.zones.end(), job.zone) == t.zones.end())
-      return false;
-    return job.cpus <= t.cpus && job.gpus <= t.gpus && job.memory_gb <= t.memory_gb;
-  });
-  if (!fits) return AdmissionResult::no_fitting_machine_type;
-  if (job.replicated() && job.tasks % job.parts != 0) return AdmissionResult::indivisible_replicas;
-  double count = job.kind == JobKind::batch ? 1 : job.tasks;
-  const double cpus_here = team->cpus_max - team->cpus_elsewhere;
-  const double gpus_here = team->gpus_max - team->gpus_elsewhere;
-  if ((team->cpus_max > 0 && job.cpus * count > cpus_here + 1e-9) ||
-      (team->gpus_max > 0 && job.gpus * count > gpus_here + 1e-9))
-    return AdmissionResult::over_quota_limit;
-  return AdmissionResult::admitted;
-}
-
 }  // namespace damsonport
--- a/src/coordination/autoscaling/machine_type_catalog.hpp
+++ b/src/coordination/autoscaling/machine_type_catalog.hpp
@@ -25,18 +25,4 @@
   WarningLimiter warning_;
 };
 
-// Leaves out of the job's list those machine types that the cloud doesn't have.
-void drop_unknown_machine_types(JobSpec& job, const std::vector<MachineType>& types);
-
-enum class AdmissionResult : uint8_t {
-  admitted,
-  unknown_team,
-  no_fitting_machine_type,
-  over_quota_limit,
-  indivisible_replicas
-};
-// Whether the job could ever run.
-AdmissionResult check_admission(const JobSpec& job, const Settings& settings,
-                                const std::vector<MachineType>& types);
-
 }  // namespace damsonport
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -1,7 +1,7 @@
 #include <gtest/gtest.h>
 
 #include "config/settings.hpp"
-#include "coordination/autoscaling/machine_type_catalog.hpp"
+#include "coordination/api/admission.hpp"
 #include "protocol/messages.hpp"
 #include "protocol/peer_heartbeat.hpp"
 #include "protocol/varint.hpp"
--- a/tests/replicas/replicas_test.cpp
+++ b/tests/replicas/replicas_test.cpp
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 
 #include "config/replica_settings.hpp"
-#include "coordination/autoscaling/machine_type_catalog.hpp"
+#include "coordination/api/admission.hpp"
 #include "coordination/machines/machine.hpp"
 #include "coordination/replicas/repair_policy.hpp"
 #include "coordination/replicas/replica_state.hpp"
