--- a/src/coordination/autoscaling/cost_account.cpp
+++ b/src/coordination/autoscaling/cost_account.cpp
@@ -8,21 +8,17 @@
 
 namespace {
 
-constexpr double seconds_an_hour = 3600;
-
-double price_of(const std::vector<MachineType>& types, const autoscaling::MachineState& machine) {
-  for (auto& type : types)
-    if (type.name == machine.type) return machine.spot ? type.spot_price : type.price;
-  return 0;
-}
+constexpr double seconds_per_hour = 3600;
 
+/// The part of a machine's price that its tasks take is "in use", the rest is idle; a booting
+/// machine's price is counted apart.
 Cost hourly_cost(const autoscaling::MachineState& machine, double price) {
   if (machine.booting) return {price, 0, 0};
   const double in_use = price * utilisation(machine);
   return {0, in_use, price - in_use};
 }
 
-void add(Cost& sum, const Cost& cost, double times = 1) {
+void add(Cost& sum, const Cost& cost, double times) {
   sum.booting += cost.booting * times;
   sum.in_use += cost.in_use * times;
   sum.idle += cost.idle * times;
@@ -45,34 +41,35 @@
 
 void CostAccount::begin_lease(double now) {
   *this = {};
-  began_at_ = charged_until_ = next_report_ = now;
+  began_at_ = now;
+  charged_until_ = now;
+  next_report_at_ = now;
 }
 
 void CostAccount::charge(const std::vector<autoscaling::MachineState>& machines,
                          const std::vector<MachineType>& types, double now) {
-  const double hours = (now - charged_until_) / seconds_an_hour;
+  const double hours = (now - charged_until_) / seconds_per_hour;
   charged_until_ = now;
   hourly_ = {};
   for (auto& [name, kind] : kinds_) {
-    kind.machines = kind.booting = 0;
+    kind.machines = 0;
     kind.hourly = {};
   }
   for (auto& machine : machines) {
-    const Cost hourly = hourly_cost(machine, price_of(types, machine));
+    const Cost hourly = hourly_cost(machine, hourly_price(types, machine.type, machine.spot));
     auto& kind = kinds_[machine.type + " in " + machine.zone + (machine.spot ? " (spot)" : "")];
     ++kind.machines;
-    kind.booting += machine.booting;
-    add(kind.hourly, hourly);
+    add(kind.hourly, hourly, 1);
     add(kind.spent, hourly, hours);
-    add(hourly_, hourly);
+    add(hourly_, hourly, 1);
     add(spent_, hourly, hours);
   }
 }
 
 std::optional<std::string> CostAccount::report(double now, double every_s) {
-  if (now < next_report_) return std::nullopt;
-  next_report_ = now + every_s;
-  auto line = fmt::format("costs: {} an hour, {} in the {:.0f} s of this term", text_of(hourly_),
+  if (now < next_report_at_) return std::nullopt;
+  next_report_at_ = now + every_s;
+  auto line = fmt::format("costs: {} an hour, {} in the {:.0f} s of this lease", text_of(hourly_),
                           text_of(spent_), now - began_at_);
   for (auto& [name, kind] : kinds_)
     line += fmt::format("; {} {}: {} an hour, {:.2f} so far", kind.machines, name,
--- a/src/coordination/autoscaling/headroom.cpp
+++ b/src/coordination/autoscaling/headroom.cpp
@@ -6,15 +6,16 @@
 namespace damsonport::headroom {
 
 namespace {
-// Boot times over which arrivals are counted, and how long a boot is taken to last: the catalogue's
-// time is the usual one.
-constexpr double window_boots = 5, late_boot = 1.5;
+/// Boot times over which arrivals are counted.
+constexpr double window_boots = 5;
+/// How long a boot is taken to last, in boot times of the catalogue, which are the usual ones.
+constexpr double late_boot = 1.5;
 }  // namespace
 
 double expected_arrivals(const std::vector<Arrival>& arrivals, double boot_s, double spreads) {
   if (boot_s <= 0) return 0;
   double sum = 0, squares = 0, oldest_s = 0;
-  for (auto& arrival : arrivals) {
+  for (const auto& arrival : arrivals) {
     oldest_s = std::max(oldest_s, arrival.age_s);
     if (arrival.age_s > window_boots * boot_s) continue;
     sum += arrival.amount;
--- /dev/null
+++ b/src/coordination/autoscaling/instance_selector.cpp
@@ -0,0 +1,110 @@
+#include "coordination/autoscaling/instance_selector.hpp"
+
+#include <algorithm>
+#include <cmath>
+#include <limits>
+
+namespace damsonport::autoscaling {
+
+namespace {
+
+/// Added to the cost of a kind for each machine of its type in its zone, as a share: among kinds of
+/// equal price the zone with fewer machines wins, so that the fleet stays spread.
+constexpr double spread_share = 1e-3;
+/// Tasks that a machine holds at most, for demands without any need.
+constexpr double most_tasks_per_machine = 1e6;
+/// Tolerance of the division of a machine by a task.
+constexpr double rounding_tolerance = 1e-6;
+
+double tasks_per_machine(const Resources& need, const Resources& capacity) {
+  double count = most_tasks_per_machine;
+  if (need.cpus > 0) count = std::min(count, capacity.cpus / need.cpus);
+  if (need.gpus > 0) count = std::min(count, capacity.gpus / need.gpus);
+  if (need.memory_gb > 0) count = std::min(count, capacity.memory_gb / need.memory_gb);
+  return std::max(1.0, std::floor(count + rounding_tolerance));
+}
+
+}  // namespace
+
+Pool pool_of(const Resources& resources) {
+  return resources.gpus > 0 ? Pool::accelerators : Pool::cpus;
+}
+
+double units_in(Pool pool, const Resources& resources) {
+  return pool == Pool::accelerators ? resources.gpus : resources.cpus;
+}
+
+bool matches_constraints(const ResourceDemand& demand, const std::string& type,
+                         const std::string& zone, bool spot) {
+  if (spot && !demand.spot) return false;
+  if (!demand.zone.empty() && demand.zone != zone) return false;
+  return demand.types.empty() ||
+         std::find(demand.types.begin(), demand.types.end(), type) != demand.types.end();
+}
+
+InstanceSelector::InstanceSelector(const AutoscalerInput& input) : input_(input) {
+  for (const auto& machine : input.machines)
+    if (machine.schedulable || machine.booting) ++machines_[{machine.zone, machine.type}];
+}
+
+const InstanceOffer* InstanceSelector::replacement_for(const MachineKind& wanted) const {
+  const InstanceOffer* other = nullptr;
+  for (const auto& offer : input_.offers) {
+    if (offer.refused || offer.request_pending || offer.kind.type != wanted.type) continue;
+    if (offer.kind.spot && !wanted.spot) continue;
+    if (offer.kind == wanted) return &offer;
+    if (!other) other = &offer;
+  }
+  return other;
+}
+
+const InstanceOffer* InstanceSelector::cheapest_for(const ResourceDemand& demand, Purchase purchase,
+                                                    const std::vector<ScaleOut>& planned) const {
+  const InstanceOffer* best = nullptr;
+  double best_cost = std::numeric_limits<double>::infinity();
+  for (const auto& offer : input_.offers) {
+    const auto& kind = offer.kind;
+    if (offer.refused || (offer.request_pending && !demand.spot)) continue;
+    if (purchase == Purchase::spot_only && !kind.spot) continue;
+    const auto* type = find_machine_type(input_.types, kind.type);
+    if (!type || !matches_constraints(demand, kind.type, kind.zone, kind.spot)) continue;
+    const Resources capacity = capacity_of(*type);
+    if (!demand.need.fits(capacity)) continue;
+    const double cost = hourly_price(*type, kind.spot) / tasks_per_machine(demand.need, capacity) *
+                        spread_factor(kind, planned);
+    if (cost < best_cost) {
+      best_cost = cost;
+      best = &offer;
+    }
+  }
+  return best;
+}
+
+const InstanceOffer* InstanceSelector::cheapest_of(Pool pool,
+                                                   const std::vector<ScaleOut>& planned) const {
+  const InstanceOffer* best = nullptr;
+  double best_cost = std::numeric_limits<double>::infinity();
+  for (const auto& offer : input_.offers) {
+    if (offer.refused || offer.request_pending || offer.kind.spot) continue;
+    const auto* type = find_machine_type(input_.types, offer.kind.type);
+    if (!type || pool_of(capacity_of(*type)) != pool) continue;
+    const double cost =
+        type->price / units_in(pool, capacity_of(*type)) * spread_factor(offer.kind, planned);
+    if (cost < best_cost) {
+      best_cost = cost;
+      best = &offer;
+    }
+  }
+  return best;
+}
+
+double InstanceSelector::spread_factor(const MachineKind& kind,
+                                       const std::vector<ScaleOut>& planned) const {
+  const auto it = machines_.find({kind.zone, kind.type});
+  int machines = it == machines_.end() ? 0 : it->second;
+  for (const auto& request : planned)
+    if (request.kind.zone == kind.zone && request.kind.type == kind.type) machines += request.count;
+  return 1 + spread_share * machines;
+}
+
+}  // namespace damsonport::autoscaling
--- a/src/coordination/autoscaling/machine_type_catalog.cpp
+++ b/src/coordination/autoscaling/machine_type_catalog.cpp
@@ -7,39 +7,49 @@
 namespace damsonport {
 
 namespace {
-constexpr double refresh_s = 120;  // only prices change
-}
+/// Only prices change.
+constexpr double refresh_s = 120;
+constexpr double request_timeout_s = 3.0;
+/// Added to the time that the cloud's rate limit asks for between two tries.
+constexpr double retry_margin_s = 0.2;
+/// Share of the pause that is drawn at random, to either side.
+constexpr double pause_jitter = 0.2;
+/// Stands for the price of a catalogue without any price, so that shares of it are finite.
+constexpr double min_price = 1e-9;
+
+}  // namespace
 
 Task<void> MachineTypeCatalog::follow(std::stop_token stop_token) {
   while (!stop_token.stop_requested()) {
-    auto reply = co_await http_.request(settings_.cloud, Method::get, "/catalog", {}, 3.0);
+    auto reply =
+        co_await http_.request(settings_.cloud, Method::get, "/catalog", {}, request_timeout_s);
     auto types =
         reply.status == 200
             ? decode_catalog(decode_map(reply.body))
             : Result<std::vector<MachineType>>(Error{"status " + std::to_string(reply.status)});
     if (types && !types->empty()) {
-      if (!known()) spdlog::info("catalogue read: {} machine types", types->size());
+      if (!known()) spdlog::info("machine type catalogue read: {} types", types->size());
       types_ = std::move(*types);
     } else if (!known()) {
-      const std::string words = types ? "it is empty" : types.error();
-      if (auto times = warning_.note(words, loop_.now()))
-        spdlog::warn("the catalogue can't be read yet: {} ({} times)", words, *times);
+      const std::string reason = types ? "it is empty" : types.error();
+      if (auto times = warning_.note(reason, loop_.now()))
+        spdlog::warn("machine type catalogue not available yet: {} ({} times)", reason, *times);
     }
-    double pause = known() ? refresh_s : 1.0 / settings_.cloud_rps + 0.2;
-    if (!co_await Sleep(loop_, pause * loop_.uniform(0.8, 1.2), stop_token)) co_return;
+    const double pause_s = known() ? refresh_s : 1.0 / settings_.cloud_rps + retry_margin_s;
+    if (!co_await Sleep(loop_, pause_s * loop_.uniform(1 - pause_jitter, 1 + pause_jitter),
+                        stop_token))
+      co_return;
   }
 }
 
 const MachineType* MachineTypeCatalog::type(const std::string& name) const {
-  for (auto& t : types_)
-    if (t.name == name) return &t;
-  return nullptr;
+  return find_machine_type(types_, name);
 }
 
 double MachineTypeCatalog::dearest_price() const {
   double most = 0;
-  for (auto& t : types_) most = std::max(most, t.price);
-  return std::max(most, 1e-9);
+  for (const auto& type : types_) most = std::max(most, type.price);
+  return std::max(most, min_price);
 }
 
 }  // namespace damsonport
--- a/src/coordination/autoscaling/scale_out_requests.cpp
+++ b/src/coordination/autoscaling/scale_out_requests.cpp
@@ -7,17 +7,29 @@
 namespace damsonport {
 
 namespace {
-constexpr int max_machines_a_request = 50;
-constexpr int max_requests_a_kind = 4;  // under way at once
-constexpr int max_repeats = 5;          // before the next pass asks again
+constexpr int max_machines_per_request = 50;
+/// Sent at once by one call of scale_out.
+constexpr int max_requests_per_kind = 4;
+/// Tries of one request before it is left to the next scaling cycle, which resumes it.
+constexpr int max_retries = 5;
 constexpr double cloud_timeout_s = 3.0;
-// Pause after a refusal, in report periods, and how far it grows.
-constexpr double first_pause_reports = 2, longest_pause_factor = 8;
+/// Pause between two tries, drawn between these, times the number of tries so far.
+constexpr double min_retry_pause_s = 0.3;
+constexpr double max_retry_pause_s = 1.0;
+/// The first pause after a refusal, in heartbeat intervals. It doubles with each further refusal.
+constexpr double first_pause_intervals = 2;
+/// The longest pause, in first pauses.
+constexpr double max_pause_factor = 8;
+/// Share of the pause that is drawn at random, to either side.
+constexpr double pause_jitter = 0.2;
 
 MachineKind kind_of(const ScaleOutRequest& request) {
   return {request.type, request.zone, request.spot};
 }
 
+const char* spot_suffix(bool spot) { return spot ? " (spot)" : ""; }
+
+/// The cloud has decided. Other replies, and none, leave open whether it has.
 bool is_answer(const HttpReply& reply) {
   if (reply.status == 200 || reply.status == 400) return true;
   if (reply.status != 503) return false;
@@ -38,58 +50,57 @@
 void ScaleOutRequests::begin_lease(uint64_t fencing_token) {
   fencing_token_ = fencing_token;
   if (fencing_token == 0) return;
-  // The kinds of requests of an older term must not stay closed.
-  under_way_.clear();
+  // Requests of an older lease end without being taken off the count.
+  pending_.clear();
   answered_.clear();
 }
 
-bool ScaleOutRequests::refused(const MachineKind& kind) const {
+bool ScaleOutRequests::is_refused(const MachineKind& kind) const {
   auto it = refusals_.find(kind);
   return it != refusals_.end() && it->second.until > loop_.now();
 }
 
-bool ScaleOutRequests::scarce(const MachineKind& kind, double within_s) const {
+bool ScaleOutRequests::is_scarce(const MachineKind& kind, double within_s) const {
   auto it = last_refused_.find(kind);
   return it != last_refused_.end() && loop_.now() - it->second < within_s;
 }
 
 void ScaleOutRequests::resume(const std::stop_token& stop_token) {
-  std::vector<ScaleOutRequest> left;
-  for (auto& [id, rental] : cache_.rentals())
-    if (!under_way(kind_of(rental.request))) left.push_back(rental.request);
-  for (auto& request : left) start(std::move(request), stop_token);
+  std::vector<ScaleOutRequest> unanswered;
+  for (const auto& [id, rental] : cache_.rentals())
+    if (!has_pending(kind_of(rental.request))) unanswered.push_back(rental.request);
+  for (auto& request : unanswered) start(std::move(request), stop_token);
 }
 
 void ScaleOutRequests::scale_out(const MachineKind& kind, int count,
                                  const std::stop_token& stop_token) {
-  for (int calls = 0; count > 0 && calls < max_requests_a_kind; ++calls) {
-    const int now = std::min(count, max_machines_a_request);
-    count -= now;
-    // Unique over nodes and incarnations.
+  for (int requests = 0; count > 0 && requests < max_requests_per_kind; ++requests) {
+    const int machines = std::min(count, max_machines_per_request);
+    count -= machines;
+    // Unique over controllers and their incarnations.
     start({"r-" + std::to_string(incarnation_) + "-" + std::to_string(loop_.random64()), kind.type,
-           kind.zone, kind.spot, now},
+           kind.zone, kind.spot, machines},
           stop_token);
   }
 }
 
 void ScaleOutRequests::start(ScaleOutRequest request, std::stop_token stop_token) {
-  ++under_way_[kind_of(request)];
-  loop_.spawn("rental", run(std::move(request), std::move(stop_token)));
+  ++pending_[kind_of(request)];
+  loop_.spawn("scale-out request", run(std::move(request), std::move(stop_token)));
 }
 
 Task<void> ScaleOutRequests::run(ScaleOutRequest request, std::stop_token stop_token) {
   const auto fencing_token = fencing_token_;
   const auto kind = kind_of(request);
   co_await carry_out(std::move(request), std::move(stop_token));
-  // One of an older term is not among those counted.
+  // One of an older lease is not among those counted.
   if (fencing_token != fencing_token_) co_return;
-  if (auto it = under_way_.find(kind); it != under_way_.end() && --it->second <= 0)
-    under_way_.erase(it);
+  if (auto it = pending_.find(kind); it != pending_.end() && --it->second <= 0) pending_.erase(it);
 }
 
 Task<void> ScaleOutRequests::carry_out(ScaleOutRequest request, std::stop_token stop_token) {
   const auto fencing_token = fencing_token_;
-  // Answered, but the state service could not remove its record: not asked for again and again.
+  // Answered, but the key-value store could not remove its record: it is not sent again.
   if (answered_.contains(request.id)) {
     co_await forget_request(request.id);
     co_return;
@@ -123,11 +134,14 @@
                                             std::stop_token stop_token) {
   const auto fencing_token = fencing_token_;
   HttpReply reply;
-  for (int tries = 0; fencing_token == fencing_token_ && !stop_token.stop_requested(); ++tries) {
+  for (int retries = 0; fencing_token == fencing_token_ && !stop_token.stop_requested();
+       ++retries) {
     reply = co_await http_.request(settings_.cloud, Method::post, "/hosts",
                                    encode_scale_out_request(request), cloud_timeout_s);
-    if (is_answer(reply) || tries >= max_repeats) break;
-    if (!co_await Sleep(loop_, loop_.uniform(0.3, 1.0) * (tries + 1), stop_token)) break;
+    if (is_answer(reply) || retries >= max_retries) break;
+    if (!co_await Sleep(loop_, loop_.uniform(min_retry_pause_s, max_retry_pause_s) * (retries + 1),
+                        stop_token))
+      break;
   }
   co_return reply;
 }
@@ -138,8 +152,8 @@
   if (reply.status == 200) {
     machines = decode_created_machines(decode_map(reply.body));
     if (on_machines_created) on_machines_created(machines, kind);
-    spdlog::info("rented {} of {} {} in {}{}", machines.size(), request.count, request.type,
-                 request.zone, request.spot ? " (spot)" : "");
+    spdlog::info("scale out: {} of {} {} created in {}{}", machines.size(), request.count,
+                 request.type, request.zone, spot_suffix(request.spot));
   }
   auto& refusal = refusals_[kind];
   if (static_cast<int>(machines.size()) >= request.count) {
@@ -147,13 +161,13 @@
     return;
   }
   last_refused_[kind] = loop_.now();
-  // Remembered, but never for good: capacity comes back.
-  const double first_s = settings_.heartbeat_interval_s * first_pause_reports;
+  // For a time only: capacity comes back.
+  const double first_s = settings_.heartbeat_interval_s * first_pause_intervals;
   refusal.pause_s =
-      refusal.pause_s > 0 ? std::min(refusal.pause_s * 2, first_s * longest_pause_factor) : first_s;
-  refusal.until = loop_.now() + refusal.pause_s * loop_.uniform(0.8, 1.2);
-  spdlog::debug("the cloud has no more {} in {}{}", kind.type, kind.zone,
-                kind.spot ? " (spot)" : "");
+      refusal.pause_s > 0 ? std::min(refusal.pause_s * 2, first_s * max_pause_factor) : first_s;
+  refusal.until = loop_.now() + refusal.pause_s * loop_.uniform(1 - pause_jitter, 1 + pause_jitter);
+  spdlog::debug("scale out: no capacity left for {} in {}{}", kind.type, kind.zone,
+                spot_suffix(kind.spot));
 }
 
 Task<void> ScaleOutRequests::forget_request(std::string id) {
--- a/src/coordination/shard_leader/shard_leader.hpp
+++ b/src/coordination/shard_leader/shard_leader.hpp
@@ -300,12 +300,11 @@
   std::map<TaskId, Stopping> stopping_;
   std::set<std::string> cancelled_;               // jobs, whose tasks may still be there
   std::map<std::string, std::string> to_return_;  // machine -> why
-  std::vector<autoscaling::InstanceOffer>
-      lost_capacity_;                         // kinds of machines given up, to be replaced
-  std::set<std::string> declared_dead_;       // to be returned for their silence alone
-  std::set<std::string> overdue_;             // to be returned with a cancelled task on them
-  std::set<std::string> awaiting_tombstone_;  // returned in an outage, to be marked after it
-  std::set<std::string> returned_;            // the cloud has confirmed it
+  std::vector<MachineKind> lost_capacity_;        // kinds of machines given up, to be replaced
+  std::set<std::string> declared_dead_;           // to be returned for their silence alone
+  std::set<std::string> overdue_;                 // to be returned with a cancelled task on them
+  std::set<std::string> awaiting_tombstone_;      // returned in an outage, to be marked after it
+  std::set<std::string> returned_;                // the cloud has confirmed it
   std::set<std::string> returning_;
   std::map<std::string, Booting> booting_;
   ScaleOutRequests scale_out_requests_;
--- a/src/coordination/shard_leader/shard_leader_cloud.cpp
+++ b/src/coordination/shard_leader/shard_leader_cloud.cpp
@@ -189,7 +189,7 @@
       drain(m, "straggler, replaced by " + other->id);
       break;
     }
-    if (!m.draining && (scale_out_requests_.refused({m.type, m.zone, m.spot}) ||
+    if (!m.draining && (scale_out_requests_.is_refused({m.type, m.zone, m.spot}) ||
                         now - m.replacing_since > slow_boot * (type ? type->boot_s : 0)))
       drain(m, "straggler, no replacement to be had");
   }
@@ -277,7 +277,7 @@
       // What ran on it shows as demand only when its exits are committed, and boots take longer
       // still.
       if (declared_dead_.contains(id))
-        lost_capacity_.push_back({m->second.type, m->second.zone, m->second.spot, false});
+        lost_capacity_.push_back({m->second.type, m->second.zone, m->second.spot});
     }
     to_return_.erase(id);
     overdue_.erase(id);
@@ -338,7 +338,7 @@
   const double now = loop_.now();
   in.types = deps_.catalog.types();
   in.headroom_share = tuning_.headroom_share;
-  in.cheap_share = tuning_.cheap_headroom_share;
+  in.cheap_headroom_share = tuning_.cheap_headroom_share;
   in.idle_replacements = tuning_.idle_replacements;
   in.demand = unschedulable_;
   expect_arrivals(in);
@@ -359,9 +359,9 @@
       for (bool spot : {false, true}) {
         const MachineKind kind{t.name, zone, spot};
         autoscaling::InstanceOffer offer{t.name, zone, spot};
-        offer.refused = scale_out_requests_.refused(kind);
-        offer.scarce = scale_out_requests_.scarce(kind, scarce_leases * settings_.lease_s);
-        offer.under_way = scale_out_requests_.under_way(kind);
+        offer.refused = scale_out_requests_.is_refused(kind);
+        offer.scarce = scale_out_requests_.is_scarce(kind, scarce_leases * settings_.lease_s);
+        offer.request_pending = scale_out_requests_.has_pending(kind);
         in.offers.push_back(offer);
       }
   for (auto& [id, m] : machines_) {
@@ -371,7 +371,7 @@
     s.type = m.type;
     s.zone = m.zone;
     s.spot = m.spot;
-    s.open = is_schedulable(m);
+    s.schedulable = is_schedulable(m);
     s.total = total_of(m);
     s.free = free_of(m);
     s.empty = cache_.assigned(id).empty() && m.tasks.empty();
@@ -384,9 +384,9 @@
     for (auto& [a, attempt] : cache_.assigned(id)) {
       auto& spec = a.job->spec;
       if (!spec.spot) {
-        in.machines.back().has_fixed_work = true;
+        in.machines.back().has_on_demand_work = true;
       } else if (spec.checkpoint_s > 0) {
-        in.machines.back().yielding += resources_per_task(spec);
+        in.machines.back().preemptible += resources_per_task(spec);
       }
     }
   }
@@ -412,20 +412,20 @@
   if (auto line = cost_account_.report(loop_.now(), settings_.lease_s)) spdlog::info("{}", *line);
   for (auto& [id, m] : machines_) {
     const bool wanted = m.replacing_since > 0 && !m.draining && !m.replacement_asked;
-    if (!wanted || scale_out_requests_.under_way({m.type, m.zone, m.spot})) continue;
+    if (!wanted || scale_out_requests_.has_pending({m.type, m.zone, m.spot})) continue;
     m.replacement_asked = true;
-    input.replacements.push_back({m.type, m.zone, m.spot, false});
+    input.replacements.push_back({m.type, m.zone, m.spot});
   }
   std::erase_if(lost_capacity_, [&](auto& kind) {
-    if (scale_out_requests_.under_way({kind.type, kind.zone, kind.spot})) return false;
+    if (scale_out_requests_.has_pending(kind)) return false;
     input.replacements.push_back(kind);
     return true;
   });
   auto plan = autoscaling::plan(input);
   for (auto& id : plan.scale_in) request_scale_in(id, "idle");
   for (auto& r : plan.scale_out) {
-    const MachineKind kind{r.type, r.zone, r.spot};
-    if (!scale_out_requests_.under_way(kind))
+    const MachineKind& kind = r.kind;
+    if (!scale_out_requests_.has_pending(kind))
       scale_out_requests_.scale_out(kind, r.count, stop_token);
   }
 }
--- a/src/coordination/shard_leader/shard_leader_view.cpp
+++ b/src/coordination/shard_leader/shard_leader_view.cpp
@@ -106,7 +106,7 @@
   v.speed = m.straggler.updates >= tuning_.straggler_test_every ? m.straggler.average : 1.0;
   if (auto* type = deps_.catalog.type(m.type)) {
     v.fetch_gb_per_s = type->fetch_gb_per_s;
-    v.price_share = (m.spot ? type->spot_price : type->price) / deps_.catalog.dearest_price();
+    v.price_share = hourly_price(*type, m.spot) / deps_.catalog.dearest_price();
   }
   v.images.clear();
   for (auto& [image, use] : m.images.images()) v.images.push_back(snapshot_.images.id(image));
--- a/tests/placing_work_test.cpp
+++ b/tests/placing_work_test.cpp
@@ -102,7 +102,7 @@
   }
   for (size_t i = 0; i < fleet; ++i) {
     autoscaling::MachineState m;
-    m.id = "i-" + std::to_string(i), m.type = "g0", m.zone = "a", m.open = true;
+    m.id = "i-" + std::to_string(i), m.type = "g0", m.zone = "a", m.schedulable = true;
     m.total = {96, 8, 768};
     in.machines.push_back(m);
   }
@@ -125,9 +125,10 @@
   in.types.push_back(type);
   for (size_t i = 0; i < fleet; ++i) {
     autoscaling::MachineState m;
-    m.id = "i-" + std::to_string(i), m.type = "g", m.zone = "a", m.open = true, m.spot = i % 2 == 0;
+    m.id = "i-" + std::to_string(i), m.type = "g", m.zone = "a", m.schedulable = true,
+    m.spot = i % 2 == 0;
     m.total = {64, 8, 512};
-    m.has_fixed_work = !m.spot;
+    m.has_on_demand_work = !m.spot;
     in.machines.push_back(m);
   }
   for (size_t i = 0; i < spot_jobs; ++i) in.spot_work.push_back({{5, 1, 18}, 60, {}, "", true});
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -175,15 +175,18 @@
       fleet_.types.push_back(t);
     } else if (verb == "refused") {  // refused TYPE zone=Z [spot]
       for (auto& o : fleet_.offers)
-        if (o.type == name && o.zone == str(w, "zone") && o.spot == w.contains("spot"))
+        if (o.kind.type == name && o.kind.zone == str(w, "zone") &&
+            o.kind.spot == w.contains("spot"))
           o.refused = true;
     } else if (verb == "under_way") {  // under_way TYPE zone=Z [spot]
       for (auto& o : fleet_.offers)
-        if (o.type == name && o.zone == str(w, "zone") && o.spot == w.contains("spot"))
-          o.under_way = true;
+        if (o.kind.type == name && o.kind.zone == str(w, "zone") &&
+            o.kind.spot == w.contains("spot"))
+          o.request_pending = true;
     } else if (verb == "scarce") {  // scarce TYPE zone=Z [spot]
       for (auto& o : fleet_.offers)
-        if (o.type == name && o.zone == str(w, "zone") && o.spot == w.contains("spot"))
+        if (o.kind.type == name && o.kind.zone == str(w, "zone") &&
+            o.kind.spot == w.contains("spot"))
           o.scarce = true;
     } else if (verb == "expected") {  // expected arrivals gpus=N cpus=N
       fleet_.expected_gpus = num(w, "gpus"), fleet_.expected_cpus = num(w, "cpus");
@@ -193,13 +196,13 @@
       // has MACHINE type=T zone=Z [spot] [booting] [idle=S] [images=GB] [gpus=FREE] [yielding=GPUS]
       autoscaling::MachineState m;
       m.id = name, m.type = str(w, "type"), m.zone = str(w, "zone"), m.spot = w.contains("spot");
-      m.booting = w.contains("booting"), m.open = !m.booting;
+      m.booting = w.contains("booting"), m.schedulable = !m.booting;
       for (auto& t : fleet_.types)
         if (t.name == m.type) m.total = m.free = {t.cpus, t.gpus, t.memory_gb};
       m.empty = w.contains("idle"), m.idle_s = num(w, "idle"), m.images_gb = num(w, "images");
-      m.has_fixed_work = w.contains("gpus");  // what isn't free is held by standing replicas
+      m.has_on_demand_work = w.contains("gpus");  // what isn't free is held by standing replicas
       m.free.gpus = num(w, "gpus", m.free.gpus);
-      m.yielding.gpus = num(w, "yielding"), m.yielding.cpus = num(w, "yielding_cpus");
+      m.preemptible.gpus = num(w, "yielding"), m.preemptible.cpus = num(w, "yielding_cpus");
       fleet_.machines.push_back(m);
     } else if (verb == "work") {  // work NAME count=N cpus=N gpus=N: may use spot machines
       fleet_.spot_work.push_back({{num(w, "cpus"), num(w, "gpus"), 0},
@@ -267,8 +270,8 @@
   void run_plan() {
     auto plan = autoscaling::plan(fleet_);
     for (auto& r : plan.scale_out)
-      actual_.push_back("rent " + std::to_string(r.count) + " " + r.type + " in " + r.zone +
-                        (r.spot ? " (spot)" : ""));
+      actual_.push_back("rent " + std::to_string(r.count) + " " + r.kind.type + " in " +
+                        r.kind.zone + (r.kind.spot ? " (spot)" : ""));
     for (auto& id : plan.scale_in) actual_.push_back("give back " + id);
   }
   void run_reconcile(const Words& w) {
