--- a/src/coordination/api/user_api.cpp
+++ b/src/coordination/api/user_api.cpp
@@ -4,6 +4,8 @@
 
 #include <algorithm>
 
+#include "coordination/api/admission.hpp"
+
 namespace damsonport {
 
 namespace {
--- a/src/coordination/shard_leader/shard_leader.hpp
+++ b/src/coordination/shard_leader/shard_leader.hpp
@@ -286,8 +286,7 @@
   std::map<TaskId, PendingExit> exits_;
   std::map<TaskId, Stopping> stopping_;
   std::set<std::string> cancelled_;  // jobs, whose tasks may still be there
-  std::vector<autoscaling::InstanceOffer>
-      lost_capacity_;  // kinds of machines given up, to be replaced
+  std::vector<MachineKind> lost_capacity_;  // kinds of machines given up, to be replaced
   ScaleIn scale_in_;
   std::map<std::string, Booting> booting_;
   ScaleOutRequests scale_out_requests_;
