--- a/src/coordination/shard_leader/shard_leader_view.cpp
+++ b/src/coordination/shard_leader/shard_leader_view.cpp
@@ -44,7 +44,7 @@
   v.spot = s.spot;
   v.tasks = s.tasks;
   v.accepted_at = s.accepted_at;
-  v.due_at = s.deadline_s >= 0 ? s.accepted_at + s.deadline_s : 0;
+  v.due_at = s.deadline_s ? s.accepted_at + *s.deadline_s : 0;
   v.start_within_s = settings_.start_within(s.job_class);
   v.estimate_s = s.estimate_s;
   v.checkpoint_s = s.checkpoint_s;
--- /dev/null
+++ b/src/protocol/cloud_messages.cpp
@@ -0,0 +1,121 @@
+#include "protocol/cloud_messages.hpp"
+
+namespace damsonport {
+
+namespace {
+
+/// Names on the wire.
+namespace wire {
+constexpr const char* machine_types = "hulls";
+constexpr const char* type_name = "name";
+constexpr const char* cpus = "cores";
+constexpr const char* gpus = "accelerators";
+constexpr const char* memory_gb = "memory_gb";
+constexpr const char* cache_gb = "local_gb";
+constexpr const char* fetch_gb_per_s = "pull_gb_per_s";
+constexpr const char* price = "hourly";
+constexpr const char* spot_price = "spot_price";
+constexpr const char* boot_s = "ready_s";
+constexpr const char* zones = "docks";
+constexpr const char* machines = "vessels";
+constexpr const char* machine_id = "ref";
+constexpr const char* address = "address";
+constexpr const char* type = "hull";
+constexpr const char* zone = "dock";
+constexpr const char* state = "status";
+constexpr const char* spot = "tender";
+constexpr const char* age_s = "held_s";
+constexpr const char* more = "more";
+constexpr const char* request_id = "charter";
+constexpr const char* count = "count";
+}  // namespace wire
+
+// "MESSAGE: LIST[3].FIELD is missing or invalid".
+Error invalid_field(const char* message, const char* list, size_t index, const char* field) {
+  return Error{std::string(message) + ": " + list + "[" + std::to_string(index) + "]." + field +
+               " is missing or invalid"};
+}
+
+// The entries, or nullptr where the message has no such list.
+const Json* find_list(const Json& m, const char* name) {
+  const auto* list = m.is_object() ? cbor::find(m, name) : nullptr;
+  return list && list->is_array() ? list : nullptr;
+}
+
+Error missing_list(const char* message, const char* list) {
+  return Error{std::string(message) + ": " + list + " is missing or no list"};
+}
+
+// The wire name of the first field that is missing or invalid; nullptr where there is none.
+const char* decode_machine_type(const Json& m, MachineType& out) {
+  if (!m.is_object() || !cbor::read(m, wire::type_name, out.name)) return wire::type_name;
+  if (!cbor::read(m, wire::cpus, out.cpus)) return wire::cpus;
+  if (!cbor::read(m, wire::memory_gb, out.memory_gb)) return wire::memory_gb;
+  cbor::read_optional(m, wire::gpus, out.gpus);
+  cbor::read_optional(m, wire::cache_gb, out.cache_gb);
+  cbor::read_optional(m, wire::fetch_gb_per_s, out.fetch_gb_per_s);
+  cbor::read_optional(m, wire::price, out.price);
+  cbor::read_optional(m, wire::spot_price, out.spot_price);
+  cbor::read_optional(m, wire::boot_s, out.boot_s);
+  cbor::read_optional(m, wire::zones, out.zones);
+  return nullptr;
+}
+
+// As decode_machine_type().
+const char* decode_listed_machine(const Json& m, ListedMachine& out) {
+  if (!m.is_object() || !cbor::read(m, wire::machine_id, out.id)) return wire::machine_id;
+  cbor::read_optional(m, wire::address, out.address);
+  cbor::read_optional(m, wire::type, out.type);
+  cbor::read_optional(m, wire::zone, out.zone);
+  cbor::read_optional(m, wire::state, out.state);
+  cbor::read_optional(m, wire::spot, out.spot);
+  cbor::read_optional(m, wire::age_s, out.age_s);
+  return nullptr;
+}
+
+}  // namespace
+
+Result<std::vector<MachineType>> decode_catalog(const Json& m) {
+  constexpr const char* message = "machine type catalogue";
+  const auto* list = find_list(m, wire::machine_types);
+  if (!list) return missing_list(message, wire::machine_types);
+  std::vector<MachineType> out;
+  for (const auto& entry : *list) {
+    if (const char* field = decode_machine_type(entry, out.emplace_back()))
+      return invalid_field(message, wire::machine_types, out.size() - 1, field);
+  }
+  return out;
+}
+
+Result<MachineList> decode_machine_list(const Json& m) {
+  constexpr const char* message = "machine list";
+  const auto* list = find_list(m, wire::machines);
+  if (!list) return missing_list(message, wire::machines);
+  MachineList out;
+  cbor::read_optional(m, wire::more, out.more);
+  for (const auto& entry : *list) {
+    if (const char* field = decode_listed_machine(entry, out.machines.emplace_back()))
+      return invalid_field(message, wire::machines, out.machines.size() - 1, field);
+  }
+  return out;
+}
+
+std::string encode_scale_out_request(const ScaleOutRequest& request) {
+  return encode({{wire::request_id, request.id},
+                 {wire::type, request.type},
+                 {wire::zone, request.zone},
+                 {wire::spot, request.spot},
+                 {wire::count, request.count}});
+}
+
+std::vector<std::string> decode_created_machines(const Json& m) {
+  std::vector<std::string> machines;
+  if (m.is_object()) cbor::read_optional(m, wire::machines, machines);
+  return machines;
+}
+
+std::string encode_return(const std::vector<std::string>& machines) {
+  return encode({{wire::machines, machines}});
+}
+
+}  // namespace damsonport
--- /dev/null
+++ b/src/protocol/user_messages.cpp
@@ -0,0 +1,207 @@
+#include "protocol/user_messages.hpp"
+
+#include <algorithm>
+
+namespace damsonport {
+
+namespace {
+
+/// Names on the wire and in the stored records.
+namespace wire {
+constexpr const char* id = "ref";
+constexpr const char* job_class = "berth";
+constexpr const char* team = "owner";
+constexpr const char* kind = "shape";
+constexpr const char* priority = "rank";
+constexpr const char* tasks = "hands";
+constexpr const char* cpus = "cores";
+constexpr const char* gpus = "accelerators";
+constexpr const char* memory_gb = "memory_gb";
+constexpr const char* types = "hulls";
+constexpr const char* zone = "dock";
+constexpr const char* one_zone = "same_place";
+constexpr const char* spread = "spread";
+constexpr const char* spot = "tender";
+constexpr const char* image = "cargo";
+constexpr const char* image_gb = "size_gb";
+constexpr const char* estimate_s = "voyage_s";
+constexpr const char* checkpoint_s = "moor_s";
+constexpr const char* save_s = "stow_s";
+constexpr const char* deadline_s = "due_s";
+constexpr const char* accepted_at = "accepted_at";
+constexpr const char* parts = "parts";
+constexpr const char* distinct_machines = "distinct_machines";
+constexpr const char* status = "status";
+constexpr const char* done = "done";
+constexpr const char* running = "running";
+
+/// In the order of the enumerators.
+constexpr std::string_view kinds[] = {"batch", "service", "ensemble"};
+constexpr std::string_view priorities[] = {"idle", "normal", "high", "production"};
+}  // namespace wire
+
+// Limits of the protocol.
+constexpr uint64_t max_tasks = 100000;
+constexpr size_t max_text_bytes = 200;
+constexpr size_t max_types = 64;
+constexpr size_t max_id_bytes = 64;
+constexpr double max_amount = 1e9;  // exclusive
+
+/// The wire name of the first field that is missing or invalid; nothing where all are valid.
+using InvalidField = std::optional<const char*>;
+
+bool read_text(const Json& m, const char* name, std::string& out) {
+  return cbor::read(m, name, out) && !out.empty() && out.size() <= max_text_bytes;
+}
+
+bool is_amount(double value) { return value >= 0 && value < max_amount; }
+
+bool read_amount(const Json& m, const char* name, double& out) {
+  return cbor::read(m, name, out) && is_amount(out);
+}
+
+bool read_optional_amount(const Json& m, const char* name, double& out) {
+  return cbor::read_optional(m, name, out) && is_amount(out);
+}
+
+bool read_types(const Json& m, std::vector<std::string>& types) {
+  if (!cbor::read_optional(m, wire::types, types) || types.size() > max_types) return false;
+  if (cbor::find(m, wire::types) && types.empty()) return false;
+  return std::all_of(types.begin(), types.end(), [](const std::string& type) {
+    return !type.empty() && type.size() <= max_text_bytes;
+  });
+}
+
+bool read_deadline(const Json& m, std::optional<double>& out) {
+  if (!cbor::find(m, wire::deadline_s)) return true;
+  double deadline_s = 0;
+  if (!cbor::read(m, wire::deadline_s, deadline_s) || deadline_s < 0) return false;
+  out = deadline_s;
+  return true;
+}
+
+InvalidField decode_identity(const Json& m, JobSpec& spec) {
+  if (!cbor::read(m, wire::id, spec.id) || !valid_job_id(spec.id)) return wire::id;
+  if (!read_text(m, wire::job_class, spec.job_class)) return wire::job_class;
+  if (!read_text(m, wire::team, spec.team)) return wire::team;
+  if (!cbor::read_enum(m, wire::kind, wire::kinds, spec.kind)) return wire::kind;
+  if (!cbor::read_enum(m, wire::priority, wire::priorities, spec.priority)) return wire::priority;
+  return {};
+}
+
+InvalidField decode_resources(const Json& m, JobSpec& spec) {
+  uint64_t tasks = 0;
+  if (!cbor::read(m, wire::tasks, tasks) || tasks < 1 || tasks > max_tasks) return wire::tasks;
+  spec.tasks = static_cast<uint32_t>(tasks);
+  if (!read_amount(m, wire::cpus, spec.cpus)) return wire::cpus;
+  if (!read_optional_amount(m, wire::gpus, spec.gpus)) return wire::gpus;
+  if (!read_amount(m, wire::memory_gb, spec.memory_gb)) return wire::memory_gb;
+  if (!read_text(m, wire::image, spec.image)) return wire::image;
+  if (!read_amount(m, wire::image_gb, spec.image_gb)) return wire::image_gb;
+  return {};
+}
+
+InvalidField decode_constraints(const Json& m, JobSpec& spec) {
+  if (!read_types(m, spec.types)) return wire::types;
+  if (!cbor::read_optional(m, wire::zone, spec.zone) || spec.zone.size() > max_text_bytes)
+    return wire::zone;
+  if (!cbor::read_optional(m, wire::one_zone, spec.one_zone)) return wire::one_zone;
+  if (!cbor::read_optional(m, wire::spread, spec.spread)) return wire::spread;
+  if (!cbor::read_optional(m, wire::spot, spec.spot)) return wire::spot;
+  return {};
+}
+
+InvalidField decode_times(const Json& m, JobSpec& spec) {
+  if (!read_optional_amount(m, wire::estimate_s, spec.estimate_s)) return wire::estimate_s;
+  if (!read_optional_amount(m, wire::checkpoint_s, spec.checkpoint_s)) return wire::checkpoint_s;
+  if (!read_optional_amount(m, wire::save_s, spec.save_s)) return wire::save_s;
+  if (!read_deadline(m, spec.deadline_s)) return wire::deadline_s;
+  return {};
+}
+
+// Fields of records only; an invalid one counts as left out.
+void decode_recorded_fields(const Json& m, JobSpec& spec) {
+  cbor::read_optional(m, wire::accepted_at, spec.accepted_at);
+  uint64_t parts = 1;
+  if (cbor::read_optional(m, wire::parts, parts) && parts > 1 && parts <= spec.tasks)
+    spec.parts = static_cast<uint32_t>(parts);
+  cbor::read_optional(m, wire::distinct_machines, spec.distinct_machines);
+}
+
+Error missing_or_invalid(const char* field) {
+  return Error{std::string(field) + " is missing or invalid"};
+}
+
+}  // namespace
+
+bool valid_job_id(std::string_view id) {
+  constexpr std::string_view prefix = "run-";
+  if (!id.starts_with(prefix) || id.size() == prefix.size() || id.size() > max_id_bytes)
+    return false;
+  const auto rest = id.substr(prefix.size());
+  return std::all_of(rest.begin(), rest.end(), [](char c) {
+    return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '-' ||
+           c == '_' || c == '.';
+  });
+}
+
+Result<JobSpec> decode_job(const Json& m) {
+  JobSpec spec;
+  for (auto* decode : {decode_identity, decode_resources, decode_constraints, decode_times})
+    if (const InvalidField field = decode(m, spec)) return missing_or_invalid(*field);
+  decode_recorded_fields(m, spec);
+  return spec;
+}
+
+Result<JobSpec> decode_submission(const Json& m) {
+  for (const char* field : {wire::gpus, wire::one_zone, wire::spread, wire::spot, wire::estimate_s,
+                            wire::checkpoint_s, wire::save_s})
+    if (!cbor::find(m, field)) return missing_or_invalid(field);
+  auto spec = decode_job(m);
+  if (spec) {
+    const JobSpec defaults;
+    spec->accepted_at = defaults.accepted_at;
+    spec->parts = defaults.parts;
+    spec->distinct_machines = defaults.distinct_machines;
+  }
+  return spec;
+}
+
+Json encode_job(const JobSpec& spec) {
+  Json m = {{wire::id, spec.id},
+            {wire::job_class, spec.job_class},
+            {wire::team, spec.team},
+            {wire::kind, wire::kinds[static_cast<size_t>(spec.kind)]},
+            {wire::priority, wire::priorities[static_cast<size_t>(spec.priority)]},
+            {wire::tasks, spec.tasks},
+            {wire::cpus, spec.cpus},
+            {wire::gpus, spec.gpus},
+            {wire::memory_gb, spec.memory_gb},
+            {wire::image, spec.image},
+            {wire::image_gb, spec.image_gb},
+            {wire::accepted_at, spec.accepted_at}};
+  if (!spec.types.empty()) m[wire::types] = spec.types;
+  if (!spec.zone.empty()) m[wire::zone] = spec.zone;
+  if (spec.one_zone) m[wire::one_zone] = true;
+  if (spec.spread) m[wire::spread] = true;
+  if (spec.spot) m[wire::spot] = true;
+  if (spec.estimate_s > 0) m[wire::estimate_s] = spec.estimate_s;
+  if (spec.checkpoint_s > 0) m[wire::checkpoint_s] = spec.checkpoint_s;
+  if (spec.save_s > 0) m[wire::save_s] = spec.save_s;
+  if (spec.deadline_s) m[wire::deadline_s] = *spec.deadline_s;
+  if (spec.parts > 1) m[wire::parts] = spec.parts;
+  if (spec.distinct_machines) m[wire::distinct_machines] = true;
+  return m;
+}
+
+std::string encode_job_status(const std::string& id, std::string_view status) {
+  return encode({{wire::id, id}, {wire::status, status}});
+}
+
+std::string encode_job_progress(const std::string& id, std::string_view status, uint64_t done,
+                                uint64_t running) {
+  return encode(
+      {{wire::id, id}, {wire::status, status}, {wire::done, done}, {wire::running, running}});
+}
+
+}  // namespace damsonport
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -26,7 +26,7 @@
   EXPECT_EQ(back->tasks, 4u);
   EXPECT_TRUE(back->spot);
   EXPECT_EQ(back->checkpoint_s, 10.0);
-  EXPECT_LT(back->deadline_s, 0);
+  EXPECT_FALSE(back->deadline_s);
 }
 
 TEST(Job, MissingOrInvalidFieldsAreRefusedByName) {
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -513,7 +513,7 @@
   expected.accepted_at = 0;
   expected.types.clear();
   expected.zone.clear();
-  expected.deadline_s = -1;
+  expected.deadline_s.reset();
   expected.one_zone = false;
   expected.spread = false;
   expected.spot = false;
