--- a/src/protocol/frame.hpp
+++ b/src/protocol/frame.hpp
@@ -1,4 +1,4 @@
-// Frames on the streams between controllers: the length of the body as a varint, then the body.
+/// Frames on the streams between controllers: the length of the body as a varint, then the body.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -6,11 +6,18 @@
 
 namespace damsonport {
 
-enum class Framed : uint8_t { partial, whole, bad };
+/// What stands at the front of a stream's buffered bytes.
+enum class Framed : uint8_t {
+  partial,  ///< the beginning of a frame: more bytes are needed
+  whole,    ///< a whole frame
+  bad,      ///< no frame: the stream has to be closed
+};
 
+/// The body with its length in front.
 std::string encode_frame(std::string_view body);
-// Finds the body of the frame at the front; `used` bytes were consumed when whole. A frame longer
-// than `max_body` is bad.
+
+/// Decodes the frame at the front of `in`. When whole, `body` refers into `in`, and `used` bytes
+/// were consumed. A frame whose body is longer than `max_body` bytes is bad.
 Framed decode_frame(std::string_view in, uint64_t max_body, std::string_view& body, size_t& used);
 
 }  // namespace damsonport
--- a/src/protocol/peer_heartbeat.hpp
+++ b/src/protocol/peer_heartbeat.hpp
@@ -1,4 +1,5 @@
-// What controllers tell one another: hints only, never truth.
+/// The heartbeat between the controllers of a region. All of it is a hint, except what orders and
+/// acknowledges the cancellations.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -10,32 +11,37 @@
 namespace damsonport {
 
 struct PeerHeartbeat {
-  std::string controller;
-  uint64_t incarnation = 0;
-  uint64_t state_age_ms = 0;  // since the last contact with the state service
-  uint64_t waiting = 0;       // tasks waiting, for the sizing of blocks
-  bool loaded = false;
-  uint64_t misrouted_machines = 0;  // machines of another holder that come here
-  uint64_t writes = 0;              // wanted of the state service, for the sharing of its limit
-  uint64_t fencing_token = 0;       // of the grant it holds; 0: none
+  std::string controller;           ///< name of the sender
+  uint64_t incarnation = 0;         ///< of the sender: another one after each start
+  uint64_t state_age_ms = 0;        ///< since its last contact with the key-value store
+  uint64_t waiting = 0;             ///< pending tasks, for the sizes of the shards
+  bool loaded = false;              ///< it has read all records
+  uint64_t misrouted_machines = 0;  ///< machines of other shard leaders that report to it
+  uint64_t writes = 0;              ///< wanted of the key-value store per second
+  uint64_t fencing_token = 0;       ///< of the lease that it holds; 0: none
 
-  // For one receiver: so that it knows, on its own clock, as of when it was told all.
-  uint64_t sent_ms = 0;           // the sender's steady clock
-  uint64_t echo_incarnation = 0;  // the receiver's life, and
-  uint64_t echo_ms = 0;           // its newest sent_ms that the sender has
-  uint64_t have = 0;              // the receiver's cancellations up to this serial have come
-  // Cancellations that the sender knows of and whose tasks may not be gone: those after `from` up
-  // to `upto` are in this heartbeat; `last` is the newest of all.
-  uint64_t from = 0, upto = 0, last = 0;
+  // For one receiver, so that it knows on its own clock as of when it was sent everything.
+  uint64_t sent_ms = 0;           ///< the sender's steady clock
+  uint64_t echo_incarnation = 0;  ///< the receiver's incarnation, as the sender knows it, and
+  uint64_t echo_ms = 0;           ///< the newest sent_ms of it that the sender has
+  uint64_t have = 0;              ///< the sender has the receiver's cancellations up to this serial
+
+  // Cancellations that the sender knows of and whose tasks may still exist: those after `from` up
+  // to `upto` are in this heartbeat.
+  uint64_t from = 0;
+  uint64_t upto = 0;
+  uint64_t last = 0;  ///< serial of the newest cancellation of all
   struct Cancellation {
     std::string job;
-    uint64_t age_ms = 0;
+    uint64_t age_ms = 0;  ///< since the cancellation, or more
   };
   std::vector<Cancellation> cancelled;
 };
-std::string encode_peer_heartbeat(const PeerHeartbeat& b);  // framed
-// Takes one framed heartbeat off the front; `used` bytes were consumed when whole. What a later
-// version adds at the end is passed over.
+
+/// The framed heartbeat.
+std::string encode_peer_heartbeat(const PeerHeartbeat& heartbeat);
+/// Takes one framed heartbeat off the front of `in`; `used` bytes were consumed when whole. What a
+/// later version adds at the end is ignored.
 Framed decode_peer_heartbeat(std::string_view in, PeerHeartbeat& out, size_t& used);
 
 }  // namespace damsonport
--- a/src/protocol/quota_units.cpp
+++ b/src/protocol/quota_units.cpp
@@ -7,9 +7,10 @@
 
 uint64_t units_covering(double amount, double limit) {
   if (limit <= 0 || amount <= 0) return 0;
-  // What rounding errors add must not ask for one part more.
-  constexpr double rounding = 1e-3;
-  const double units = std::ceil(amount / limit * static_cast<double>(all_quota_units) - rounding);
+  // A rounding error must not add a unit.
+  constexpr double rounding_tolerance = 1e-3;
+  const double units =
+      std::ceil(amount / limit * static_cast<double>(all_quota_units) - rounding_tolerance);
   return static_cast<uint64_t>(std::clamp(units, 0.0, static_cast<double>(all_quota_units)));
 }
 
--- a/src/protocol/quota_units.hpp
+++ b/src/protocol/quota_units.hpp
@@ -1,15 +1,18 @@
-// A team's limit is divided into parts, so that a budget keeps its meaning when the limit changes.
+/// A team's quota limit in units: shares of a limit, so that a region's quota keeps its meaning
+/// when the limit changes.
 #pragma once
 #include <cstdint>
 
 namespace damsonport {
 
-// All parts of a limit. Every region starts with some of them, and they are only moved.
+/// All units of a limit. Every region starts with some of them, and they are only transferred.
 inline constexpr uint64_t all_quota_units = uint64_t{1} << 40;
 
-// Parts of the limit on CPUs and of the one on accelerators.
+/// Units of the limit on CPUs and of the one on accelerators.
 struct QuotaUnits {
-  uint64_t cpus = 0, gpus = 0;
+  uint64_t cpus = 0;
+  uint64_t gpus = 0;
+
   bool operator==(const QuotaUnits&) const = default;
   bool none() const { return cpus == 0 && gpus == 0; }
   QuotaUnits& operator+=(const QuotaUnits& o) {
@@ -26,19 +29,20 @@
 inline QuotaUnits operator+(QuotaUnits a, const QuotaUnits& b) { return a += b; }
 inline QuotaUnits operator-(QuotaUnits a, const QuotaUnits& b) { return a -= b; }
 
-// The larger of both, for each resource.
+/// The larger of both, for each resource.
 inline QuotaUnits larger(const QuotaUnits& a, const QuotaUnits& b) {
   return {a.cpus > b.cpus ? a.cpus : b.cpus, a.gpus > b.gpus ? a.gpus : b.gpus};
 }
 
-// a - b, and nothing where that would be negative.
+/// a - b, or 0 where that would be negative.
 inline uint64_t excess(uint64_t a, uint64_t b) { return a > b ? a - b : 0; }
 
-// What so many parts of a limit are worth, in its own unit.
+/// What so many units of a limit are worth, in CPUs or accelerators like the limit.
 inline double amount_of(uint64_t units, double limit) {
   return static_cast<double>(units) / static_cast<double>(all_quota_units) * limit;
 }
-// The parts that cover an amount, all of them at the most; 0 where there is no limit.
+/// The least number of units that cover an amount, all of them at the most; 0 where there is no
+/// limit.
 uint64_t units_covering(double amount, double limit);
 
 }  // namespace damsonport
--- a/src/protocol/region_message.cpp
+++ b/src/protocol/region_message.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr uint64_t message_version = 1;
-constexpr uint64_t max_frame = uint64_t{1024} * 1024;
+constexpr uint64_t max_body_bytes = uint64_t{1024} * 1024;
 constexpr uint64_t max_teams = 100000;
 
 constexpr std::array<QuotaUnits TeamExchange::*, 6> exchange_fields = {
@@ -26,7 +26,7 @@
   return body.bytes();
 }
 
-// What a later version adds at the end of an entry is passed over.
+// What a later version adds at the end of an entry is ignored.
 bool decode_exchange(std::string_view in, TeamExchange& out) {
   VarintReader body(in);
   if (!body.text(out.team)) return false;
@@ -68,7 +68,8 @@
 
 Framed decode_region_message(std::string_view in, RegionMessage& out, size_t& used) {
   std::string_view body;
-  if (auto framed = decode_frame(in, max_frame, body, used); framed != Framed::whole) return framed;
+  if (auto framed = decode_frame(in, max_body_bytes, body, used); framed != Framed::whole)
+    return framed;
   out = {};
   return decode_body(body, out) ? Framed::whole : Framed::bad;
 }
--- a/src/protocol/region_message.hpp
+++ b/src/protocol/region_message.hpp
@@ -1,7 +1,8 @@
-// What the holder of one region tells the controllers of another about the teams' budgets.
-//
-// `sent` and `received` are totals since the beginning and only grow, so a message that comes late,
-// twice or out of order says nothing false. Everything else is a hint.
+/// The message in which a region's leader tells the controllers of another region of the teams'
+/// quotas.
+///
+/// `sent` and `received` are totals since the beginning and only grow, so a message that arrives
+/// late, twice or out of order states nothing false. Everything else is a hint.
 #pragma once
 #include <string>
 #include <string_view>
@@ -12,26 +13,32 @@
 
 namespace damsonport {
 
+/// What one region states of one team towards another region.
 struct TeamExchange {
   std::string team;
-  QuotaUnits sent;      // by the sender's region to the receiver's, as committed
-  QuotaUnits received;  // by the sender's region from the receiver's, as committed
-  // What the sender could give, and what it wants of the receiver. The urgent amounts are for work
-  // of an urgent rank, the others for any.
-  QuotaUnits urgent_surplus, surplus;
-  QuotaUnits urgent_request, request;
+  QuotaUnits sent;      ///< transferred by the sender's region to the receiver's, as committed
+  QuotaUnits received;  ///< by the sender's region from the receiver's, as committed
+  /// What the sender could transfer, and what it requests of the receiver. The urgent amounts are
+  /// for work of an urgent priority, the others for any.
+  QuotaUnits urgent_surplus;
+  QuotaUnits surplus;
+  QuotaUnits urgent_request;
+  QuotaUnits request;
 };
 
 struct RegionMessage {
-  std::string region, receiver;  // names of regions
-  std::string controller;        // the controller that speaks for `region`
-  // Order the messages of one region: the holder's term, and a number that grows within it.
-  uint64_t fencing_token = 0, number = 0;
+  std::string region;          ///< name of the sender's region
+  std::string receiver;        ///< name of the receiver's region
+  std::string controller;      ///< the controller that speaks for `region`
+  uint64_t fencing_token = 0;  ///< of the region's leader: orders the messages of one region, with
+  uint64_t number = 0;         ///< a number that grows within one token
   std::vector<TeamExchange> teams;
 };
 
-std::string encode_region_message(const RegionMessage& message);  // framed
-// Takes one framed message off the front. Of another version: whole, with an empty `region`.
+/// The framed message.
+std::string encode_region_message(const RegionMessage& message);
+/// Takes one framed message off the front of `in`; `used` bytes were consumed when whole. A message
+/// of another version is whole, with an empty `region`.
 Framed decode_region_message(std::string_view in, RegionMessage& out, size_t& used);
 
 }  // namespace damsonport
--- a/src/protocol/varint.cpp
+++ b/src/protocol/varint.cpp
@@ -2,10 +2,18 @@
 
 namespace damsonport {
 
+namespace {
+constexpr int bits_per_byte = 7;
+constexpr uint64_t continuation_bit = 0x80;  // set in every byte but the last
+constexpr unsigned char value_mask = 0x7f;
+/// Of the tenth byte of a 64-bit number only one bit is left.
+constexpr int last_shift = 63;
+}  // namespace
+
 void VarintWriter::number(uint64_t v) {
-  while (v >= 0x80) {
-    out_.push_back(static_cast<char>(v | 0x80));
-    v >>= 7;
+  while (v >= continuation_bit) {
+    out_.push_back(static_cast<char>(v | continuation_bit));
+    v >>= bits_per_byte;
   }
   out_.push_back(static_cast<char>(v));
 }
@@ -17,12 +25,12 @@
 
 bool VarintReader::number(uint64_t& v) {
   v = 0;
-  for (int shift = 0; shift < 64; shift += 7) {
+  for (int shift = 0; shift <= last_shift; shift += bits_per_byte) {
     if (used_ >= in_.size()) return false;
-    auto byte = static_cast<unsigned char>(in_[used_++]);
-    if (shift == 63 && byte > 1) return false;
-    v |= static_cast<uint64_t>(byte & 0x7f) << shift;
-    if (byte < 0x80) return true;
+    const auto byte = static_cast<unsigned char>(in_[used_++]);
+    if (shift == last_shift && byte > 1) return false;
+    v |= static_cast<uint64_t>(byte & value_mask) << shift;
+    if (byte < continuation_bit) return true;
   }
   return false;
 }
--- a/src/protocol/varint.hpp
+++ b/src/protocol/varint.hpp
@@ -1,4 +1,5 @@
-// The codec between controllers: numbers as base-128 varints, texts with their length in front.
+/// The codec of the messages between controllers: numbers as base-128 varints, the lowest seven
+/// bits first; texts with their length in front.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -6,6 +7,7 @@
 
 namespace damsonport {
 
+/// Appends values to a buffer.
 class VarintWriter {
  public:
   void number(uint64_t v);
@@ -16,12 +18,17 @@
   std::string out_;
 };
 
+/// Reads values from the front of a buffer, which has to outlive the reader. After a read that
+/// failed the reader can't be used any more.
 class VarintReader {
  public:
   explicit VarintReader(std::string_view in) : in_(in) {}
-  // False at the end of the input, or for a number of more than 64 bits.
-  bool number(uint64_t& v);
-  bool text(std::string& s);
+
+  /// False at the end of the input, or for a number of more than 64 bits.
+  [[nodiscard]] bool number(uint64_t& v);
+  /// False where the input ends within the text.
+  [[nodiscard]] bool text(std::string& s);
+  /// Bytes read so far.
   size_t used() const { return used_; }
 
  private:
