--- a/tests/fleet_tool_test.cpp
+++ b/tests/load_tool_test.cpp
@@ -5,7 +5,7 @@
 #include "results.hpp"
 #include "team_use.hpp"
 
-namespace damsonport::fleet {
+namespace damsonport::loadtest {
 namespace {
 
 const std::string whole = R"(
@@ -110,7 +110,7 @@
   Results results;
   const Json waits = {
       {"urgent", {{10.0, 0.5}, {19.5, 0.25}, {19.5, 3.0}, {21.0, 1.0}, {30.0, 0.5}}}};
-  results.sites = {{{"waits", waits}}, {{"waits", waits}}};
+  results.regions = {{{"waits", waits}}, {{"waits", waits}}};
   FaultRecord killed, outage, cut;
   killed.at_s = 20, killed.without_holder_s = 2;
   outage.at_s = 29, outage.outage_s = 5, outage.region = 1;
@@ -134,4 +134,4 @@
 }
 
 }  // namespace
-}  // namespace damsonport::fleet
+}  // namespace damsonport::loadtest
--- a/tools/fleet/addresses.hpp
+++ b/tools/loadtest/addresses.hpp
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <string>
 
-namespace damsonport::fleet::addresses {
+namespace damsonport::loadtest::addresses {
 
 inline constexpr uint16_t state_port = 2379, cloud_port = 8443, api_port = 8080, peer_port = 8081,
                           region_port = 8082;
@@ -29,4 +29,4 @@
   return fmt::format("quay-{}-{}", region, n);
 }
 
-}  // namespace damsonport::fleet::addresses
+}  // namespace damsonport::loadtest::addresses
--- a/tools/fleet/child_process.cpp
+++ b/tools/loadtest/child_process.cpp
@@ -8,7 +8,7 @@
 
 #include <stdexcept>
 
-namespace damsonport::fleet {
+namespace damsonport::loadtest {
 
 namespace {
 
@@ -98,4 +98,4 @@
   pid_ = 0;
 }
 
-}  // namespace damsonport::fleet
+}  // namespace damsonport::loadtest
--- a/tools/fleet/child_process.hpp
+++ b/tools/loadtest/child_process.hpp
@@ -9,7 +9,7 @@
 
 #include "protocol/messages.hpp"
 
-namespace damsonport::fleet {
+namespace damsonport::loadtest {
 
 // The child's side. Messages to the parent are written whole; commands come by `on_command`.
 class ParentChannel {
@@ -49,4 +49,4 @@
   std::string buffer_;
 };
 
-}  // namespace damsonport::fleet
+}  // namespace damsonport::loadtest
--- a/tools/fleet/controllers.cpp
+++ b/tools/loadtest/controllers.cpp
@@ -14,7 +14,7 @@
 
 #include "addresses.hpp"
 
-namespace damsonport::fleet {
+namespace damsonport::loadtest {
 
 namespace {
 
@@ -214,4 +214,4 @@
   return ended;
 }
 
-}  // namespace damsonport::fleet
+}  // namespace damsonport::loadtest
--- a/tools/fleet/controllers.hpp
+++ b/tools/loadtest/controllers.hpp
@@ -8,7 +8,7 @@
 
 #include "experiment.hpp"
 
-namespace damsonport::fleet {
+namespace damsonport::loadtest {
 
 // What a process has taken, as the kernel counts it.
 struct ProcessFigures {
@@ -56,4 +56,4 @@
   std::vector<One> all_;
 };
 
-}  // namespace damsonport::fleet
+}  // namespace damsonport::loadtest
--- a/tools/fleet/emulator.hpp
+++ b/tools/loadtest/emulator.hpp
@@ -5,13 +5,13 @@
 #include "experiment.hpp"
 #include "team_use.hpp"
 
-namespace damsonport::fleet {
+namespace damsonport::loadtest {
 
 // One region's state service. Reports each change of the holder, and at the end the budgets.
 void run_state_service(const Experiment& plan, size_t region, ParentChannel& parent);
 // One region's cloud, hollow workers and users.
-void run_site(const Experiment& plan, size_t region, TeamUse& use, ParentChannel& parent);
+void run_region(const Experiment& plan, size_t region, TeamUse& use, ParentChannel& parent);
 // The network between regions: delays, cuts, and counts bytes.
 void run_links(const Experiment& plan, ParentChannel& parent);
 
-}  // namespace damsonport::fleet
+}  // namespace damsonport::loadtest
--- a/tools/fleet/emulator_loop.cpp
+++ b/tools/loadtest/emulator_loop.cpp
@@ -1,6 +1,6 @@
 #include "emulator_loop.hpp"
 
-namespace damsonport::fleet {
+namespace damsonport::loadtest {
 
 EmulatorLoop::EmulatorLoop(ParentChannel& parent, std::function<void(const Json&)> on_command)
     : parent_(parent), on_command_(std::move(on_command)) {
@@ -30,4 +30,4 @@
   event_base_dispatch(loop_.base());
 }
 
-}  // namespace damsonport::fleet
+}  // namespace damsonport::loadtest
--- a/tools/fleet/emulator_loop.hpp
+++ b/tools/loadtest/emulator_loop.hpp
@@ -7,7 +7,7 @@
 #include "child_process.hpp"
 #include "transport/event_loop.hpp"
 
-namespace damsonport::fleet {
+namespace damsonport::loadtest {
 
 class EmulatorLoop {
  public:
@@ -30,4 +30,4 @@
   event* second_ = nullptr;
 };
 
-}  // namespace damsonport::fleet
+}  // namespace damsonport::loadtest
--- a/tools/fleet/experiment.cpp
+++ b/tools/loadtest/experiment.cpp
@@ -9,7 +9,7 @@
 #include "config/text_file.hpp"
 #include "config/toml_reader.hpp"
 
-namespace damsonport::fleet {
+namespace damsonport::loadtest {
 
 namespace {
 
@@ -257,4 +257,4 @@
   return parse_text_file(path, parse_experiment);
 }
 
-}  // namespace damsonport::fleet
+}  // namespace damsonport::loadtest
--- a/tools/fleet/experiment.hpp
+++ b/tools/loadtest/experiment.hpp
@@ -7,7 +7,7 @@
 #include "protocol/messages.hpp"
 #include "protocol/result.hpp"
 
-namespace damsonport::fleet {
+namespace damsonport::loadtest {
 
 // Jobs of one kind that come to some regions at a steady rate.
 struct Load {
@@ -79,4 +79,4 @@
 Result<Experiment> parse_experiment(const std::string& toml_text);
 Result<Experiment> load_experiment(const std::string& path);
 
-}  // namespace damsonport::fleet
+}  // namespace damsonport::loadtest
--- a/tools/fleet/experiment_run.cpp
+++ b/tools/loadtest/experiment_run.cpp
@@ -10,7 +10,7 @@
 #include "addresses.hpp"
 #include "emulator.hpp"
 
-namespace damsonport::fleet {
+namespace damsonport::loadtest {
 
 namespace {
 
@@ -30,8 +30,8 @@
     : plan_(plan), progress_(progress), use_(plan.settings.teams.size()) {
   controllers_ = std::make_unique<Controllers>(plan, directory, program);
   holders_.resize(plan.regions);
-  site_seconds_.resize(plan.regions);
-  results_.sites.resize(plan.regions);
+  region_seconds_.resize(plan.regions);
+  results_.regions.resize(plan.regions);
   results_.states.resize(plan.regions);
   results_.region_roles.resize(plan.regions);
 }
@@ -48,9 +48,9 @@
     links_ = std::make_unique<ChildProcess>(
         "links", [this](ParentChannel& parent) { run_links(plan_, parent); });
   for (size_t r = 0; r < plan_.regions; ++r)
-    sites_.push_back(std::make_unique<ChildProcess>(
+    region_processes_.push_back(std::make_unique<ChildProcess>(
         fmt::format("site {}", r),
-        [this, r](ParentChannel& parent) { run_site(plan_, r, use_, parent); }));
+        [this, r](ParentChannel& parent) { run_region(plan_, r, use_, parent); }));
   for (auto& one : controllers_->all()) controllers_->start(one);
 }
 
@@ -122,13 +122,14 @@
         links_->tell({{"do", "cut"}, {"a", fault.region}, {"b", fault.other}, {"on", false}});
       });
     case FaultKind::hang_zone:
-      sites_[fault.region]->tell({{"do", "hang"}, {"zone", fault.zone}, {"for", fault.for_s}});
+      region_processes_[fault.region]->tell(
+          {{"do", "hang"}, {"zone", fault.zone}, {"for", fault.for_s}});
       return note();
     case FaultKind::kill_machines:
-      sites_[fault.region]->tell({{"do", "kill_machines"}, {"count", fault.count}});
+      region_processes_[fault.region]->tell({{"do", "kill_machines"}, {"count", fault.count}});
       return note();
     case FaultKind::cancel_jobs:
-      sites_[fault.region]->tell({{"do", "cancel"}, {"count", fault.count}});
+      region_processes_[fault.region]->tell({{"do", "cancel"}, {"count", fault.count}});
       return note();
     case FaultKind::state_outage:
       states_[fault.region]->tell({{"do", "outage"}, {"on", true}});
@@ -164,12 +165,12 @@
         open_fault_.erase(open);
       }
     }
-    for (auto& message : sites_[r]->messages()) {
+    for (auto& message : region_processes_[r]->messages()) {
       if (message.at("kind") == "final") {
-        results_.sites[r] = message;
+        results_.regions[r] = message;
         ++finals_;
       } else {
-        site_seconds_[r] = message;
+        region_seconds_[r] = message;
       }
     }
   }
@@ -202,15 +203,15 @@
   for (size_t r = 0; r < plan_.regions; ++r) {
     sample_process(states_[r]->pid(), 0, states_[r]->name(), "state service (stand-in)", r,
                    measured, memory_mb);
-    sample_process(sites_[r]->pid(), 0, sites_[r]->name(), "hollow workers, cloud, users", r,
-                   measured, memory_mb);
+    sample_process(region_processes_[r]->pid(), 0, region_processes_[r]->name(),
+                   "hollow workers, cloud, users", r, measured, memory_mb);
   }
   if (links_)
     sample_process(links_->pid(), 0, links_->name(), "links between regions", 0, measured,
                    memory_mb);
   results_.peak_memory_mb = std::max(results_.peak_memory_mb, memory_mb);
   double starts = 0, tasks = 0;
-  for (auto& second : site_seconds_) {
+  for (auto& second : region_seconds_) {
     if (!second.is_object()) continue;
     starts += second.at("starts").get<double>();
     tasks += second.at("tasks").get<double>();
@@ -235,7 +236,7 @@
 
 void ExperimentRun::show_progress() {
   double workers = 0, tasks = 0, starts = 0, broken = 0;
-  for (auto& second : site_seconds_) {
+  for (auto& second : region_seconds_) {
     if (!second.is_object()) continue;
     workers += second.at("workers").get<double>();
     tasks += second.at("tasks").get<double>();
@@ -250,12 +251,12 @@
                    "broken  holders:{}",
                    elapsed(), workers, tasks, starts, broken, holders)
             << std::endl;
-  for (auto& second : site_seconds_) show_placement(second);
+  for (auto& second : region_seconds_) show_placement(second);
 }
 
 void ExperimentRun::finish() {
   for (auto& child : states_) child->tell({{"do", "finish"}});
-  for (auto& child : sites_) child->tell({{"do", "finish"}});
+  for (auto& child : region_processes_) child->tell({{"do", "finish"}});
   if (links_) links_->tell({{"do", "finish"}});
   const double until = steady_now() + finish_patience_s;
   while (finals_ < 2 * plan_.regions && steady_now() < until) {
@@ -264,16 +265,16 @@
   }
   controllers_.reset();
   for (size_t r = 0; r < plan_.regions; ++r) {
-    if (!results_.sites[r].is_object() || !results_.states[r].is_object()) {
+    if (!results_.regions[r].is_object() || !results_.states[r].is_object()) {
       results_.broken_rules.push_back(fmt::format("region {} gave no final word", r));
-      results_.sites[r] = {{"waits", Json::object()},
-                           {"accept_times", Json::array()},
-                           {"asked", Json::object()},
-                           {"served", Json::object()}};
+      results_.regions[r] = {{"waits", Json::object()},
+                             {"accept_times", Json::array()},
+                             {"asked", Json::object()},
+                             {"served", Json::object()}};
       results_.states[r] = {{"budgets", Json::object()}};
       continue;
     }
-    for (auto& rule : results_.sites[r].at("broken_rules"))
+    for (auto& rule : results_.regions[r].at("broken_rules"))
       results_.broken_rules.push_back(
           fmt::format("{}: {}", addresses::region_name(r), rule.get<std::string>()));
   }
@@ -307,4 +308,4 @@
   return std::move(results_);
 }
 
-}  // namespace damsonport::fleet
+}  // namespace damsonport::loadtest
--- a/tools/fleet/experiment_run.hpp
+++ b/tools/loadtest/experiment_run.hpp
@@ -8,7 +8,7 @@
 #include "results.hpp"
 #include "team_use.hpp"
 
-namespace damsonport::fleet {
+namespace damsonport::loadtest {
 
 class ExperimentRun {
  public:
@@ -46,12 +46,12 @@
   const Experiment& plan_;
   std::ostream& progress_;
   TeamUse use_;
-  std::vector<std::unique_ptr<ChildProcess>> states_, sites_;
+  std::vector<std::unique_ptr<ChildProcess>> states_, region_processes_;
   std::unique_ptr<ChildProcess> links_;
   std::unique_ptr<Controllers> controllers_;
   double begun_ = 0;
   std::vector<std::string> holders_;  // by region
-  std::vector<Json> site_seconds_;
+  std::vector<Json> region_seconds_;
   std::map<std::string, Sampled> sampled_;
   std::map<std::string, std::pair<double, double>> second_of_role_;
   std::vector<PendingFault> faults_;
@@ -61,4 +61,4 @@
   Results results_;
 };
 
-}  // namespace damsonport::fleet
+}  // namespace damsonport::loadtest
--- a/tools/fleet/link_process.cpp
+++ b/tools/loadtest/link_process.cpp
@@ -15,7 +15,7 @@
 #include "emulator.hpp"
 #include "emulator_loop.hpp"
 
-namespace damsonport::fleet {
+namespace damsonport::loadtest {
 
 namespace {
 
@@ -167,4 +167,4 @@
   links->run();
 }
 
-}  // namespace damsonport::fleet
+}  // namespace damsonport::loadtest
--- a/tools/fleet/main.cpp
+++ b/tools/loadtest/main.cpp
@@ -1,4 +1,5 @@
-// damsonport-fleet: plays an experiment with real controllers and hollow workers on this machine.
+// damsonport-loadtest: plays an experiment with real controllers and hollow workers on this
+// machine.
 #include <signal.h>
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
@@ -30,14 +31,14 @@
     std::filesystem::create_directories(wanted);
     return wanted;
   }
-  auto pattern = (std::filesystem::temp_directory_path() / "damsonport-fleet.XXXXXX").string();
+  auto pattern = (std::filesystem::temp_directory_path() / "damsonport-loadtest.XXXXXX").string();
   return mkdtemp(pattern.data()) ? pattern : std::string();
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"damsonport-fleet: plays an experiment with real controllers and hollow workers"};
+  CLI::App app{"damsonport-loadtest: plays an experiment with real controllers and hollow workers"};
   std::string file, results_file, directory, program = default_controller();
   bool check = false;
   app.add_option("experiment", file, "the plan (TOML), see experiments/README.md")->required();
@@ -50,8 +51,8 @@
   } catch (const CLI::ParseError& e) {
     return app.exit(e) == 0 ? 0 : exit_bad_plan;
   }
-  spdlog::set_default_logger(spdlog::stderr_logger_st("fleet"));
-  auto plan = damsonport::fleet::load_experiment(file);
+  spdlog::set_default_logger(spdlog::stderr_logger_st("loadtest"));
+  auto plan = damsonport::loadtest::load_experiment(file);
   if (!plan) {
     std::cerr << plan.error() << "\n";
     return exit_bad_plan;
@@ -70,9 +71,9 @@
   std::cout << plan->title << ": settings and logs in " << directory << std::endl;
   signal(SIGPIPE, SIG_IGN);
   for (int number : {SIGINT, SIGTERM}) signal(number, [](int) { stop_requested = true; });
-  damsonport::fleet::ExperimentRun run(*plan, directory, program, std::cout);
+  damsonport::loadtest::ExperimentRun run(*plan, directory, program, std::cout);
   const auto results = run.run(stop_requested);
-  damsonport::fleet::print_table(std::cout, *plan, results);
+  damsonport::loadtest::print_table(std::cout, *plan, results);
   if (!results_file.empty())
     std::ofstream(results_file) << results_json(*plan, results).dump(1) << "\n";
   return results.broken_rules.empty() ? 0 : exit_rule_broken;
--- a/tools/fleet/real_time_world.cpp
+++ b/tools/loadtest/real_time_world.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-namespace damsonport::fleet {
+namespace damsonport::loadtest {
 
 namespace {
 
@@ -135,4 +135,4 @@
   act([&] { answer(reply); });
 }
 
-}  // namespace damsonport::fleet
+}  // namespace damsonport::loadtest
--- a/tools/fleet/real_time_world.hpp
+++ b/tools/loadtest/real_time_world.hpp
@@ -8,7 +8,7 @@
 #include "simulation/world.hpp"
 #include "transport/event_http.hpp"
 
-namespace damsonport::fleet {
+namespace damsonport::loadtest {
 
 // Requests and bytes of one kind, as the stand-ins see them. Bodies only; what the headers of one
 // exchange add is a constant (`header_bytes`).
@@ -67,4 +67,4 @@
   TrafficByKind served_, asked_;
 };
 
-}  // namespace damsonport::fleet
+}  // namespace damsonport::loadtest
--- a/tools/fleet/site_process.cpp
+++ b/tools/loadtest/region_process.cpp
@@ -6,22 +6,22 @@
 #include "simulation/fleet.hpp"
 #include "users.hpp"
 
-namespace damsonport::fleet {
+namespace damsonport::loadtest {
 
 namespace {
 
 constexpr double eps = 1e-6;
 
-class Site {
+class RegionProcess {
  public:
-  Site(const Experiment& plan, size_t region, TeamUse& use, ParentChannel& parent)
+  RegionProcess(const Experiment& plan, size_t region, TeamUse& use, ParentChannel& parent)
       : plan_(plan),
         region_(region),
         use_(use),
         parent_(parent),
         emulator_(parent, [this](const Json& command) { obey(command); }),
         world_(emulator_.loop(), plan.seed * 1000 + region),
-        settings_(site_settings(plan, region)),
+        settings_(region_settings(plan, region)),
         types_(plan.machines) {
     world_.set_port(addresses::cloud(region), addresses::cloud_port);
     std::vector<std::pair<std::string, std::string>> nodes;
@@ -49,7 +49,7 @@
   }
 
  private:
-  static Settings site_settings(const Experiment& plan, size_t region) {
+  static Settings region_settings(const Experiment& plan, size_t region) {
     Settings s = plan.settings;
     s.zones.clear();
     for (size_t z = 0; z < plan.zones; ++z) s.zones.push_back(addresses::zone_name(region, z));
@@ -191,10 +191,10 @@
 
 }  // namespace
 
-void run_site(const Experiment& plan, size_t region, TeamUse& use, ParentChannel& parent) {
+void run_region(const Experiment& plan, size_t region, TeamUse& use, ParentChannel& parent) {
   // Never taken apart: the process ends with it.
-  auto* site = new Site(plan, region, use, parent);
-  site->run();
+  auto* process = new RegionProcess(plan, region, use, parent);
+  process->run();
 }
 
-}  // namespace damsonport::fleet
+}  // namespace damsonport::loadtest
--- a/tools/fleet/results.cpp
+++ b/tools/loadtest/results.cpp
@@ -8,7 +8,7 @@
 
 #include "real_time_world.hpp"
 
-namespace damsonport::fleet {
+namespace damsonport::loadtest {
 
 namespace {
 
@@ -24,9 +24,9 @@
 }
 
 // Of one region, by load.
-Json waits_json(const Json& site) {
+Json waits_json(const Json& region) {
   Json out = Json::object();
-  for (auto& [load, values] : site.at("waits").items()) {
+  for (auto& [load, values] : region.at("waits").items()) {
     std::vector<float> seconds;
     for (auto& wait : values) seconds.push_back(wait.at(1).get<float>());
     out[load] = quantiles_json(quantiles(std::move(seconds)));
@@ -63,14 +63,14 @@
 // Bytes a second to and from one worker for control, headers included.
 double worker_bytes_per_s(const Experiment& plan, const Results& results) {
   double bytes = 0, workers = 0;
-  for (auto& site : results.sites) {
+  for (auto& region : results.regions) {
     for (auto& [group, kind] : {std::pair{"asked", "hello"}, std::pair{"served", "commands"}}) {
-      if (!site.at(group).contains(kind)) continue;
-      auto& t = site.at(group).at(kind);
+      if (!region.at(group).contains(kind)) continue;
+      auto& t = region.at(group).at(kind);
       bytes += t[0].get<double>() * static_cast<double>(header_bytes) + t[1].get<double>() +
                t[2].get<double>();
     }
-    workers += site.value("workers", 0.0);
+    workers += region.value("workers", 0.0);
   }
   return workers > 0 ? bytes / workers / plan.seconds : 0;
 }
@@ -114,8 +114,8 @@
 
 std::map<std::string, std::vector<float>> waits_of(const Results& results, WaitsOf which) {
   std::map<std::string, std::vector<float>> out;
-  for (size_t region = 0; region < results.sites.size(); ++region)
-    for (auto& [load, values] : results.sites[region].at("waits").items())
+  for (size_t region = 0; region < results.regions.size(); ++region)
+    for (auto& [load, values] : results.regions[region].at("waits").items())
       for (auto& wait : values) {
         const double from = wait.at(0).get<double>(), seconds = wait.at(1).get<double>();
         const bool in_spell =
@@ -149,13 +149,13 @@
   std::vector<float> whole, complete;
   double half_s = 0;
   size_t not_whole = 0;
-  for (size_t r = 0; r < results.sites.size(); ++r) {
-    if (!results.sites[r].contains("replicas") || plan.replicas_in_force[r] != in_force) continue;
-    auto& of_site = results.sites[r]["replicas"];
-    for (auto& seconds : of_site["whole_again_s"]) whole.push_back(seconds.get<float>());
-    for (auto& seconds : of_site["complete_again_s"]) complete.push_back(seconds.get<float>());
-    half_s += of_site["half_s"].get<double>();
-    not_whole += of_site["not_whole"].get<size_t>();
+  for (size_t r = 0; r < results.regions.size(); ++r) {
+    if (!results.regions[r].contains("replicas") || plan.replicas_in_force[r] != in_force) continue;
+    auto& of_region = results.regions[r]["replicas"];
+    for (auto& seconds : of_region["whole_again_s"]) whole.push_back(seconds.get<float>());
+    for (auto& seconds : of_region["complete_again_s"]) complete.push_back(seconds.get<float>());
+    half_s += of_region["half_s"].get<double>();
+    not_whole += of_region["not_whole"].get<size_t>();
   }
   return {{"whole_again_s", quantiles_json(quantiles(whole))},
           {"complete_again_s", quantiles_json(quantiles(complete))},
@@ -181,7 +181,7 @@
               {"ended_by_themselves", results.ended_by_themselves},
               {"broken_rules", results.broken_rules},
               {"state_writes_per_s", total_of(results.states, "writes") / plan.seconds},
-              {"sessions_lost", total_of(results.sites, "sessions_lost")},
+              {"sessions_lost", total_of(results.regions, "sessions_lost")},
               {"budgets", budgets_json(results)}};
   out["roles"] = roles_json(results.roles);
   for (auto& [load, values] : waits_of(results, WaitsOf::all))
@@ -189,26 +189,25 @@
   for (auto& [load, values] : waits_of(results, WaitsOf::outside_spells))
     out["waits_outside_spells"][load] = quantiles_json(quantiles(values));
   std::vector<float> accepts;
-  for (auto& site : results.sites)
-    for (auto& value : site.at("accept_times")) accepts.push_back(value.get<float>());
+  for (auto& region : results.regions)
+    for (auto& value : region.at("accept_times")) accepts.push_back(value.get<float>());
   out["accept_s"] = quantiles_json(quantiles(std::move(accepts)));
   for (bool in_force : {true, false})
     out[in_force ? "replicas" : "replicas_not_in_force"] = replicas_json(plan, results, in_force);
   for (auto& c : results.holder_changes)
-    out["holder_changes"].push_back(
-        {{"region", c.region}, {"node", c.node}, {"at_s", c.at_s}});
+    out["holder_changes"].push_back({{"region", c.region}, {"node", c.node}, {"at_s", c.at_s}});
   for (auto& f : results.faults)
     out["faults"].push_back(
         {{"what", f.what}, {"at_s", f.at_s}, {"without_holder_s", f.without_holder_s}});
-  for (size_t r = 0; r < results.sites.size(); ++r) {
-    Json site = results.sites[r];
-    for (auto* large : {"waits", "accept_times", "broken_rules", "replicas"}) site.erase(large);
+  for (size_t r = 0; r < results.regions.size(); ++r) {
+    Json region = results.regions[r];
+    for (auto* large : {"waits", "accept_times", "broken_rules", "replicas"}) region.erase(large);
     Json state = results.states[r];
     state.erase("budgets");
-    out["regions"].push_back({{"site", std::move(site)},
+    out["regions"].push_back({{"site", std::move(region)},
                               {"state", std::move(state)},
                               {"roles", roles_json(results.region_roles[r])},
-                              {"waits", waits_json(results.sites[r])}});
+                              {"waits", waits_json(results.regions[r])}});
   }
   return out;
 }
@@ -220,7 +219,7 @@
     out << fmt::format("  {:<44} {}\n", what, value);
   };
   line("workers, tasks on machines (mean, peak)",
-       fmt::format("{:.0f}, {:.0f}, {:.0f}", total_of(results.sites, "workers"),
+       fmt::format("{:.0f}, {:.0f}, {:.0f}", total_of(results.regions, "workers"),
                    all["tasks_mean"].get<double>(), all["tasks_peak"].get<double>()));
   line("starts a second (mean, peak)",
        fmt::format("{:.1f}, {:.0f}", all["starts_per_s_mean"].get<double>(),
@@ -228,8 +227,8 @@
   line("starts a second, best ten seconds of the whole run",
        fmt::format("{:.0f}", all["starts_per_s_best_10_s"].get<double>()));
   line("jobs submitted, accepted",
-       fmt::format("{:.0f}, {:.0f}", total_of(results.sites, "submitted"),
-                   total_of(results.sites, "accepted")));
+       fmt::format("{:.0f}, {:.0f}", total_of(results.regions, "submitted"),
+                   total_of(results.regions, "accepted")));
   auto show_waits = [&](WaitsOf which, const std::string& words) {
     for (auto& [load, values] : waits_of(results, which)) {
       const auto q = quantiles(values);
@@ -246,7 +245,7 @@
   line("worker's control traffic",
        fmt::format("{:.0f} bytes a second", all["worker_bytes_per_s"].get<double>()));
   line("state writes a second", fmt::format("{:.1f}", all["state_writes_per_s"].get<double>()));
-  line("workers' leases lost", fmt::format("{:.0f}", total_of(results.sites, "sessions_lost")));
+  line("workers' leases lost", fmt::format("{:.0f}", total_of(results.regions, "sessions_lost")));
   if (!plan.settings.replicas.classes.empty()) {
     line("replicas", all["replicas"].dump());
     line("replicas, controllers not told of them", all["replicas_not_in_force"].dump());
@@ -263,4 +262,4 @@
     out << "    " << results.broken_rules[i] << "\n";
 }
 
-}  // namespace damsonport::fleet
+}  // namespace damsonport::loadtest
--- a/tools/fleet/results.hpp
+++ b/tools/loadtest/results.hpp
@@ -8,7 +8,7 @@
 #include "experiment.hpp"
 #include "storage/quota_record.hpp"
 
-namespace damsonport::fleet {
+namespace damsonport::loadtest {
 
 // Exact, from all values; 0 where there are none.
 struct Quantiles {
@@ -53,7 +53,7 @@
   std::vector<double> tasks;               // on machines, in each second
   std::vector<HolderChange> holder_changes;
   std::vector<FaultRecord> faults;
-  std::vector<Json> sites, states;  // final words, by region
+  std::vector<Json> regions, states;  // final messages, by region
   uint64_t link_bytes = 0;
   int ended_by_themselves = 0;
   std::vector<std::string> broken_rules;
@@ -66,4 +66,4 @@
 Json results_json(const Experiment& plan, const Results& results);
 void print_table(std::ostream& out, const Experiment& plan, const Results& results);
 
-}  // namespace damsonport::fleet
+}  // namespace damsonport::loadtest
--- a/tools/fleet/state_process.cpp
+++ b/tools/loadtest/state_process.cpp
@@ -7,7 +7,7 @@
 #include "simulation/state_service.hpp"
 #include "storage/records.hpp"
 
-namespace damsonport::fleet {
+namespace damsonport::loadtest {
 
 namespace {
 
@@ -71,4 +71,4 @@
   });
 }
 
-}  // namespace damsonport::fleet
+}  // namespace damsonport::loadtest
--- a/tools/fleet/team_use.cpp
+++ b/tools/loadtest/team_use.cpp
@@ -6,7 +6,7 @@
 #include <new>
 #include <stdexcept>
 
-namespace damsonport::fleet {
+namespace damsonport::loadtest {
 
 namespace {
 
@@ -45,4 +45,4 @@
           static_cast<double>(rows_[team].peak_gpus) / unit};
 }
 
-}  // namespace damsonport::fleet
+}  // namespace damsonport::loadtest
--- a/tools/fleet/team_use.hpp
+++ b/tools/loadtest/team_use.hpp
@@ -5,7 +5,7 @@
 #include <cstddef>
 #include <cstdint>
 
-namespace damsonport::fleet {
+namespace damsonport::loadtest {
 
 class TeamUse {
  public:
@@ -32,4 +32,4 @@
   Row* rows_;
 };
 
-}  // namespace damsonport::fleet
+}  // namespace damsonport::loadtest
--- a/tools/fleet/users.cpp
+++ b/tools/loadtest/users.cpp
@@ -8,7 +8,7 @@
 #include "addresses.hpp"
 #include "simulation/submission.hpp"
 
-namespace damsonport::fleet {
+namespace damsonport::loadtest {
 
 namespace {
 
@@ -149,4 +149,4 @@
         {static_cast<float>(it->second.at), static_cast<float>(world_.now() - it->second.at)});
 }
 
-}  // namespace damsonport::fleet
+}  // namespace damsonport::loadtest
--- a/tools/fleet/users.hpp
+++ b/tools/loadtest/users.hpp
@@ -9,7 +9,7 @@
 #include "real_time_world.hpp"
 #include "simulation/fleet.hpp"
 
-namespace damsonport::fleet {
+namespace damsonport::loadtest {
 
 // Measured values, kept whole so that quantiles are exact.
 using Values = std::vector<float>;
@@ -63,4 +63,4 @@
   std::map<std::string, uint64_t> answers_;
 };
 
-}  // namespace damsonport::fleet
+}  // namespace damsonport::loadtest
