--- a/simulation/gang_runs.cpp
+++ b/simulation/gang_runs.cpp
@@ -2,25 +2,36 @@
 
 #include <cmath>
 
-#include "simulation/fleet.hpp"
+#include "simulation/simulated_fleet.hpp"
 
 namespace damsonport::simulation {
 
-std::vector<GangRuns::Member> GangRuns::members(const Key& key) const {
-  std::vector<Member> out;
-  for (auto& [id, worker] : fleet_.workers()) {
+namespace {
+constexpr double least_run_s = 0.01;
+}
+
+const JobSpec& GangRuns::spec(const std::string& job) const { return *fleet_.rules().spec(job); }
+
+std::vector<GangRuns::Member> GangRuns::members(const RunId& id) const {
+  std::vector<Member> members;
+  for (auto& [machine, worker] : fleet_.workers()) {
     if (worker->gone) continue;
     for (auto& [attempt, task] : worker->tasks())
-      if (attempt.first.job == key.first && attempt.second == key.second &&
+      if (attempt.task.job == id.job && attempt.number == id.attempt &&
           task.report.state != TaskState::exited)
-        out.push_back({worker.get(), attempt.first});
+        members.push_back({worker.get(), attempt.task});
   }
-  return out;
+  return members;
+}
+
+GangRuns::Run* GangRuns::find_running(const RunId& id) {
+  auto it = runs_.find(id);
+  if (it == runs_.end() || !it->second.is_running || it->second.has_ended) return nullptr;
+  return &it->second;
 }
 
-double GangRuns::progress(const Run& run) const {
-  const double until = run.first_halt >= 0 ? run.first_halt : world_.now();
-  return run.progress + until - run.begun_at;
+double GangRuns::progress_s(const Run& run) const {
+  return run.initial_progress_s + run.first_stop_at.value_or(world_.now()) - run.begun_at;
 }
 
 int GangRuns::starts(const std::string& job) const {
@@ -28,88 +39,96 @@
   return it == starts_.end() ? 0 : it->second;
 }
 
-double GangRuns::lost_progress(const std::string& job) const {
-  auto it = lost_progress_.find(job);
-  return it == lost_progress_.end() ? 0 : it->second;
+double GangRuns::lost_progress_s(const std::string& job) const {
+  auto it = lost_progress_s_.find(job);
+  return it == lost_progress_s_.end() ? 0 : it->second;
 }
 
-void GangRuns::arrived(const TaskId& task, uint64_t attempt) {
-  const Key key{task.job, attempt};
-  auto& run = runs_[key];
-  if (run.running) return;  // too late: it waits alone
+void GangRuns::on_task_ready(const TaskAttempt& attempt) {
+  const RunId id{attempt.task.job, attempt.number};
+  Run& run = runs_[id];
+  if (run.is_running) return;  // too late: it waits alone
   uint32_t ready = 0;
-  for (auto& m : members(key)) ready += m.worker->ready_for_gang(m.task, attempt);
-  if (ready < fleet_.rules().spec(task.job)->tasks) return;
-  run.running = true;
+  for (auto& member : members(id))
+    if (member.worker->is_ready_for_gang({member.task, id.attempt})) ++ready;
+  if (ready >= spec(id.job).tasks) begin_run(id, run);
+}
+
+void GangRuns::begin_run(const RunId& id, Run& run) {
+  run.is_running = true;
   run.begun_at = world_.now();
-  run.progress = saved_[task.job];
-  ++starts_[task.job];
-  for (auto& m : members(key)) m.worker->run_gang_task(m.task, attempt);
-  const double left = std::max(fleet_.run_time(task.job) - run.progress, 0.01);
-  run.completion = world_.in(left, [this, key] { complete(key); });
+  run.initial_progress_s = saved_progress_s_[id.job];
+  ++starts_[id.job];
+  for (auto& member : members(id)) member.worker->run_gang_task({member.task, id.attempt});
+  const double left_s = std::max(fleet_.run_time(id.job) - run.initial_progress_s, least_run_s);
+  run.completion = world_.in(left_s, [this, id] { complete(id); });
 }
 
-void GangRuns::complete(const Key& key) {
-  runs_[key].ended = true;
-  for (auto& m : members(key)) m.worker->end_gang_task(m.task, key.second, ExitCause::done, false);
+void GangRuns::complete(const RunId& id) {
+  runs_[id].has_ended = true;
+  end_tasks(id, ExitCause::done, false);
 }
 
-void GangRuns::fall_back(const Key& key, Run& run) {
-  run.ended = true;
+void GangRuns::fall_back(const RunId& id, Run& run) {
+  run.has_ended = true;
   world_.cancel(run.completion);
-  const double reached = progress(run);
-  const double every = fleet_.rules().spec(key.first)->checkpoint_s;
-  double& saved = saved_[key.first];
-  if (every > 0) saved = std::max(saved, std::floor(reached / every) * every);
-  lost_progress_[key.first] += std::max(reached - saved, 0.0);
+  const double reached_s = progress_s(run);
+  const double checkpoint_s = spec(id.job).checkpoint_s;
+  double& saved_s = saved_progress_s_[id.job];
+  if (checkpoint_s > 0)
+    saved_s = std::max(saved_s, std::floor(reached_s / checkpoint_s) * checkpoint_s);
+  lost_progress_s_[id.job] += std::max(reached_s - saved_s, 0.0);
 }
 
-void GangRuns::lost(const TaskId& task, uint64_t attempt) {
-  const Key key{task.job, attempt};
-  auto it = runs_.find(key);
-  if (it == runs_.end() || !it->second.running || it->second.ended) return;
-  fall_back(key, it->second);
-  const double notice = fleet_.settings.gang_peer_s * world_.uniform(0.4, 1.0);
-  world_.in(notice, [this, key] { end(key, ExitCause::peers, false); });
+void GangRuns::on_task_lost(const TaskAttempt& attempt) {
+  const RunId id{attempt.task.job, attempt.number};
+  Run* run = find_running(id);
+  if (!run) return;
+  fall_back(id, *run);
+  const double notice_s = fleet_.settings.gang_peer_s * world_.uniform(0.4, 1.0);
+  world_.in(notice_s, [this, id] { end_tasks(id, ExitCause::peers, false); });
 }
 
-void GangRuns::end(const Key& key, ExitCause cause, bool saved) {
-  for (auto& m : members(key)) m.worker->end_gang_task(m.task, key.second, cause, saved);
+void GangRuns::end_tasks(const RunId& id, ExitCause cause, bool saved) {
+  for (auto& member : members(id))
+    member.worker->end_gang_task({member.task, id.attempt}, cause, saved);
 }
 
-bool GangRuns::told_to_stop(Worker& worker, const TaskId& task, uint64_t attempt, double grace_s) {
-  const Key key{task.job, attempt};
-  auto it = runs_.find(key);
-  if (it == runs_.end() || !it->second.running || it->second.ended) return false;
-  Run& run = it->second;
-  auto* spec = fleet_.rules().spec(task.job);
-  if (spec->checkpoint_s <= 0 || grace_s < spec->save_s) {
-    // With a second halt without grace a task that saves ends, too.
-    worker.end_gang_task(task, attempt, ExitCause::stopped, false);
-    lost(task, attempt);
-    return true;
+GangRuns::StopResult GangRuns::stop_task(Worker& worker, const TaskAttempt& attempt,
+                                         double grace_s) {
+  const RunId id{attempt.task.job, attempt.number};
+  Run* run = find_running(id);
+  if (!run) return StopResult::gang_does_not_run;
+  const JobSpec& job = spec(id.job);
+  if (job.checkpoint_s <= 0 || grace_s < job.save_s) {
+    // A second command to stop, without grace, ends a task that saves as well.
+    worker.end_gang_task(attempt, ExitCause::stopped, false);
+    on_task_lost(attempt);
+    return StopResult::gang_stops;
   }
-  if (run.first_halt < 0) {
-    run.first_halt = world_.now();
-    world_.cancel(run.completion);
-    world_.in(fleet_.settings.gang_peer_s, [this, key] {
-      Run& late = runs_[key];
-      if (late.ended || late.told.size() >= fleet_.rules().spec(key.first)->tasks) return;
-      fall_back(key, late);
-      end(key, ExitCause::peers, false);
-    });
+  if (!run->first_stop_at) {
+    run->first_stop_at = world_.now();
+    world_.cancel(run->completion);
+    world_.in(fleet_.settings.gang_peer_s, [this, id] { on_stop_timeout(id); });
   }
-  if (run.told.insert(task).second && run.told.size() >= spec->tasks)
-    world_.in(spec->save_s, [this, key] { save(key); });
-  return true;
+  if (run->stopped.insert(attempt.task).second && run->stopped.size() >= job.tasks)
+    world_.in(job.save_s, [this, id] { save(id); });
+  return StopResult::gang_stops;
+}
+
+void GangRuns::on_stop_timeout(const RunId& id) {
+  Run& run = runs_[id];
+  if (run.has_ended || run.stopped.size() >= spec(id.job).tasks) return;
+  fall_back(id, run);
+  end_tasks(id, ExitCause::peers, false);
 }
 
-void GangRuns::save(const Key& key) {
-  Run& run = runs_[key];
-  if (run.ended) return;
-  run.ended = true;
-  saved_[key.first] = progress(run);
-  end(key, ExitCause::stopped, true);
+void GangRuns::save(const RunId& id) {
+  Run& run = runs_[id];
+  if (run.has_ended) return;
+  run.has_ended = true;
+  saved_progress_s_[id.job] = progress_s(run);
+  end_tasks(id, ExitCause::stopped, true);
 }
 
 }  // namespace damsonport::simulation
--- /dev/null
+++ b/simulation/key_value_store.cpp
@@ -0,0 +1,311 @@
+#include "simulation/key_value_store.hpp"
+
+#include <algorithm>
+
+namespace damsonport::simulation {
+
+namespace {
+constexpr size_t max_kept_changes = 10000;
+constexpr size_t max_transaction_bytes = size_t{64} * 1024;
+constexpr size_t default_list_limit = 1000;
+constexpr double late_from_s = 2;  // bounds of the delay of transactions that are applied late
+constexpr double late_to_s = 12;
+constexpr double lease_tolerance_s = 0.05;
+constexpr std::string_view record_path = "/keys/";
+constexpr std::string_view lease_path = "/grants/";
+
+std::string field_of(const std::map<std::string, std::string>& query, const std::string& name) {
+  auto it = query.find(name);
+  return it == query.end() ? std::string() : it->second;
+}
+
+uint64_t lease_of_write(const Json& write) {
+  return write.contains("permit") ? write["permit"].get<uint64_t>() : 0;
+}
+}  // namespace
+
+KeyValueStore::KeyValueStore(World& world, const std::string& host, const StateLimits& limits)
+    : world_(world),
+      limits_(limits),
+      requests_left_(limits.requests_per_s),
+      writes_left_(limits.writes_per_s) {
+  world_.serve(host, [this](auto& from, Method method, auto& target, auto& body, auto answer) {
+    world_.in(delay_s_ * world_.uniform(0.5, 1.5), [this, from, method, target, body, answer] {
+      handle(from, method, target, body, answer);
+    });
+  });
+}
+
+void KeyValueStore::set_fate(Fate fate, std::string host) {
+  fate_ = fate;
+  fate_host_ = std::move(host);
+}
+
+const Json* KeyValueStore::value(const std::string& key) const {
+  auto it = records_.find(key);
+  return it == records_.end() ? nullptr : &it->second.value;
+}
+
+void KeyValueStore::set_down(bool down) {
+  is_down_ = down;
+  if (down) {
+    for (auto& [id, lease] : leases_) world_.cancel(lease.expiry);
+    return;
+  }
+  for (auto& [id, lease] : leases_) renew_lease(id);
+  answer_watches();
+}
+
+void KeyValueStore::refuse(const std::string& host, bool on) {
+  if (on) {
+    refused_hosts_.insert(host);
+  } else {
+    refused_hosts_.erase(host);
+    answer_watches();
+  }
+}
+
+void KeyValueStore::renew_lease(uint64_t id) {
+  Lease& lease = leases_.at(id);
+  world_.cancel(lease.expiry);
+  if (is_down_) return;
+  lease.expiry = world_.in(lease.duration_s + lease_tolerance_s, [this, id] { end_lease(id); });
+}
+
+void KeyValueStore::end_lease(uint64_t id) {
+  auto it = leases_.find(id);
+  if (it == leases_.end()) return;
+  world_.cancel(it->second.expiry);
+  leases_.erase(it);
+  ++revision_;
+  std::vector<std::string> ended_keys;
+  for (auto& [key, lease] : lease_of_)
+    if (lease == id) ended_keys.push_back(key);
+  for (auto& key : ended_keys) remove(key);
+  answer_watches();
+}
+
+void KeyValueStore::put(const std::string& key, const Json& value, uint64_t lease) {
+  records_[key] = {value, revision_};
+  lease_of_.erase(key);
+  if (lease) lease_of_[key] = lease;
+  changes_.push_back({key, value, revision_});
+  if (on_change) on_change(key, value);
+}
+
+void KeyValueStore::write(const std::string& key, const Json& value) {
+  ++revision_;
+  put(key, value, 0);
+  answer_watches();
+}
+
+void KeyValueStore::remove(const std::string& key) {
+  records_.erase(key);
+  lease_of_.erase(key);
+  changes_.push_back({key, Json(), revision_});
+  if (on_change) on_change(key, Json());
+}
+
+void KeyValueStore::answer_watches() {
+  while (changes_.size() > max_kept_changes) changes_.pop_front();
+  for (auto& watch : watches_)
+    watch.is_answered = watch.is_answered || answer_watch(watch, WatchAnswer::only_with_changes);
+  std::erase_if(watches_, [](auto& watch) { return watch.is_answered; });
+}
+
+Json KeyValueStore::changes_for(const Watch& watch) const {
+  Json changes = Json::array();
+  auto change = std::partition_point(changes_.begin(), changes_.end(),
+                                     [&](const Change& c) { return c.revision <= watch.since; });
+  for (; change != changes_.end(); ++change) {
+    if (!change->key.starts_with(watch.prefix)) continue;
+    if (change->value.is_null()) {
+      changes.push_back({{"remove", change->key}, {"stamp", change->revision}});
+    } else {
+      changes.push_back(
+          {{"set", change->key}, {"data", change->value}, {"stamp", change->revision}});
+    }
+  }
+  return changes;
+}
+
+bool KeyValueStore::answer_watch(const Watch& watch, WatchAnswer when) const {
+  if (is_down_ || refused_hosts_.contains(watch.host)) return false;
+  Json changes = changes_for(watch);
+  if (changes.empty() && when == WatchAnswer::only_with_changes) return false;
+  watch.answer({200, encode({{"ledger", revision_}, {"news", std::move(changes)}})});
+  return true;
+}
+
+bool KeyValueStore::take_request(int writes) {
+  const double passed_s = world_.now() - rate_counted_at_;
+  rate_counted_at_ = world_.now();
+  requests_left_ =
+      std::min(limits_.requests_per_s, requests_left_ + passed_s * limits_.requests_per_s);
+  writes_left_ = std::min(limits_.writes_per_s, writes_left_ + passed_s * limits_.writes_per_s);
+  if (requests_left_ < 1 || writes_left_ < writes) {
+    ++refused_for_rate_;
+    return false;
+  }
+  requests_left_ -= 1;
+  writes_left_ -= writes;
+  return true;
+}
+
+void KeyValueStore::handle(const std::string& from, Method method, const std::string& target,
+                           const std::string& body, const World::Answer& answer) {
+  if (is_down_ || refused_hosts_.contains(from)) return answer({503, {}});
+  const auto path = target.substr(0, target.find('?'));
+  if (path == "/txn") return transact(from, body, answer);
+  if (!take_request(0)) return answer({429, {}});
+  const auto query = query_of(target);
+  if (path == "/watch") return watch(from, query, answer);
+  if (path == "/keys") return answer(list(query));
+  if (path.starts_with(record_path)) return answer(get(path.substr(record_path.size())));
+  if (path == "/grants") return answer(grant_lease(decode_map(body)));
+  if (path.starts_with(lease_path))
+    return answer(change_lease(method, std::stoull(path.substr(lease_path.size()))));
+  answer({400, {}});
+}
+
+HttpReply KeyValueStore::get(const std::string& key) const {
+  auto record = records_.find(key);
+  if (record == records_.end()) return {404, encode({{"ledger", revision_}})};
+  auto lease = lease_of_.find(key);
+  return {200, encode({{"path", key},
+                       {"data", record->second.value},
+                       {"stamp", record->second.revision},
+                       {"permit", lease == lease_of_.end() ? 0 : lease->second}})};
+}
+
+HttpReply KeyValueStore::list(const Query& query) const {
+  const auto prefix = field_of(query, "starts");
+  const auto since = field_of(query, "since");
+  const auto limit_text = field_of(query, "limit");
+  const size_t limit = limit_text.empty() ? default_list_limit : std::stoul(limit_text);
+  Json pairs = Json::array();
+  bool more = false;
+  auto it = since < prefix ? records_.lower_bound(prefix) : records_.upper_bound(since);
+  for (; it != records_.end() && it->first.starts_with(prefix); ++it) {
+    more = pairs.size() >= limit;
+    if (more) break;
+    pairs.push_back(
+        {{"path", it->first}, {"data", it->second.value}, {"stamp", it->second.revision}});
+  }
+  return {200, encode({{"pairs", std::move(pairs)}, {"more", more}, {"ledger", revision_}})};
+}
+
+void KeyValueStore::watch(const std::string& from, const Query& query,
+                          const World::Answer& answer) {
+  const uint64_t since = std::stoull(query.at("since"));
+  const bool misses_changes =
+      changes_.size() >= max_kept_changes && changes_.front().revision > since + 1;
+  if (misses_changes) return answer({410, {}});
+  const Watch watch{++last_watch_, from, field_of(query, "starts"), since, answer};
+  if (answer_watch(watch, WatchAnswer::only_with_changes)) return;
+  watches_.push_back(watch);
+  const double wait_s = std::stod(query.at("block_ms")) / 1000;
+  world_.in(wait_s, [this, id = watch.id] { on_watch_timeout(id); });
+}
+
+void KeyValueStore::on_watch_timeout(uint64_t id) {
+  auto it =
+      std::find_if(watches_.begin(), watches_.end(), [id](auto& watch) { return watch.id == id; });
+  if (it != watches_.end() && answer_watch(*it, WatchAnswer::always)) watches_.erase(it);
+}
+
+HttpReply KeyValueStore::grant_lease(const Json& request) {
+  const uint64_t id = next_lease_++;
+  leases_[id].duration_s = request.value("life_ms", 1000) / 1000.0;
+  renew_lease(id);
+  return {200, encode({{"permit", id}})};
+}
+
+HttpReply KeyValueStore::change_lease(Method method, uint64_t id) {
+  if (!leases_.contains(id)) return {404, {}};
+  if (method == Method::del) {
+    end_lease(id);
+  } else {
+    renew_lease(id);
+  }
+  return {200, encode(Json::object())};
+}
+
+void KeyValueStore::transact(const std::string& from, const std::string& body,
+                             const World::Answer& answer) {
+  const Json transaction = decode_map(body);
+  if (!transaction.is_object()) return answer({400, {}});
+  const int writes =
+      transaction.contains("writes") ? static_cast<int>(transaction["writes"].size()) : 0;
+  if (!take_request(writes)) return answer({429, {}});
+  const bool is_struck = writes > 0 && (fate_host_.empty() || fate_host_ == from);
+  if (is_struck && fate_ == Fate::applied_late) {
+    world_.in(world_.uniform(late_from_s, late_to_s), [this, transaction] { apply(transaction); });
+    return;
+  }
+  auto reply = apply(transaction);
+  if (is_struck && fate_ == Fate::answer_lost) return;
+  answer(std::move(reply));
+}
+
+HttpReply KeyValueStore::refuse_for_size() {
+  ++refused_for_size_;
+  return {400, encode({{"error", "too large"}})};
+}
+
+bool KeyValueStore::exceeds_limits(const Json& transaction, const Json& conditions,
+                                   const Json& writes) const {
+  return static_cast<int>(writes.size()) > limits_.txn_writes ||
+         static_cast<int>(conditions.size()) > limits_.txn_conditions() ||
+         transaction.dump().size() > max_transaction_bytes;
+}
+
+std::optional<HttpReply> KeyValueStore::check_write(const Json& write) {
+  if (!write.contains("set")) return std::nullopt;
+  if (static_cast<double>(write["data"].dump().size()) > limits_.value_bytes())
+    return refuse_for_size();
+  if (write.contains("permit") && !leases_.contains(lease_of_write(write)))
+    return HttpReply{400, encode({{"error", "no such lease"}})};
+  return std::nullopt;
+}
+
+// The protocol leaves open which of several are named: one is enough.
+Json KeyValueStore::failed_conditions(const Json& conditions) const {
+  Json failed = Json::array();
+  for (auto& condition : conditions) {
+    const std::string key = condition.at("path");
+    auto record = records_.find(key);
+    const uint64_t revision = record == records_.end() ? 0 : record->second.revision;
+    if (revision == condition.at("stamp").get<uint64_t>()) continue;
+    failed.push_back(key);
+    break;
+  }
+  return failed;
+}
+
+void KeyValueStore::apply_writes(const Json& writes) {
+  if (!writes.empty()) ++revision_;
+  for (auto& write : writes) {
+    if (write.contains("set")) {
+      put(write["set"], write["data"], lease_of_write(write));
+    } else if (records_.contains(write.at("remove"))) {
+      remove(write.at("remove"));
+    }
+  }
+  answer_watches();
+}
+
+HttpReply KeyValueStore::apply(const Json& transaction) {
+  const Json none = Json::array();
+  const Json& writes = transaction.contains("writes") ? transaction["writes"] : none;
+  const Json& conditions = transaction.contains("if") ? transaction["if"] : none;
+  if (exceeds_limits(transaction, conditions, writes)) return refuse_for_size();
+  for (auto& write : writes)
+    if (auto refusal = check_write(write)) return *refusal;
+  const Json failed = failed_conditions(conditions);
+  if (!failed.empty()) return {409, encode({{"failed", failed}, {"ledger", revision_}})};
+  apply_writes(writes);
+  return {200, encode({{"ledger", revision_}})};
+}
+
+}  // namespace damsonport::simulation
--- a/simulation/replica_checker.cpp
+++ b/simulation/replica_checker.cpp
@@ -25,15 +25,16 @@
     for (auto& [index, part] : other) {
       if (index == task.index || part.until != still_there) continue;
       if (number != attempt)
-        broke_("replica_mixed",
-               fmt::format("{} starts under attempt {} beside {}/{} under attempt {}", task.text(),
-                           attempt, task.job, index, number));
+        on_violation_("replica_mixed",
+                      fmt::format("{} starts under attempt {} beside {}/{} under attempt {}",
+                                  task.text(), attempt, task.job, index, number));
       if (spec.distinct_machines && part.machine == machine)
-        broke_("replica_machines", task.text() + " starts on the machine of another part");
+        on_violation_("replica_machines", task.text() + " starts on the machine of another part");
     }
   if (replica.claimed_attempt >= attempt)
-    broke_("replica_attempt",
-           fmt::format("{} starts under attempt {}, which was ready before", task.text(), attempt));
+    on_violation_(
+        "replica_attempt",
+        fmt::format("{} starts under attempt {}, which was ready before", task.text(), attempt));
 }
 
 void ReplicaChecker::part_starts(const JobSpec& spec, const TaskId& task, uint64_t attempt,
@@ -102,8 +103,9 @@
                           std::all_of(parts.begin(), parts.end(),
                                       [&](auto& entry) { return entry.second.until >= as_of; });
   if (!true_claim)
-    broke_("replica_ready", fmt::format("{} says that {}:{} is ready under attempt {}, as of {} s",
-                                        controller, spec.id, number, attempt, age_s));
+    on_violation_("replica_ready",
+                  fmt::format("{} says that {}:{} is ready under attempt {}, as of {} s",
+                              controller, spec.id, number, attempt, age_s));
 }
 
 uint32_t ReplicaChecker::whole(const JobSpec& spec) const {
--- a/simulation/replica_checker.hpp
+++ b/simulation/replica_checker.hpp
@@ -1,4 +1,4 @@
-// What replicas of several parts did in truth, against what controllers say of them.
+/// Compares what controllers claim of replicas of several parts with what their parts truly did.
 #pragma once
 #include <functional>
 #include <limits>
@@ -14,20 +14,22 @@
 
 class ReplicaChecker {
  public:
-  using Broke = std::function<void(const std::string& rule, const std::string& what)>;
-  ReplicaChecker(World& world, Broke broke) : world_(world), broke_(std::move(broke)) {}
+  using OnViolation = std::function<void(const std::string& rule, const std::string& what)>;
+  ReplicaChecker(World& world, OnViolation on_violation)
+      : world_(world), on_violation_(std::move(on_violation)) {}
 
-  // A part is on its machine from now on, and until it leaves.
+  /// A part is on its machine from now on, until it leaves.
   void part_starts(const JobSpec& spec, const TaskId& task, uint64_t attempt,
                    const std::string& machine);
   void part_leaves(const JobSpec& spec, const TaskId& task, const std::string& machine);
-  // A controller says that the replica is ready under this attempt, by messages up to `age_s` old.
+  /// A controller claims that the replica is ready under this attempt, by heartbeats up to `age_s`
+  /// seconds old.
   void claimed_ready(const std::string& controller, const JobSpec& spec, uint32_t number,
                      uint64_t attempt, double age_s);
 
-  // Rules are not judged: controllers don't know of replicas, and their parts are only measured.
+  /// Checks no rules from now on: for controllers that don't know of replicas.
   void only_measure() { only_measure_ = true; }
-  // Over all replicas that were whole and lost a part, until now.
+  /// Over all replicas that were whole and lost a part, until now.
   struct Figures {
     std::vector<double> whole_again_s;     // until all parts ran under one attempt again
     std::vector<double> complete_again_s;  // until all parts ran, under whatever attempts
@@ -36,12 +38,12 @@
   };
   Figures figures() const;
 
-  // Replicas of the job all of whose parts run under one attempt.
+  /// Replicas of the job all of whose parts run under one attempt.
   uint32_t whole(const JobSpec& spec) const;
-  // Claims that were looked at.
+  /// Claims that were checked.
   int claims() const { return claims_; }
-  // Replicas of the job that were whole again after they had lost a part, and the longest time that
-  // this took.
+  /// Replicas of the job that were whole again after they had lost a part, and the longest time
+  /// that this took, in seconds.
   int repairs(const std::string& job) const;
   double longest_repair_s(const std::string& job) const;
 
@@ -70,7 +72,7 @@
   void measure(Replica& replica, const JobSpec& spec, bool whole);
 
   World& world_;
-  Broke broke_;
+  OnViolation on_violation_;
   std::map<Key, Replica> replicas_;
   std::map<std::string, Repairs> repairs_;
   int claims_ = 0;
--- /dev/null
+++ b/simulation/simulated_fleet.hpp
@@ -0,0 +1,82 @@
+/// All machines of one deployment: their workers, the cloud that they come from, and what the
+/// workers share.
+#pragma once
+#include <map>
+#include <memory>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "config/settings.hpp"
+#include "protocol/messages.hpp"
+#include "simulation/cloud.hpp"
+#include "simulation/gang_runs.hpp"
+#include "simulation/rule_checker.hpp"
+#include "simulation/worker.hpp"
+#include "simulation/world.hpp"
+
+namespace damsonport::simulation {
+
+/// A controller as workers know it.
+struct ControllerAddress {
+  std::string name;
+  std::string host;
+};
+
+/// Owns the workers. Those that are gone stay, so that what they did can be looked at.
+class SimulatedFleet {
+ public:
+  /// `settings` must outlive the fleet. `address_prefix`: of the machines' addresses, with a dot at
+  /// the end.
+  SimulatedFleet(World& world, const Settings& settings, std::vector<MachineType> machine_types,
+                 std::vector<ControllerAddress> controllers, std::string address_prefix = "10.1.");
+
+  /// A machine that is up and sends heartbeats from now on.
+  Worker& add_up(const std::string& type, const std::string& zone, bool spot);
+  /// A machine that the cloud has begun to boot.
+  Worker& add(const std::string& type, const std::string& zone, bool spot);
+  /// Null: there is no such machine any more.
+  Worker* find(const std::string& id);
+  const std::map<std::string, std::unique_ptr<Worker>>& workers() const { return workers_; }
+  const MachineType* find_type(const std::string& name) const;
+
+  Cloud& cloud() { return cloud_; }
+  const Cloud& cloud() const { return cloud_; }
+  RuleChecker& rules() { return rules_; }
+  GangRuns& gangs() { return gangs_; }
+  const GangRuns& gangs() const { return gangs_; }
+
+  // --- what jobs are like
+
+  void set_run_time(const std::string& job, double seconds) { run_time_s_[job] = seconds; }
+  double run_time(const std::string& job) { return run_time_s_[job]; }
+  /// Tasks of these jobs fail on every machine.
+  void set_broken_jobs(std::set<std::string> jobs) { broken_jobs_ = std::move(jobs); }
+  bool is_broken(const std::string& job) const { return broken_jobs_.contains(job); }
+
+  // --- what workers keep outside the machines
+
+  void save_progress(const TaskId& task, double seconds) { saved_progress_s_[task] = seconds; }
+  double saved_progress_s(const TaskId& task) { return saved_progress_s_[task]; }
+  void count_start(const std::string& job) { ++starts_[job]; }
+  /// Starts of the job's tasks that got as far as their image, failed ones too.
+  int starts(const std::string& job) const;
+
+  const Settings& settings;
+  const std::vector<ControllerAddress> controllers;
+
+ private:
+  World& world_;
+  const std::string address_prefix_;
+  RuleChecker rules_;
+  GangRuns gangs_;
+  Cloud cloud_;
+  std::map<std::string, std::unique_ptr<Worker>> workers_;  // by id
+  int last_number_ = 0;                                     // of a machine
+  std::map<std::string, double> run_time_s_;                // by job
+  std::set<std::string> broken_jobs_;
+  std::map<TaskId, double> saved_progress_s_;
+  std::map<std::string, int> starts_;  // by job
+};
+
+}  // namespace damsonport::simulation
--- a/simulation/submission.hpp
+++ b/simulation/submission.hpp
@@ -1,10 +1,11 @@
-// What a user sends to submit a job.
+/// The message that a user sends to submit a job.
 #pragma once
 #include "protocol/messages.hpp"
 
 namespace damsonport::simulation {
 
-// A job's record leaves out what is nothing; a user's message may not.
+/// The submission of this job, with all the fields that the protocol demands of a user: unlike the
+/// job's record, it may not leave out those that are zero.
 Json submission_of(const JobSpec& spec);
 
 }  // namespace damsonport::simulation
--- a/simulation/virtual_controller.hpp
+++ b/simulation/virtual_controller.hpp
@@ -1,4 +1,4 @@
-// A whole controller on virtual time, which can be killed and started again.
+/// A whole controller on virtual time, which can crash and be started again.
 #pragma once
 #include <memory>
 #include <optional>
@@ -6,10 +6,11 @@
 #include <vector>
 
 #include "coordination/controller.hpp"
-#include "simulation/world.hpp"
+#include "simulation/virtual_network.hpp"
 
 namespace damsonport::simulation {
 
+/// Owns one controller at a time with its loop and network, and what is left of crashed ones.
 class VirtualController {
  public:
   VirtualController(World& world, VirtualNetwork::Streams& streams, Settings settings,
@@ -19,25 +20,26 @@
   VirtualController& operator=(const VirtualController&) = delete;
 
   void start();
-  // The process ends at once: nothing more of it reaches the world. It is back after so long.
+  /// The process ends at once: nothing more of it reaches the world. It starts again after `for_s`.
   void crash(double for_s);
   bool running() const { return controller_ != nullptr; }
-  // The process stands still while its clocks run on.
+  /// The process stands still while its clocks run on.
   void stall(double seconds) {
     if (loop_) loop_->stall(seconds);
   }
 
-  // Of the process that runs, on its own clock: what it says of replicas of several parts.
+  /// What the controller claims of a replica of several parts.
   struct ReplicaClaim {
     replicas::ReplicaStatus status;
-    double age_s;  // of what it rests on
+    double age_s;  // of the heartbeats that the claim rests on, by the controller's clock
   };
+  /// Empty while the process is down or stands still.
   std::vector<ReplicaClaim> replica_claims();
 
   const std::string& name() const { return settings_.controller_name; }
   const std::string& host() const { return settings_.listen.host; }
   const std::string& zone() const { return settings_.zone; }
-  // In force from the next start on.
+  /// Changes are in force from the next start on.
   Settings& settings() { return settings_; }
   std::optional<RegionSettings>& regions() { return regions_; }
 
@@ -53,7 +55,7 @@
   std::optional<RegionSettings> regions_;
   double clock_rate_;
   std::vector<std::unique_ptr<Process>> processes_;
-  // Routines of ended processes are told to stop, and what is left of them is kept aside.
+  // Coroutines of ended processes are told to stop; the objects that they refer to stay alive.
   std::vector<std::unique_ptr<VirtualLoop>> ended_loops_;
   std::vector<std::unique_ptr<VirtualNetwork>> ended_networks_;
   std::vector<std::unique_ptr<Controller>> ended_controllers_;
--- /dev/null
+++ b/simulation/virtual_network.hpp
@@ -0,0 +1,66 @@
+/// One controller's clocks and sockets in the virtual world: the event loop and the network that a
+/// controller gets in place of the real ones.
+#pragma once
+#include <functional>
+#include <map>
+#include <memory>
+#include <string>
+
+#include "simulation/world.hpp"
+#include "transport/network.hpp"
+
+namespace damsonport::simulation {
+
+/// The event loop of one controller. Its steady clock runs at `rate`, seconds of its own in a
+/// second of the world; its time of day is off by `wall_off` seconds.
+class VirtualLoop : public Loop {
+ public:
+  VirtualLoop(World& world, std::string name, std::seed_seq&& seed, double rate, double wall_off)
+      : Loop(seed), world_(world), name_(std::move(name)), rate_(rate), wall_off_(wall_off) {}
+  double now() const override { return 1000 + world_.now() * rate_; }
+  double wall() const override { return 1.7e9 + world_.now() + wall_off_; }
+  std::unique_ptr<Timer> timer(Timer::Fire fire, void* argument) override;
+  double rate() const { return rate_; }
+  World& world() { return world_; }
+  /// Names this controller in the log lines that follow.
+  void enter() const { world_.acting = name_; }
+  /// The process stands still while its clocks run on.
+  void stall(double seconds) { stalled_until_ = world_.now() + seconds; }
+  bool stalled() const { return world_.now() < stalled_until_; }
+  double stalled_until() const { return stalled_until_; }
+  /// Calls `action` at once, or when the process goes on, in the order of the calls.
+  void when_awake(std::function<void()> action);
+
+ private:
+  void ended() override {}
+  World& world_;
+  std::string name_;
+  double rate_;
+  double wall_off_;
+  double stalled_until_ = 0;
+};
+
+/// One controller's sockets. After end() nothing of its process reaches the world any more.
+class VirtualNetwork : public Network {
+ public:
+  /// Listeners for streams between controllers, by their address; shared by all controllers.
+  using Streams = std::map<std::string, StreamListener::OnBytes>;
+  VirtualNetwork(VirtualLoop& loop, std::string host, Streams& streams)
+      : loop_(loop), host_(std::move(host)), streams_(streams) {}
+  ~VirtualNetwork() override { end(); }
+  void end();
+  std::unique_ptr<HttpClient> client() override;
+  std::unique_ptr<HttpServer> server(size_t max_body, size_t max_connections, double idle_s,
+                                     HttpServer::Handler handler) override;
+  std::unique_ptr<StreamLink> link(const Endpoint& to) override;
+  std::unique_ptr<StreamListener> listener(const Endpoint& at, size_t max_streams,
+                                           StreamListener::OnBytes on_bytes) override;
+
+ private:
+  VirtualLoop& loop_;
+  std::string host_;
+  Streams& streams_;
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+};
+
+}  // namespace damsonport::simulation
--- /dev/null
+++ b/simulation/worker.cpp
@@ -0,0 +1,201 @@
+#include "simulation/worker.hpp"
+
+#include <algorithm>
+
+#include "simulation/simulated_fleet.hpp"
+
+namespace damsonport::simulation {
+
+namespace {
+constexpr double answer_timeout_s = 4;
+constexpr double next_controller_after_s = 1;
+constexpr double least_heartbeat_gap_s = 0.5;
+// Names of the protocol, in the order of TaskState and ExitCause.
+constexpr const char* state_names[] = {"fetching", "running", "flushing", "exited", "waiting"};
+constexpr const char* cause_names[] = {"",     "done",    "stopped", "error", "no_room",
+                                       "busy", "no_such", "peers",   "alone"};
+}  // namespace
+
+Worker::Worker(World& world, SimulatedFleet& fleet, const MachineInfo& info)
+    : id(info.id),
+      address(info.address),
+      host(info.address.substr(0, info.address.find(':'))),
+      type(info.type),
+      zone(info.zone),
+      spot(info.spot),
+      world_(world),
+      fleet_(fleet) {}
+
+void Worker::begin() {
+  lease_begun_at_ = world_.now();
+  controller_ = world_.random64() % fleet_.controllers.size();
+  world_.serve(host, [this](auto&, Method method, auto& target, auto& body, auto answer) {
+    if (!is_hung()) return serve(method, target, body, answer);
+    // Carried out when it goes on.
+    world_.at(hung_until_, [this, method, target, body, answer] {
+      if (!gone) serve(method, target, body, answer);
+    });
+  });
+  restart_lease_timer();
+  schedule_heartbeat(world_.uniform(0, 0.2));
+}
+
+void Worker::vanish() {
+  leave_gangs();
+  gone = true;
+  world_.vanish(host);
+  drop_tasks();
+  world_.cancel(lease_end_);
+  world_.cancel(next_heartbeat_);
+}
+
+void Worker::hang(double seconds) {
+  hung_until_ = world_.now() + seconds;
+  leave_gangs();
+  // What was to happen meanwhile happens that much later.
+  for (auto& [attempt, task] : tasks_) {
+    if (!task.has_timer) continue;
+    clear_timer(task);
+    task.progress_s += world_.now() - task.since;
+    world_.at(hung_until_, [this, attempt = attempt, state = task.report.state] {
+      resume_after_hang(attempt, state);
+    });
+  }
+  world_.cancel(next_heartbeat_);
+  // Whether the lease has ended is looked at before the next heartbeat.
+  world_.cancel(lease_end_);
+  world_.at(hung_until_, [this] {
+    if (gone) return;
+    restart_lease_timer();
+    awaits_answer_ = false;
+    schedule_heartbeat(0.01);
+  });
+}
+
+Json Worker::task_reports() const {
+  Json reports = Json::array();
+  for (auto& [attempt, task] : tasks_) {
+    Json report = {{"hand", attempt.task.text()},
+                   {"launch", attempt.number},
+                   {"status", state_names[static_cast<size_t>(task.report.state)]}};
+    if (task.report.state == TaskState::exited) {
+      report["cause"] = cause_names[static_cast<size_t>(task.report.cause)];
+      if (task.report.saved) report["kept"] = true;
+    }
+    reports.push_back(std::move(report));
+  }
+  return reports;
+}
+
+Json Worker::heartbeat() {
+  return {{"vessel", id},           {"address", address},     {"hull", type},
+          {"dock", zone},           {"tender", spot},         {"watch", agent_epoch_},
+          {"tally", ++sequence_},   {"helm", fencing_token_}, {"recall_s", nullptr},
+          {"hands", task_reports()}};
+}
+
+void Worker::schedule_heartbeat(double seconds) {
+  world_.cancel(next_heartbeat_);
+  next_heartbeat_ = world_.in(seconds, [this] { send_heartbeat(); });
+}
+
+void Worker::on_change() {
+  if (awaits_answer_ || is_hung()) return;
+  schedule_heartbeat(std::max(0.001, last_heartbeat_at_ + least_heartbeat_gap_s - world_.now()));
+}
+
+std::string Worker::connection() const {
+  return host + "#" + std::to_string(controller_) + "." + std::to_string(connection_);
+}
+
+void Worker::send_heartbeat() {
+  if (gone || is_hung() || awaits_answer_) return;
+  awaits_answer_ = true;
+  const uint64_t number = ++heartbeat_number_;
+  const double sent_at = world_.now();
+  last_heartbeat_at_ = sent_at;
+  const uint64_t agent_epoch = agent_epoch_;
+  const auto timeout = world_.in(answer_timeout_s, [this, number] {
+    if (gone || number != heartbeat_number_ || !awaits_answer_) return;
+    on_heartbeat_answer(0, Json(), agent_epoch_, 0);
+  });
+  auto body = encode(heartbeat());
+  if (mute) return;
+  world_.ask(connection(), fleet_.controllers[controller_].host, Method::post, "/hello",
+             std::move(body),
+             [this, number, agent_epoch, sent_at, timeout](const HttpReply& reply) {
+               if (gone || deaf || is_hung() || number != heartbeat_number_ || !awaits_answer_)
+                 return;
+               world_.cancel(timeout);
+               on_heartbeat_answer(reply.status, decode_map(reply.body), agent_epoch, sent_at);
+             });
+}
+
+void Worker::on_heartbeat_answer(int status, const Json& body, uint64_t agent_epoch,
+                                 double sent_at) {
+  awaits_answer_ = false;
+  if (status == 0) ++connection_;  // closed: a late answer on it is not read any more
+  double next_s = fleet_.settings.heartbeat_interval_s * world_.uniform(0.75, 1.25);
+  if (status == 200) {
+    on_accepted_heartbeat(body, agent_epoch, sent_at);
+  } else {
+    next_s = next_controller_after(status, body);
+  }
+  schedule_heartbeat(next_s);
+}
+
+void Worker::on_accepted_heartbeat(const Json& body, uint64_t agent_epoch, double sent_at) {
+  if (!body.is_object() || !body.contains("helm")) return;
+  const uint64_t fencing_token = body["helm"].get<uint64_t>();
+  // An answer that is dropped keeps the worker at that controller all the same.
+  if (fencing_token < fencing_token_ || agent_epoch != agent_epoch_) return;
+  learn_fencing_token(fencing_token);
+  lease_begun_at_ = sent_at;
+  restart_lease_timer();
+  execute(body.value("orders", Json::array()));
+}
+
+double Worker::next_controller_after(int status, const Json& body) {
+  const auto& controllers = fleet_.controllers;
+  if (status == 421 && body.is_object() && body.contains("harbour")) {
+    const auto leader = std::find_if(controllers.begin(), controllers.end(),
+                                     [&](auto& one) { return one.name == body["harbour"]; });
+    const auto index = static_cast<size_t>(leader - controllers.begin());
+    if (leader != controllers.end() && index != controller_) {
+      controller_ = index;
+      return world_.uniform(0, 0.5);
+    }
+  }
+  controller_ = (controller_ + 1) % controllers.size();
+  return next_controller_after_s;
+}
+
+void Worker::learn_fencing_token(uint64_t fencing_token) {
+  if (fencing_token <= fencing_token_) return;
+  fencing_token_ = fencing_token;
+  on_change();
+}
+
+void Worker::restart_lease_timer() {
+  world_.cancel(lease_end_);
+  const double ends_at = lease_begun_at_ + fleet_.settings.lease_s;
+  if (world_.now() >= ends_at) return lose_lease();
+  lease_end_ = world_.at(ends_at, [this] { lose_lease(); });
+}
+
+void Worker::lose_lease() {
+  if (gone || is_hung()) return;
+  leave_gangs();
+  drop_tasks();
+  ++agent_epoch_;
+  lease_begun_at_ = world_.now();
+  restart_lease_timer();
+  on_change();
+}
+
+void Worker::repeat_kept_heartbeat(const std::string& controller_host) {
+  world_.ask(host, controller_host, Method::post, "/hello", kept_heartbeat_,
+             [](const HttpReply&) {});
+}
+
+}  // namespace damsonport::simulation
--- a/simulation/world.cpp
+++ b/simulation/world.cpp
@@ -1,215 +1,40 @@
 #include "simulation/world.hpp"
 
+#include <algorithm>
+
 namespace damsonport::simulation {
 
 namespace {
-constexpr double least_delay_s = 0.0005, most_delay_s = 0.002;
-
-class VirtualTimer : public Timer {
- public:
-  VirtualTimer(VirtualLoop& loop, Fire fire, void* argument)
-      : loop_(loop), fire_(fire), argument_(argument) {}
-  ~VirtualTimer() override { disarm(); }
-  void arm(double seconds) override {
-    disarm();
-    schedule(loop_.world().now() + std::max(seconds, 0.0) / loop_.rate());
-  }
-  void disarm() override {
-    if (armed_) loop_.world().cancel(key_);
-    armed_ = false;
-  }
-
- private:
-  void schedule(double at) {
-    key_ = loop_.world().at(at, [this] { due(); });
-    armed_ = true;
-  }
-  void due() {
-    armed_ = false;
-    // Stays one that can be disarmed until the process goes on.
-    if (loop_.stalled()) return schedule(loop_.stalled_until());
-    loop_.enter();
-    fire_(argument_);  // may destroy the timer
-  }
-  VirtualLoop& loop_;
-  Fire fire_;
-  void* argument_;
-  World::Key key_;
-  bool armed_ = false;
-};
-
-class VirtualClient : public HttpClient {
- public:
-  VirtualClient(VirtualLoop& loop, std::string host, std::shared_ptr<bool> alive)
-      : loop_(loop), host_(std::move(host)), alive_(std::move(alive)) {}
-
-  Task<HttpReply> request(Endpoint to, Method method, std::string target, std::string body,
-                          double timeout_s) override {
-    auto exchange = std::make_shared<Exchange>();
-    auto& world = loop_.world();
-    if (!*alive_) {
-      timeout_s = 0;
-    } else {
-      world.ask(host_, to.host, method, std::move(target), std::move(body),
-                [exchange, &loop = loop_, alive = alive_](HttpReply reply) {
-                  if (!*alive) return;
-                  loop.when_awake([exchange, &loop, alive, reply = std::move(reply)] {
-                    if (!*alive || exchange->done) return;
-                    loop.enter();
-                    exchange->reply = reply;
-                    exchange->done = true;
-                    loop.world().cancel(exchange->expiry);
-                    if (exchange->waiter) exchange->waiter.resume();
-                  });
-                });
-    }
-    Wait wait{loop_, exchange, timeout_s};
-    co_await wait;
-    co_return std::move(exchange->reply);
-  }
-  void trim(double) override {}
-  void bound_idle(std::function<size_t()>) override {}
-  size_t in_use() const override { return 0; }
-  size_t idle() const override { return 0; }
-
- private:
-  struct Exchange {
-    std::coroutine_handle<> waiter;
-    HttpReply reply;
-    bool done = false;
-    World::Key expiry;
-  };
-  struct Wait {
-    VirtualLoop& loop;
-    std::shared_ptr<Exchange> exchange;
-    double timeout_s;
-    bool await_ready() const { return false; }
-    void await_suspend(std::coroutine_handle<> h) {
-      exchange->waiter = h;
-      expire_at(loop, exchange, loop.world().now() + timeout_s / loop.rate());
-    }
-    void await_resume() const {}
-    static void expire_at(VirtualLoop& loop, const std::shared_ptr<Exchange>& x, double at) {
-      x->expiry = loop.world().at(at, [x, &loop] {
-        if (x->done) return;
-        if (loop.stalled()) return expire_at(loop, x, loop.stalled_until());
-        loop.enter();
-        x->done = true;
-        x->waiter.resume();
-      });
-    }
-  };
-  VirtualLoop& loop_;
-  std::string host_;
-  std::shared_ptr<bool> alive_;
-};
-
-class VirtualServer : public HttpServer {
- public:
-  VirtualServer(VirtualLoop& loop, std::string host, size_t max_body, Handler handler,
-                std::shared_ptr<bool> alive)
-      : loop_(loop),
-        host_(std::move(host)),
-        max_body_(max_body),
-        handler_(std::move(handler)),
-        alive_(std::move(alive)) {}
-  bool bind(const Endpoint&) override {
-    loop_.world().serve(
-        host_, [this](auto& from, Method method, auto& target, auto& body, auto answer) {
-          if (body.size() > max_body_) return answer({413, {}});
-          const auto question = target.find('?');
-          HttpRequest request{
-              method, target.substr(0, question),
-              question == std::string::npos ? std::string() : target.substr(question + 1), body,
-              previous_answer(from)};
-          loop_.when_awake([this, alive = alive_, from, request, answer = std::move(answer)] {
-            if (!*alive) return;
-            loop_.enter();
-            loop_.spawn("request", handle(from, request, answer, alive));
-          });
-        });
-    return true;
-  }
-  uint16_t port() const override { return 0; }
-  void tidy() override {}
-  size_t open() const override { return 0; }
-
- private:
-  // Of the connection that `from` names; 0: it names none, or none was given.
-  double previous_answer(const std::string& from) const {
-    auto it = answered_at_.find(from);
-    return it == answered_at_.end() ? 0 : it->second;
-  }
-  Task<void> handle(std::string from, HttpRequest request, World::Answer answer,
-                    std::shared_ptr<bool> alive) {
-    auto response = co_await handler_(std::move(request));
-    if (!*alive) co_return;
-    if (from.find('#') != std::string::npos) answered_at_[from] = loop_.now();
-    answer({response.status, std::move(response.body)});
-  }
-  std::map<std::string, double> answered_at_;  // by connection
-  VirtualLoop& loop_;
-  std::string host_;
-  size_t max_body_;
-  Handler handler_;
-  std::shared_ptr<bool> alive_;
-};
-
-class VirtualLink : public StreamLink {
- public:
-  VirtualLink(VirtualLoop& loop, std::string from, Endpoint to, VirtualNetwork::Streams& streams,
-              std::shared_ptr<bool> alive)
-      : loop_(loop),
-        from_(std::move(from)),
-        to_(std::move(to)),
-        streams_(streams),
-        alive_(std::move(alive)) {}
-  void send(const std::string& bytes) override {
-    if (!*alive_) return;
-    loop_.world().report_traffic(from_, to_.text(), "stream", bytes);
-    loop_.world().send(from_, to_.host, [&streams = streams_, to = to_, bytes] {
-      if (auto it = streams.find(to.text()); it != streams.end()) it->second(bytes);
-    });
-  }
-
- private:
-  VirtualLoop& loop_;
-  std::string from_;
-  Endpoint to_;
-  VirtualNetwork::Streams& streams_;
-  std::shared_ptr<bool> alive_;
-};
-
-class VirtualListener : public StreamListener {
- public:
-  bool listening() const override { return true; }
-};
+constexpr double least_delay_s = 0.0005;  // of a message
+constexpr double most_delay_s = 0.002;
+constexpr double held_message_gap_s = 1e-5;
 }  // namespace
 
 std::map<std::string, std::string> query_of(const std::string& target) {
-  std::map<std::string, std::string> out;
-  auto at = target.find('?');
-  while (at != std::string::npos) {
-    auto end = target.find('&', at + 1);
-    auto word = target.substr(at + 1, end == std::string::npos ? end : end - at - 1);
-    auto eq = word.find('=');
-    out[word.substr(0, eq)] = eq == std::string::npos ? "" : word.substr(eq + 1);
-    at = end;
+  std::map<std::string, std::string> fields;
+  auto separator = target.find('?');
+  while (separator != std::string::npos) {
+    const auto end = target.find('&', separator + 1);
+    const auto word =
+        target.substr(separator + 1, end == std::string::npos ? end : end - separator - 1);
+    const auto equals = word.find('=');
+    fields[word.substr(0, equals)] = equals == std::string::npos ? "" : word.substr(equals + 1);
+    separator = end;
   }
-  return out;
+  return fields;
 }
 
-World::Key World::at(double time, std::function<void()> what) {
-  Key key{std::max(time, now_), ++sequence_};
-  events_.emplace(key, std::move(what));
-  return key;
+World::EventId World::at(double time, std::function<void()> event) {
+  const EventId id{std::max(time, now_), ++last_sequence_};
+  events_.emplace(id, std::move(event));
+  return id;
 }
 
 void World::run_until(double time) {
-  while (!events_.empty() && events_.begin()->first.first <= time) {
-    auto node = events_.extract(events_.begin());
-    now_ = node.key().first;
-    node.mapped()();
+  while (!events_.empty() && events_.begin()->first.time <= time) {
+    auto event = events_.extract(events_.begin());
+    now_ = event.key().time;
+    event.mapped()();
   }
   now_ = time;
 }
@@ -221,15 +46,18 @@
 void World::heal(const std::string& from, const std::string& to) {
   auto it = cuts_.find({from, to});
   if (it == cuts_.end()) return;
-  auto held = std::move(it->second.messages);
+  auto held = std::move(it->second.held_messages);
   cuts_.erase(it);
-  double delay = most_delay_s;
-  for (auto& message : held) in(delay += 1e-5, std::move(message));
+  double delay_s = most_delay_s;
+  for (auto& message : held) {
+    delay_s += held_message_gap_s;
+    in(delay_s, std::move(message));
+  }
 }
 
 void World::send(const std::string& from, const std::string& to, std::function<void()> arrive) {
   if (auto it = cuts_.find({from, to}); it != cuts_.end()) {
-    if (it->second.how == Cut::hold) it->second.messages.push_back(std::move(arrive));
+    if (it->second.how == Cut::hold) it->second.held_messages.push_back(std::move(arrive));
     return;
   }
   in(uniform(least_delay_s, most_delay_s), std::move(arrive));
@@ -241,55 +69,14 @@
   report_traffic(from, to, std::to_string(static_cast<int>(method)) + " " + target, body);
   send(host, to,
        [this, from, host, to, method, target = std::move(target), body = std::move(body), answer] {
-         Answer back = [this, host, to, answer](const HttpReply& reply) {
+         Answer respond = [this, host, to, answer](const HttpReply& reply) {
            report_traffic(to, host, std::to_string(reply.status), reply.body);
            send(to, host, [answer, reply] { answer(reply); });
          };
-         auto it = servers_.find(to);
-         if (it == servers_.end()) return back({0, {}});
-         it->second(from, method, target, body, back);
+         auto server = servers_.find(to);
+         if (server == servers_.end()) return respond({0, {}});
+         server->second(from, method, target, body, respond);
        });
 }
 
-void VirtualLoop::when_awake(std::function<void()> what) {
-  if (!stalled()) return what();
-  world_.at(stalled_until_, [this, what = std::move(what)] { when_awake(what); });
-}
-
-std::unique_ptr<Timer> VirtualLoop::timer(Timer::Fire fire, void* argument) {
-  return std::make_unique<VirtualTimer>(*this, fire, argument);
-}
-
-void VirtualNetwork::end() {
-  if (!*alive_) return;
-  *alive_ = false;
-  loop_.world().vanish(host_);
-  std::erase_if(streams_, [&](auto& stream) { return stream.first.starts_with(host_ + ":"); });
-}
-
-std::unique_ptr<HttpClient> VirtualNetwork::client() {
-  return std::make_unique<VirtualClient>(loop_, host_, alive_);
-}
-
-std::unique_ptr<HttpServer> VirtualNetwork::server(size_t max_body, size_t, double,
-                                                   HttpServer::Handler handler) {
-  return std::make_unique<VirtualServer>(loop_, host_, max_body, std::move(handler), alive_);
-}
-
-std::unique_ptr<StreamLink> VirtualNetwork::link(const Endpoint& to) {
-  return std::make_unique<VirtualLink>(loop_, host_, to, streams_, alive_);
-}
-
-std::unique_ptr<StreamListener> VirtualNetwork::listener(const Endpoint& at, size_t,
-                                                         StreamListener::OnBytes on_bytes) {
-  streams_[at.text()] = [&loop = loop_, alive = alive_,
-                         on_bytes = std::move(on_bytes)](std::string_view bytes) {
-    loop.when_awake([alive, on_bytes, bytes = std::string(bytes)] {
-      if (*alive) on_bytes(bytes);
-    });
-    return static_cast<long>(bytes.size());
-  };
-  return std::make_unique<VirtualListener>();
-}
-
 }  // namespace damsonport::simulation
--- a/simulation/world.hpp
+++ b/simulation/world.hpp
@@ -1,61 +1,91 @@
-// Virtual time and a virtual network: whole controllers run in one process, the same way each time.
+/// Virtual time, and a virtual network between hosts: whole controllers and stand-ins run in one
+/// thread, the same way each time for the same seed.
 #pragma once
 #include <deque>
 #include <functional>
 #include <limits>
 #include <map>
-#include <memory>
-#include <set>
+#include <random>
 #include <string>
+#include <string_view>
 
 #include "transport/network.hpp"
 
 namespace damsonport::simulation {
 
-// The fields of a request's query.
+/// The fields of a request's query, by name.
 std::map<std::string, std::string> query_of(const std::string& target);
 
-// What happens next happens at its time, and in the order it was asked for.
+/// A queue of events and a network. Events happen at their time, and those of one time in the order
+/// in which they were added. All draws come from one generator, so their order decides the run.
 class World {
  public:
-  using Key = std::pair<double, uint64_t>;
+  /// Names an event that may be cancelled. A default one names none.
+  struct EventId {
+    double time = 0;
+    uint64_t sequence = 0;
+    auto operator<=>(const EventId&) const = default;
+  };
+
   explicit World(uint64_t seed) : random_(seed) {}
   virtual ~World() = default;
   World(const World&) = delete;
   World& operator=(const World&) = delete;
+
+  // --- time and events
+
+  /// Seconds since the beginning.
   double now() const { return now_; }
-  std::string acting;  // the controller at work just now
-  Key at(double time, std::function<void()> what);
-  Key in(double seconds, std::function<void()> what) { return at(now_ + seconds, std::move(what)); }
-  void cancel(const Key& key) { events_.erase(key); }
+  /// Adds an event at a time, or now if that is past, or after so many seconds.
+  EventId at(double time, std::function<void()> event);
+  EventId in(double seconds, std::function<void()> event) {
+    return at(now_ + seconds, std::move(event));
+  }
+  /// Removes the event, if it has not happened yet.
+  void cancel(const EventId& id) { events_.erase(id); }
+  /// Plays all events up to this time.
   void run_until(double time);
-  double uniform(double lo, double hi) {
-    return std::uniform_real_distribution<double>(lo, hi)(random_);
+  /// The controller that runs just now, for the log.
+  std::string acting;
+
+  // --- random draws
+
+  double uniform(double low, double high) {
+    return std::uniform_real_distribution<double>(low, high)(random_);
   }
   uint64_t random64() { return random_(); }
 
-  // --- the network between hosts, named by their address
-  static std::string host_of(const std::string& from) { return from.substr(0, from.find('#')); }
+  // --- the network between hosts, which are named by their address
+
   using Answer = std::function<void(HttpReply)>;
   using Serve =
       std::function<void(const std::string& from, Method method, const std::string& target,
                          const std::string& body, Answer answer)>;
-  enum class Cut : uint8_t { hold, drop };
+  /// The host of a name that may have a connection behind it, "10.1.0.2#7".
+  static std::string host_of(const std::string& from) { return from.substr(0, from.find('#')); }
+  /// Requests to the host go to this handler from now on.
   virtual void serve(const std::string& host, Serve handler) {
     servers_[host] = std::move(handler);
   }
+  /// The host refuses connections from now on.
   virtual void vanish(const std::string& host) { servers_.erase(host); }
-  // One way; what is held arrives in order when the cut ends.
+  /// Sends a request and brings back its response; both may be lost. A host that doesn't serve
+  /// refuses: status 0. `from` may name a connection behind the host, so that the server can tell
+  /// it from others.
+  virtual void ask(const std::string& from, const std::string& to, Method method,
+                   std::string target, std::string body, const Answer& answer);
+  /// Sends a one-way message: `arrive` is called at the other end.
+  void send(const std::string& from, const std::string& to, std::function<void()> arrive);
+
+  /// What becomes of messages in a cut: they arrive in order when it ends, or never.
+  enum class Cut : uint8_t { hold, drop };
+  /// Cuts one direction between two hosts.
   void cut(const std::string& from, const std::string& to, Cut how);
   void heal(const std::string& from, const std::string& to);
   bool is_cut(const std::string& from, const std::string& to) const {
     return cuts_.contains({from, to});
   }
-  void send(const std::string& from, const std::string& to, std::function<void()> arrive);
-  // Both messages of an exchange; a host that isn't there refuses. `from` may name a connection
-  // behind the host, "10.1.0.2#7": a server tells it from others.
-  virtual void ask(const std::string& from, const std::string& to, Method method,
-                   std::string target, std::string body, const Answer& answer);
+
   /// Called for every request, response and stream message at the moment it is sent, with its
   /// bytes.
   using TrafficObserver = std::function<void(const std::string& from, const std::string& to,
@@ -67,73 +97,28 @@
   }
 
  protected:
-  // When something happens next; nothing: infinite.
+  /// The time of the next event; infinite: there is none.
   double next_event() const {
-    return events_.empty() ? std::numeric_limits<double>::infinity() : events_.begin()->first.first;
+    return events_.empty() ? std::numeric_limits<double>::infinity() : events_.begin()->first.time;
   }
 
  private:
+  struct Direction {
+    std::string from;
+    std::string to;
+    auto operator<=>(const Direction&) const = default;
+  };
+  struct CutState {
+    Cut how = Cut::hold;
+    std::deque<std::function<void()>> held_messages;
+  };
   double now_ = 0;
-  uint64_t sequence_ = 0;
-  std::map<Key, std::function<void()>> events_;
+  uint64_t last_sequence_ = 0;
+  std::map<EventId, std::function<void()>> events_;
   std::mt19937_64 random_;
-  std::map<std::string, Serve> servers_;
-  struct Held {
-    Cut how;
-    std::deque<std::function<void()>> messages;
-  };
-  std::map<std::pair<std::string, std::string>, Held> cuts_;
+  std::map<std::string, Serve> servers_;  // by host
+  std::map<Direction, CutState> cuts_;
   TrafficObserver traffic_observer_;
 };
 
-// One controller's clocks; its steady clock runs at `rate`, its time of day is off by `wall_off`.
-class VirtualLoop : public Loop {
- public:
-  VirtualLoop(World& world, std::string name, std::seed_seq&& seed, double rate, double wall_off)
-      : Loop(seed), world_(world), name_(std::move(name)), rate_(rate), wall_off_(wall_off) {}
-  double now() const override { return 1000 + world_.now() * rate_; }
-  double wall() const override { return 1.7e9 + world_.now() + wall_off_; }
-  std::unique_ptr<Timer> timer(Timer::Fire fire, void* argument) override;
-  double rate() const { return rate_; }
-  World& world() { return world_; }
-  // Whatever runs next is this controller's doing, for the log.
-  void enter() const { world_.acting = name_; }
-  // The process stands still while its clocks run on.
-  void stall(double seconds) { stalled_until_ = world_.now() + seconds; }
-  bool stalled() const { return world_.now() < stalled_until_; }
-  double stalled_until() const { return stalled_until_; }
-  // At once, or when the process goes on, in the order of the calls.
-  void when_awake(std::function<void()> what);
-
- private:
-  void ended() override {}
-  World& world_;
-  std::string name_;
-  double rate_, wall_off_;
-  double stalled_until_ = 0;
-};
-
-// One controller's sockets. When its process ends nothing of it reaches the world any more.
-class VirtualNetwork : public Network {
- public:
-  // Streams between controllers, by the listener's address.
-  using Streams = std::map<std::string, StreamListener::OnBytes>;
-  VirtualNetwork(VirtualLoop& loop, std::string host, Streams& streams)
-      : loop_(loop), host_(std::move(host)), streams_(streams) {}
-  ~VirtualNetwork() override { end(); }
-  void end();
-  std::unique_ptr<HttpClient> client() override;
-  std::unique_ptr<HttpServer> server(size_t max_body, size_t max_connections, double idle_s,
-                                     HttpServer::Handler handler) override;
-  std::unique_ptr<StreamLink> link(const Endpoint& to) override;
-  std::unique_ptr<StreamListener> listener(const Endpoint& at, size_t max_streams,
-                                           StreamListener::OnBytes on_bytes) override;
-
- private:
-  VirtualLoop& loop_;
-  std::string host_;
-  Streams& streams_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-};
-
 }  // namespace damsonport::simulation
--- a/tests/cancellations_test.cpp
+++ b/tests/cancellations_test.cpp
@@ -4,7 +4,7 @@
 #include "coordination/leadership/cancellation_gossip.hpp"
 #include "coordination/leadership/peer_network.hpp"
 #include "coordination/leadership/renewal_policy.hpp"
-#include "simulation/world.hpp"
+#include "simulation/virtual_network.hpp"
 
 namespace damsonport {
 namespace {
--- a/tests/regions/region_cluster.cpp
+++ b/tests/regions/region_cluster.cpp
@@ -68,16 +68,17 @@
   s.state = {state_host(index), 2379};
   s.cloud = {cloud_host(index), 8443};
   s.teams = {plan_.team};
-  std::vector<std::pair<std::string, std::string>> nodes;
+  std::vector<ControllerAddress> nodes;
   for (size_t n = 0; n < plan_.controllers; ++n)
-    nodes.emplace_back(controller_name(index, n), controller_host(index, n));
-  region.state = std::make_unique<StateService>(world_, s.state.host, limits);
+    nodes.push_back({controller_name(index, n), controller_host(index, n)});
+  region.state = std::make_unique<KeyValueStore>(world_, s.state.host, limits);
   region.state->on_change = [this, index](const std::string& key, const Json& value) {
     if (key == keys::quota(plan_.team.name)) budget_changed(index, value);
   };
-  region.fleet = std::make_unique<Fleet>(world_, s, std::vector<MachineType>{machine_type(plan_)},
-                                         nodes, fmt::format("10.{}.", 100 + index));
-  region.fleet->set_capacity(plan_.machines);
+  region.fleet =
+      std::make_unique<SimulatedFleet>(world_, s, std::vector<MachineType>{machine_type(plan_)},
+                                       nodes, fmt::format("10.{}.", 100 + index));
+  region.fleet->cloud().set_capacity(plan_.machines);
   region.fleet->rules().on_start = [this](const TaskId&) { check_use(); };
   for (int i = 0; i < plan_.machines; ++i) region.fleet->add_up("g", region.zone, false);
   auto with_elsewhere = s;
@@ -85,12 +86,12 @@
   quotas::keep_guarantees_elsewhere(with_elsewhere, regions);
   for (size_t n = 0; n < plan_.controllers; ++n) {
     Settings own = with_elsewhere;
-    own.controller_name = nodes[n].first;
+    own.controller_name = nodes[n].name;
     own.zone = region.zone;
-    own.listen = {nodes[n].second, api_port};
-    own.peer_listen = {nodes[n].second, peer_port};
+    own.listen = {nodes[n].host, api_port};
+    own.peer_listen = {nodes[n].host, peer_port};
     for (size_t m = 0; m < plan_.controllers; ++m)
-      if (m != n) own.peers.push_back({nodes[m].first, region.zone, {nodes[m].second, peer_port}});
+      if (m != n) own.peers.push_back({nodes[m].name, region.zone, {nodes[m].host, peer_port}});
     constexpr double clock_drift = 0.0005;
     region.controllers.push_back(std::make_unique<VirtualController>(
         world_, streams_, std::move(own), regions, 1 + (n % 2 == 1 ? clock_drift : 0)));
@@ -112,7 +113,7 @@
   jobs_[job] = spec;
   auto& fleet = *regions_[region].fleet;
   fleet.set_run_time(job, run_s);
-  fleet.rules().submitted(spec);
+  fleet.rules().on_submission(spec);
   send_submission(region, job, 0);
 }
 
@@ -132,13 +133,13 @@
              encode(submission_of(jobs_.at(job))),
              [this, region, job, asked, answered, next](const HttpReply& reply) {
                if (std::exchange(*answered, true)) return;
-               regions_[region].fleet->rules().told(job, reply.status, "queued", asked);
+               regions_[region].fleet->rules().on_answer(job, reply.status, "queued", asked);
                if (reply.status != 200 && reply.status != 201) next();
              });
 }
 
 void RegionCluster::cancel(size_t region, const std::string& job) {
-  regions_[region].fleet->rules().asked_to_cancel(job);
+  regions_[region].fleet->rules().on_cancel_request(job);
   send_cancellation(region, job, 0);
 }
 
@@ -158,7 +159,7 @@
   for (auto& region : regions_)
     for (auto& [id, worker] : region.fleet->workers())
       for (auto& [attempt, task] : worker->tasks())
-        count += attempt.first.job == job && task.report.state == TaskState::running;
+        count += attempt.task.job == job && task.report.state == TaskState::running;
   return count;
 }
 
@@ -246,7 +247,7 @@
   double sum = 0;
   for (auto& [id, worker] : regions_[region].fleet->workers())
     for (auto& [attempt, task] : worker->tasks())
-      if (on_machine(task.report)) sum += jobs_.at(attempt.first.job).gpus;
+      if (on_machine(task.report)) sum += jobs_.at(attempt.task.job).gpus;
   return sum;
 }
 
@@ -293,7 +294,7 @@
 std::vector<std::string> RegionCluster::broken() const {
   auto out = broken_;
   for (auto& region : regions_)
-    for (auto& what : region.fleet->rules().broken()) out.push_back(region.name + ": " + what);
+    for (auto& what : region.fleet->rules().violations()) out.push_back(region.name + ": " + what);
   return out;
 }
 
--- a/tests/regions/region_cluster.hpp
+++ b/tests/regions/region_cluster.hpp
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "simulation/fleet.hpp"
-#include "simulation/state_service.hpp"
+#include "simulation/key_value_store.hpp"
+#include "simulation/simulated_fleet.hpp"
 #include "simulation/virtual_controller.hpp"
 #include "storage/quota_record.hpp"
 
@@ -46,8 +46,8 @@
   std::vector<std::unique_ptr<VirtualController>>& controllers(size_t region) {
     return regions_[region].controllers;
   }
-  StateService& state(size_t region) { return *regions_[region].state; }
-  Fleet& fleet(size_t region) { return *regions_[region].fleet; }
+  KeyValueStore& state(size_t region) { return *regions_[region].state; }
+  SimulatedFleet& fleet(size_t region) { return *regions_[region].fleet; }
 
   // Called for each change of a budget's record.
   std::function<void(size_t region, const QuotaRecord& before, const QuotaRecord& after)> on_budget;
@@ -78,8 +78,8 @@
   struct RegionWorld {
     std::string name, zone;
     Settings settings;
-    std::unique_ptr<StateService> state;
-    std::unique_ptr<Fleet> fleet;
+    std::unique_ptr<KeyValueStore> state;
+    std::unique_ptr<SimulatedFleet> fleet;
     std::vector<std::unique_ptr<VirtualController>> controllers;
   };
   void set_up_region(size_t index);
--- a/tests/regions/regions_test.cpp
+++ b/tests/regions/regions_test.cpp
@@ -97,7 +97,7 @@
   RegionCluster cluster({.team = {"t", 0, 0, 8, 16}});
   cluster.at(acknowledged, [&] { cluster.submit(0, "run-1", 13, 1, 0); });
   cluster.run_until(30);
-  EXPECT_FALSE(cluster.fleet(0).rules().accepted("run-1"));
+  EXPECT_FALSE(cluster.fleet(0).rules().is_accepted("run-1"));
 }
 
 // Each of two regions has room for half a task: one gives way.
@@ -206,14 +206,14 @@
     std::string host;
     cluster.at(12, [&] {
       host = cluster.shard_leader(0).host();
-      cluster.state(0).set_fate(StateService::Fate::applied_late, host);
+      cluster.state(0).set_fate(KeyValueStore::Fate::applied_late, host);
     });
     cluster.at(12.1, [&] { cluster.submit(1, "run-1", 14, 1, 0); });
     cluster.at(14.2, [&] {
       cluster.shard_leader(0).crash(60);
       cluster.submit(0, "run-2", 8, 1, 0);
     });
-    cluster.at(40, [&] { cluster.state(0).set_fate(StateService::Fate::normal, {}); });
+    cluster.at(40, [&] { cluster.state(0).set_fate(KeyValueStore::Fate::normal, {}); });
     cluster.run_until(60);
     // The gift may also have arrived before its holder was replaced.
     EXPECT_EQ(cluster.running("run-1") + cluster.running("run-2"), 16);
@@ -229,10 +229,10 @@
     RegionCluster cluster({.seed = seed});
     // Between two renewals of the grant.
     cluster.at(15.8, [&] {
-      cluster.state(0).set_fate(StateService::Fate::applied_late, cluster.shard_leader(0).host());
+      cluster.state(0).set_fate(KeyValueStore::Fate::applied_late, cluster.shard_leader(0).host());
       cluster.submit(1, "run-1", 10, 1, 0);
     });
-    cluster.at(17.3, [&] { cluster.state(0).set_fate(StateService::Fate::normal, {}); });
+    cluster.at(17.3, [&] { cluster.state(0).set_fate(KeyValueStore::Fate::normal, {}); });
     cluster.at(17.5, [&] { cluster.submit(1, "run-2", 4, 1, 0, Priority::high); });
     cluster.run_until(45);
     EXPECT_EQ(cluster.running("run-1") + cluster.running("run-2"), 14);
@@ -259,9 +259,9 @@
       case StateTrouble::outage:
         return state.set_down(true);
       case StateTrouble::applies_late:
-        return state.set_fate(StateService::Fate::applied_late, {});
+        return state.set_fate(KeyValueStore::Fate::applied_late, {});
       case StateTrouble::loses_answers:
-        return state.set_fate(StateService::Fate::answer_lost, {});
+        return state.set_fate(KeyValueStore::Fate::answer_lost, {});
       case StateTrouble::slow:
         return state.set_delay(0.4);
     }
@@ -269,7 +269,7 @@
   cluster.at(from + lasts, [&] {
     for (auto& controller : cluster.controllers(where)) state.refuse(controller->host(), false);
     state.set_down(false);
-    state.set_fate(StateService::Fate::normal, {});
+    state.set_fate(KeyValueStore::Fate::normal, {});
     state.set_delay(0.004);
   });
   // Wanted just before and in the middle.
@@ -477,11 +477,11 @@
       state.set_down(true);
       return later([&state] { state.set_down(false); });
     case 6:
-      state.set_fate(StateService::Fate::applied_late, {});
-      return later([&state] { state.set_fate(StateService::Fate::normal, {}); });
+      state.set_fate(KeyValueStore::Fate::applied_late, {});
+      return later([&state] { state.set_fate(KeyValueStore::Fate::normal, {}); });
     case 7:
-      state.set_fate(StateService::Fate::answer_lost, {});
-      return later([&state] { state.set_fate(StateService::Fate::normal, {}); });
+      state.set_fate(KeyValueStore::Fate::answer_lost, {});
+      return later([&state] { state.set_fate(KeyValueStore::Fate::normal, {}); });
     default:
       state.set_delay(0.3);
       return later([&state] { state.set_delay(0.004); });
--- a/tests/replicas/gang_tracker_test.cpp
+++ b/tests/replicas/gang_tracker_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "simulation/world.hpp"
+#include "simulation/virtual_network.hpp"
 
 namespace damsonport {
 namespace {
--- a/tests/scenarios/fault_scenario.cpp
+++ b/tests/scenarios/fault_scenario.cpp
@@ -40,12 +40,12 @@
   for (auto& task : record.live) open.insert(task.index);
   for (auto& task : record.waiting) open.insert(task.index);
   for (uint32_t i = 0; i < record.next; ++i)
-    if (!open.contains(i)) deployment_.fleet().rules().done({chunk->job, i});
+    if (!open.contains(i)) deployment_.fleet().rules().on_task_done({chunk->job, i});
 }
 
 void FaultScenario::load_job(const std::string& job) {
-  deployment_.fleet().rules().submitted(plan_.jobs.at(job));
-  deployment_.fleet().rules().told(job, 201, "queued", world_.now());
+  deployment_.fleet().rules().on_submission(plan_.jobs.at(job));
+  deployment_.fleet().rules().on_answer(job, 201, "queued", world_.now());
   world_.in(first_poll_after_s, [this, job] { users_.begin_polling(job); });
 }
 
@@ -77,7 +77,7 @@
               [this, &event] { apply(event); });
   if (!plan_.settings.replicas.classes.empty()) watch_replica_claims();
   world_.run_until(plan_.end_s);
-  auto failures = deployment_.fleet().rules().broken();
+  auto failures = deployment_.fleet().rules().violations();
   failures.insert(failures.end(), checks_.failures().begin(), checks_.failures().end());
   return failures;
 }
--- a/tests/scenarios/scenario_actions.cpp
+++ b/tests/scenarios/scenario_actions.cpp
@@ -78,7 +78,7 @@
 // cancel JOBS [every=S] [via=CONTROLLERS]
 void ScenarioActions::cancel(const ScenarioEvent& event) {
   for_each_job_in_turn(event, [this, via = event.words.text("via")](const std::string& job) {
-    deployment_.fleet().rules().asked_to_cancel(job);
+    deployment_.fleet().rules().on_cancel_request(job);
     users_.cancel(job, users_.pick_controller(via), world_.now());
   });
 }
@@ -123,10 +123,10 @@
 void ScenarioActions::spoil_transactions(const ScenarioEvent& event) {
   const auto of = deployment_.select_controllers(event.words.text("of"));
   deployment_.store().set_fate(
-      event.target == "late" ? StateService::Fate::applied_late : StateService::Fate::answer_lost,
+      event.target == "late" ? KeyValueStore::Fate::applied_late : KeyValueStore::Fate::answer_lost,
       of.empty() ? std::string() : of.front()->host());
   world_.in(duration_of(event),
-            [this] { deployment_.store().set_fate(StateService::Fate::normal, {}); });
+            [this] { deployment_.store().set_fate(KeyValueStore::Fate::normal, {}); });
 }
 
 // lower_limits: the announced limits of the key-value store come into force
@@ -192,15 +192,16 @@
 
 // cloud_outage [for=S]: the cloud's interface answers that it is in trouble
 void ScenarioActions::cloud_outage(const ScenarioEvent& event) {
-  deployment_.fleet().set_cloud_out(true);
-  world_.in(duration_of(event), [this] { deployment_.fleet().set_cloud_out(false); });
+  deployment_.fleet().cloud().set_outage(true);
+  world_.in(duration_of(event), [this] { deployment_.fleet().cloud().set_outage(false); });
 }
 
 // boots late|never [in=S] [for=S]: machines that are requested meanwhile
 void ScenarioActions::change_boot_time(const ScenarioEvent& event) {
-  deployment_.fleet().set_boot(event.target == "never" ? Fleet::never_boots
-                                                       : event.words.number("in"));
-  world_.in(duration_of(event), [this] { deployment_.fleet().set_boot(plan_.boot_s); });
+  deployment_.fleet().cloud().set_boot_time(event.target == "never" ? Cloud::never_boots
+                                                                    : event.words.number("in"));
+  world_.in(duration_of(event),
+            [this] { deployment_.fleet().cloud().set_boot_time(plan_.boot_s); });
 }
 
 // hang MACHINES [for=S]: all of the machine stands still
@@ -233,14 +234,14 @@
 
 // keep MACHINES: a copy of the newest heartbeat
 void ScenarioActions::keep_report(const ScenarioEvent& event) {
-  for (auto* worker : deployment_.select_machines(event.target)) worker->keep_report();
+  for (auto* worker : deployment_.select_machines(event.target)) worker->keep_heartbeat();
 }
 
 // late_report MACHINES [to=HOSTS]: the kept heartbeat arrives now
 void ScenarioActions::repeat_kept_report(const ScenarioEvent& event) {
   for (auto* worker : deployment_.select_machines(event.target))
     for (auto& host : deployment_.select_hosts(event.words.text("to", "leader")))
-      worker->repeat_kept_report(host);
+      worker->repeat_kept_heartbeat(host);
 }
 
 }  // namespace damsonport::simulation
--- a/tests/scenarios/scenario_checks.cpp
+++ b/tests/scenarios/scenario_checks.cpp
@@ -48,14 +48,14 @@
 
 // returned N, or returned FROM..TO
 void ScenarioChecks::check_machines_returned(const ScenarioEvent& event) {
-  const int returned = deployment_.fleet().returned;
+  const int returned = deployment_.fleet().cloud().returned();
   if (!parse_count_range(event.target).contains(returned))
     complain(event, event.target + ", but " + std::to_string(returned) + " are returned");
 }
 
 // rented N, or rented FROM..TO
 void ScenarioChecks::check_machines_rented(const ScenarioEvent& event) {
-  const int rented = deployment_.fleet().rented;
+  const int rented = deployment_.fleet().cloud().rented();
   if (!parse_count_range(event.target).contains(rented))
     complain(event, event.target + ", but " + std::to_string(rented) + " were");
 }
@@ -86,7 +86,7 @@
 
 // served: every job that was accepted and not cancelled
 void ScenarioChecks::check_served(const ScenarioEvent& event) {
-  for (auto& job : deployment_.fleet().rules().wanted())
+  for (auto& job : deployment_.fleet().rules().jobs_to_serve())
     check_served_job(event, plan_.jobs.at(job));
 }
 
@@ -103,7 +103,8 @@
   if (running != static_cast<int>(spec.tasks))
     complain(event, "of " + spec.id + " " + std::to_string(running) + " of " +
                         std::to_string(spec.tasks) + " replicas run");
-  if (world_.now() - rules.last_answered(spec.id) > forgotten_after_s)
+  const auto answered_at = rules.last_answered_at(spec.id);
+  if (!answered_at || world_.now() - *answered_at > forgotten_after_s)
     complain(event, "nobody answers about " + spec.id);
 }
 
@@ -127,20 +128,20 @@
 void ScenarioChecks::check_told(const ScenarioEvent& event) {
   const std::string& status = event.words.first_name();
   for (auto& job : expand_names(event.target))
-    if (!deployment_.fleet().rules().was_told(job, status))
+    if (!deployment_.fleet().rules().ended_as(job, status))
       complain(event, job + " " + status + ", but it was not");
 }
 
 // accepted JOBS
 void ScenarioChecks::check_accepted(const ScenarioEvent& event) {
   for (auto& job : expand_names(event.target))
-    if (!deployment_.fleet().rules().accepted(job)) complain(event, job + ", but it was not");
+    if (!deployment_.fleet().rules().is_accepted(job)) complain(event, job + ", but it was not");
 }
 
 // unaccepted JOBS
 void ScenarioChecks::check_unaccepted(const ScenarioEvent& event) {
   for (auto& job : expand_names(event.target))
-    if (deployment_.fleet().rules().accepted(job)) complain(event, job + ", but it was");
+    if (deployment_.fleet().rules().is_accepted(job)) complain(event, job + ", but it was");
 }
 
 // shown JOB status=S running=N: to a user who asks the leader now
@@ -183,7 +184,7 @@
 // kept JOBS: no progress was lost
 void ScenarioChecks::check_progress_kept(const ScenarioEvent& event) {
   for (auto& job : expand_names(event.target)) {
-    const double lost_s = deployment_.fleet().gangs().lost_progress(job);
+    const double lost_s = deployment_.fleet().gangs().lost_progress_s(job);
     if (lost_s > 0) complain(event, job + ", but it lost " + std::to_string(lost_s) + " s");
   }
 }
--- a/tests/scenarios/scenario_deployment.cpp
+++ b/tests/scenarios/scenario_deployment.cpp
@@ -37,14 +37,15 @@
 void ScenarioDeployment::start_stand_ins() {
   complete_settings();
   for (int i = 0; i < plan_.controller_count; ++i)
-    controller_hosts_.emplace_back("n" + std::to_string(i), "10.0.0." + std::to_string(i + 1));
-  store_ = std::make_unique<StateService>(world_, store_host, plan_.store_limits);
+    controller_addresses_.push_back({"n" + std::to_string(i), "10.0.0." + std::to_string(i + 1)});
+  store_ = std::make_unique<KeyValueStore>(world_, store_host, plan_.store_limits);
   store_->on_change = [this](const std::string& key, const Json&) { on_record_change(key); };
-  fleet_ = std::make_unique<Fleet>(world_, plan_.settings, plan_.machine_types, controller_hosts_);
-  fleet_->set_capacity(plan_.cloud_capacity);
-  fleet_->set_boot(plan_.boot_s);
-  fleet_->set_page(plan_.cloud_page_size);
-  fleet_->set_broken(plan_.broken_jobs);
+  fleet_ = std::make_unique<SimulatedFleet>(world_, plan_.settings, plan_.machine_types,
+                                            controller_addresses_);
+  fleet_->cloud().set_capacity(plan_.cloud_capacity);
+  fleet_->cloud().set_boot_time(plan_.boot_s);
+  fleet_->cloud().set_page_size(plan_.cloud_page_size);
+  fleet_->set_broken_jobs(plan_.broken_jobs);
   for (auto& [job, seconds] : plan_.run_time_s) fleet_->set_run_time(job, seconds);
   for (auto& machine : plan_.initial_machines)
     initial_machines_.push_back(fleet_->add_up(machine.type, machine.zone, machine.spot).id);
@@ -53,20 +54,20 @@
 Settings ScenarioDeployment::controller_settings(size_t index) const {
   Settings settings = plan_.settings;
   const auto zone_of = [&](size_t i) { return settings.zones[i % settings.zones.size()]; };
-  settings.controller_name = controller_hosts_[index].first;
+  settings.controller_name = controller_addresses_[index].name;
   settings.zone = zone_of(index);
-  settings.listen = {controller_hosts_[index].second, controller_port};
-  settings.peer_listen = {controller_hosts_[index].second, peer_port};
-  for (size_t peer = 0; peer < controller_hosts_.size(); ++peer)
+  settings.listen = {controller_addresses_[index].host, controller_port};
+  settings.peer_listen = {controller_addresses_[index].host, peer_port};
+  for (size_t peer = 0; peer < controller_addresses_.size(); ++peer)
     if (peer != index)
-      settings.peers.push_back({controller_hosts_[peer].first,
+      settings.peers.push_back({controller_addresses_[peer].name,
                                 zone_of(peer),
-                                {controller_hosts_[peer].second, peer_port}});
+                                {controller_addresses_[peer].host, peer_port}});
   return settings;
 }
 
 void ScenarioDeployment::start_controllers() {
-  for (size_t i = 0; i < controller_hosts_.size(); ++i) {
+  for (size_t i = 0; i < controller_addresses_.size(); ++i) {
     const double clock_rate = 1 + (i % 2 ? plan_.clock_drift : 0);
     controllers_.push_back(std::make_unique<VirtualController>(
         world_, streams_, controller_settings(i), std::nullopt, clock_rate));
@@ -123,7 +124,7 @@
 
 bool ScenarioDeployment::runs_task_of(const Worker& worker, const std::string& job_or_task) {
   return std::any_of(worker.tasks().begin(), worker.tasks().end(), [&](auto& entry) {
-    const TaskId& task = entry.first.first;
+    const TaskId& task = entry.first.task;
     return (task.job == job_or_task || task.text() == job_or_task) &&
            entry.second.report.state != TaskState::exited;
   });
@@ -157,7 +158,7 @@
   TaskCounts counts;
   for (auto& [id, worker] : fleet_->workers())
     for (auto& [attempt, task] : worker->tasks()) {
-      if (attempt.first.job != job || task.report.state == TaskState::exited) continue;
+      if (attempt.task.job != job || task.report.state == TaskState::exited) continue;
       ++counts.present;
       if (task.report.state == TaskState::running) ++counts.running;
     }
--- a/tests/scenarios/scenario_deployment.hpp
+++ b/tests/scenarios/scenario_deployment.hpp
@@ -6,8 +6,8 @@
 #include <vector>
 
 #include "scenarios/scenario_plan.hpp"
-#include "simulation/fleet.hpp"
-#include "simulation/state_service.hpp"
+#include "simulation/key_value_store.hpp"
+#include "simulation/simulated_fleet.hpp"
 #include "simulation/virtual_controller.hpp"
 
 namespace damsonport::simulation {
@@ -21,9 +21,9 @@
   void start_stand_ins();
   void start_controllers();
 
-  StateService& store() { return *store_; }
-  Fleet& fleet() { return *fleet_; }
-  const Fleet& fleet() const { return *fleet_; }
+  KeyValueStore& store() { return *store_; }
+  SimulatedFleet& fleet() { return *fleet_; }
+  const SimulatedFleet& fleet() const { return *fleet_; }
   const std::vector<std::unique_ptr<VirtualController>>& controllers() const {
     return controllers_;
   }
@@ -64,10 +64,10 @@
 
   World& world_;
   ScenarioPlan& plan_;
-  std::unique_ptr<StateService> store_;
-  std::unique_ptr<Fleet> fleet_;
+  std::unique_ptr<KeyValueStore> store_;
+  std::unique_ptr<SimulatedFleet> fleet_;
   VirtualNetwork::Streams streams_;
-  std::vector<std::pair<std::string, std::string>> controller_hosts_;  // name, host
+  std::vector<ControllerAddress> controller_addresses_;
   std::vector<std::unique_ptr<VirtualController>> controllers_;
   std::vector<std::string> initial_machines_;  // ids, in the order of the trace
   std::map<std::string, int> writes_;          // changes of records, by key
--- a/tests/scenarios/scenario_users.cpp
+++ b/tests/scenarios/scenario_users.cpp
@@ -65,7 +65,7 @@
 
 void ScenarioUsers::submit(const std::string& job, size_t controller, double since, Retry retry) {
   const JobSpec& spec = plan_.jobs.at(job);
-  deployment_.fleet().rules().submitted(spec);
+  deployment_.fleet().rules().on_submission(spec);
   ask(controller, Method::post, "/api/jobs", encode(submission_of(spec)), submit_patience_s,
       [this, job, controller, since, retry](const HttpReply& reply, double asked_at) {
         on_job_answer(job, reply, asked_at);
@@ -115,15 +115,15 @@
       [this, kind, expected = request.expected_status](const HttpReply& reply, double) {
         // A controller that can't decide yet may ask the user to retry; it never accepts.
         if (reply.status != expected && reply.status != 503 && reply.status != 0)
-          deployment_.fleet().rules().broke("odd request " + std::to_string(kind),
-                                            "answered " + std::to_string(reply.status));
+          deployment_.fleet().rules().report_violation("odd request " + std::to_string(kind),
+                                                       "answered " + std::to_string(reply.status));
       });
 }
 
 void ScenarioUsers::on_job_answer(const std::string& job, const HttpReply& reply, double asked_at) {
   const Json answer = decode_map(reply.body);
   const auto status = answer.is_object() ? answer.value("status", std::string()) : std::string();
-  deployment_.fleet().rules().told(job, reply.status, status, asked_at);
+  deployment_.fleet().rules().on_answer(job, reply.status, status, asked_at);
   const bool refused = reply.status >= 300;
   if (!refused) begin_polling(job);
   // All controllers are asked after the first answer, and after the job's final status.
--- a/tools/loadtest/region_process.cpp
+++ b/tools/loadtest/region_process.cpp
@@ -3,7 +3,7 @@
 #include "addresses.hpp"
 #include "emulator.hpp"
 #include "emulator_loop.hpp"
-#include "simulation/fleet.hpp"
+#include "simulation/simulated_fleet.hpp"
 #include "users.hpp"
 
 namespace damsonport::loadtest {
@@ -24,15 +24,16 @@
         settings_(region_settings(plan, region)),
         types_(plan.machines) {
     world_.set_port(addresses::cloud(region), addresses::cloud_port);
-    std::vector<std::pair<std::string, std::string>> nodes;
+    std::vector<simulation::ControllerAddress> controllers;
     for (size_t n = 0; n < plan.controllers[region]; ++n) {
-      nodes.emplace_back(addresses::controller_name(region, n), addresses::controller(region, n));
-      world_.set_port(nodes.back().second, addresses::api_port);
+      controllers.push_back(
+          {addresses::controller_name(region, n), addresses::controller(region, n)});
+      world_.set_port(controllers.back().host, addresses::api_port);
     }
     for (auto& type : types_) type.zones = settings_.zones;
-    fleet_ = std::make_unique<simulation::Fleet>(world_, settings_, types_, nodes,
-                                                 addresses::workers_prefix(region));
-    fleet_->set_capacity(plan.workers[region]);
+    fleet_ = std::make_unique<simulation::SimulatedFleet>(world_, settings_, types_, controllers,
+                                                          addresses::workers_prefix(region));
+    fleet_->cloud().set_capacity(plan.workers[region]);
     users_ = std::make_unique<Users>(plan, region, world_, *fleet_);
     auto& rules = fleet_->rules();
     rules.on_start = [this](const TaskId& task) { users_->started(task); };
@@ -79,9 +80,9 @@
     const bool over = (limits.cpus_max > 0 && cpus > 0 && now.cpus > limits.cpus_max + eps) ||
                       (limits.gpus_max > 0 && gpus > 0 && now.gpus > limits.gpus_max + eps);
     if (over)
-      fleet_->rules().broke("quota", team + " uses " + std::to_string(now.cpus) + " CPUs and " +
-                                         std::to_string(now.gpus) +
-                                         " accelerators over all regions");
+      fleet_->rules().report_violation("quota", team + " uses " + std::to_string(now.cpus) +
+                                                    " CPUs and " + std::to_string(now.gpus) +
+                                                    " accelerators over all regions");
   }
 
   // Drawn from those with parts of replicas.
@@ -91,7 +92,7 @@
       if (worker->gone) continue;
       const bool has_part =
           std::any_of(worker->tasks().begin(), worker->tasks().end(), [&](const auto& entry) {
-            const JobSpec* spec = fleet_->rules().spec(entry.first.first.job);
+            const JobSpec* spec = fleet_->rules().spec(entry.first.task.job);
             return spec && spec->replicated() && simulation::on_machine(entry.second.report);
           });
       if (has_part) candidates.push_back(worker.get());
@@ -129,7 +130,7 @@
     message["answers"] = users_->answers();
     message["asked"] = traffic_json(world_.asked());
     message["served"] = traffic_json(world_.served());
-    message["broken_rules"] = fleet_->rules().broken();
+    message["broken_rules"] = fleet_->rules().violations();
     const auto replicas = fleet_->rules().replicas().figures();
     message["replicas"] = {{"whole_again_s", replicas.whole_again_s},
                            {"complete_again_s", replicas.complete_again_s},
@@ -154,9 +155,9 @@
             {"submitted", users_->submitted()},
             {"accepted", users_->accepted()},
             {"sessions_lost", sessions_lost},
-            {"rented", fleet_->rented},
-            {"returned", fleet_->returned},
-            {"broken", fleet_->rules().broken().size()}};
+            {"rented", fleet_->cloud().rented()},
+            {"returned", fleet_->cloud().returned()},
+            {"broken", fleet_->rules().violations().size()}};
   }
   void report() {
     constexpr int most_shown = 50;
@@ -171,7 +172,7 @@
       if (worker->gone) continue;
       Json tasks = Json::array();
       for (auto& [attempt, task] : worker->tasks())
-        if (simulation::on_machine(task.report)) tasks.push_back(attempt.first.text());
+        if (simulation::on_machine(task.report)) tasks.push_back(attempt.task.text());
       if (!tasks.empty()) out[id + " (" + worker->zone + ")"] = std::move(tasks);
     }
     return out;
@@ -185,7 +186,7 @@
   RealTimeWorld world_;
   Settings settings_;
   std::vector<MachineType> types_;
-  std::unique_ptr<simulation::Fleet> fleet_;
+  std::unique_ptr<simulation::SimulatedFleet> fleet_;
   std::unique_ptr<Users> users_;
 };
 
--- a/tools/loadtest/state_process.cpp
+++ b/tools/loadtest/state_process.cpp
@@ -4,7 +4,7 @@
 #include "emulator.hpp"
 #include "emulator_loop.hpp"
 #include "real_time_world.hpp"
-#include "simulation/state_service.hpp"
+#include "simulation/key_value_store.hpp"
 #include "storage/records.hpp"
 
 namespace damsonport::loadtest {
@@ -12,12 +12,12 @@
 namespace {
 
 // Keys and bytes of the records, by the prefix of their names.
-Json stored_json(const simulation::StateService& service) {
+Json stored_json(const simulation::KeyValueStore& service) {
   std::map<std::string, std::pair<size_t, size_t>> sums;
-  for (auto& [key, value] : service.all()) {
+  for (auto& [key, record] : service.all()) {
     auto& [count, bytes] = sums[key.substr(0, key.rfind('/', 3) == 1 ? 4 : 3)];
     ++count;
-    bytes += stored_size(value.first);
+    bytes += stored_size(record.value);
   }
   Json out = Json::object();
   for (auto& [prefix, sum] : sums) out[prefix] = {sum.first, sum.second};
@@ -28,7 +28,7 @@
 
 void run_state_service(const Experiment& plan, size_t region, ParentChannel& parent) {
   EmulatorLoop* emulator = nullptr;
-  simulation::StateService* state = nullptr;
+  simulation::KeyValueStore* state = nullptr;
   RealTimeWorld* world_of = nullptr;
   uint64_t fencing_token = 0;
   uint64_t writes = 0;
@@ -37,8 +37,8 @@
     if (what == "outage") world_of->act([&] { state->set_down(command.at("on").get<bool>()); });
     if (what != "finish") return;
     Json quotas = Json::object();
-    for (auto& [key, value] : state->all())
-      if (key.starts_with(keys::quotas)) quotas[key.substr(keys::quotas.size())] = value.first;
+    for (auto& [key, record] : state->all())
+      if (key.starts_with(keys::quotas)) quotas[key.substr(keys::quotas.size())] = record.value;
     parent.tell({{"kind", "final"},
                  {"writes", writes},
                  {"refused_for_rate", state->refused_for_rate()},
@@ -53,8 +53,8 @@
   RealTimeWorld world(loop.loop(), plan.seed + region);
   world_of = &world;
   world.set_port(addresses::state(region), addresses::state_port);
-  simulation::StateService service(world, addresses::state(region),
-                                   plan.settings.state_limits.present());
+  simulation::KeyValueStore service(world, addresses::state(region),
+                                    plan.settings.state_limits.present());
   state = &service;
   service.on_change = [&](const std::string& key, const Json& value) {
     ++writes;
--- a/tools/loadtest/users.cpp
+++ b/tools/loadtest/users.cpp
@@ -17,7 +17,8 @@
 
 }  // namespace
 
-Users::Users(const Experiment& plan, size_t region, RealTimeWorld& world, simulation::Fleet& fleet)
+Users::Users(const Experiment& plan, size_t region, RealTimeWorld& world,
+             simulation::SimulatedFleet& fleet)
     : plan_(plan), region_(region), world_(world), fleet_(fleet) {}
 
 std::string Users::node_host(size_t node) const { return addresses::controller(region_, node); }
@@ -63,7 +64,7 @@
   const double run_s = load.run_s * (1 + run_time_spread * world_.uniform(-1, 1));
   spec.estimate_s = load.run_s;
   fleet_.set_run_time(spec.id, run_s);
-  fleet_.rules().submitted(spec);
+  fleet_.rules().on_submission(spec);
   auto& job = jobs_[spec.id];
   job.load = &load;
   job.at = world_.now();
@@ -77,7 +78,7 @@
              encode(simulation::submission_of(*fleet_.rules().spec(id))),
              [this, id, node, since, asked](const HttpReply& reply) {
                ++answers_[fmt::format("submission {}", reply.status)];
-               fleet_.rules().told(id, reply.status, "queued", asked);
+               fleet_.rules().on_answer(id, reply.status, "queued", asked);
                auto& job = jobs_.at(id);
                if (reply.status == 200 || reply.status == 201) {
                  if (std::exchange(job.accepted, true)) return;
@@ -97,14 +98,14 @@
 }
 
 void Users::cancel(const std::string& id, size_t node) {
-  if (!jobs_.at(id).cancelled) fleet_.rules().asked_to_cancel(id);
+  if (!jobs_.at(id).cancelled) fleet_.rules().on_cancel_request(id);
   jobs_.at(id).cancelled = true;
   const double asked = world_.now();
   world_.ask(user_host, node_host(node), Method::post, "/api/jobs/" + id + "/cancel", {},
              [this, id, node, asked](const HttpReply& reply) {
                if (reply.status == 200) {
                  auto m = decode_map(reply.body);
-                 fleet_.rules().told(id, 200, m.value("status", std::string()), asked);
+                 fleet_.rules().on_answer(id, 200, m.value("status", std::string()), asked);
                  return;
                }
                world_.in(retry_s,
@@ -135,7 +136,7 @@
                if (reply.status != 200 && reply.status != 404) return;
                auto m = decode_map(reply.body);
                const auto status = m.is_object() ? m.value("status", std::string()) : std::string();
-               fleet_.rules().told(id, reply.status, status, asked);
+               fleet_.rules().on_answer(id, reply.status, status, asked);
              });
 }
 
--- a/tools/loadtest/users.hpp
+++ b/tools/loadtest/users.hpp
@@ -7,7 +7,7 @@
 
 #include "experiment.hpp"
 #include "real_time_world.hpp"
-#include "simulation/fleet.hpp"
+#include "simulation/simulated_fleet.hpp"
 
 namespace damsonport::loadtest {
 
@@ -16,7 +16,8 @@
 
 class Users {
  public:
-  Users(const Experiment& plan, size_t region, RealTimeWorld& world, simulation::Fleet& fleet);
+  Users(const Experiment& plan, size_t region, RealTimeWorld& world,
+        simulation::SimulatedFleet& fleet);
   void begin();
   // Calls off so many services that run, the oldest first, within a second.
   void cancel_services(size_t count);
@@ -54,7 +55,7 @@
   const Experiment& plan_;
   size_t region_;
   RealTimeWorld& world_;
-  simulation::Fleet& fleet_;
+  simulation::SimulatedFleet& fleet_;
   std::map<std::string, Submitted> jobs_;
   std::vector<std::string> known_;  // accepted jobs, to be polled
   uint64_t next_job_ = 0, starts_ = 0, accepted_ = 0;
