--- a/tools/loadtest/state_process.cpp
+++ b/tools/loadtest/state_process.cpp
@@ -38,7 +38,7 @@
     if (what != "finish") return;
     Json quotas = Json::object();
     for (auto& [key, record] : state->all())
-      if (key.starts_with(keys::quotas)) quotas[key.substr(keys::quotas.size())] = record.value;
+      if (key.starts_with(keys::quota_prefix)) quotas[key.substr(keys::quota_prefix.size())] = record.value;
     parent.tell({{"kind", "final"},
                  {"writes", writes},
                  {"refused_for_rate", state->refused_for_rate()},
