--- /dev/null
+++ b/src/coordination/machines/machine_capacity.cpp
@@ -0,0 +1,31 @@
+#include "coordination/machines/machine_capacity.hpp"
+
+#include <algorithm>
+
+namespace damsonport {
+
+scheduling::Resources total_resources(const Machine& machine, const MachineTypeCatalog& catalog) {
+  const MachineType* type = catalog.type(machine.type);
+  if (!type) return {};
+  return {type->cpus, type->gpus, type->memory_gb};
+}
+
+scheduling::Resources free_resources(const Machine& machine, const MachineTypeCatalog& catalog,
+                                     RecordCache& cache) {
+  auto free = total_resources(machine, catalog);
+  auto take = [&](const JobSpec& spec) { free -= {spec.cpus, spec.gpus, spec.memory_gb}; };
+  const auto& assigned = cache.assigned(machine.id);
+  for (auto& [assignment, attempt] : assigned) take(assignment.job->spec);
+  for (auto& [name, task] : machine.tasks) {
+    if (task.state == TaskState::exited) continue;
+    Job* job = cache.job(name.job);
+    if (!job) {
+      free.cpus = std::min(free.cpus, 0.0);
+      continue;
+    }
+    if (!assigned.contains({job, name.index})) take(job->spec);
+  }
+  return free;
+}
+
+}  // namespace damsonport
--- a/src/coordination/shard_leader/shard_leader.cpp
+++ b/src/coordination/shard_leader/shard_leader.cpp
@@ -20,17 +20,11 @@
       gangs_(loop_, settings_, *this),
       replicas_(loop_, settings_, cache_, *this, gangs_),
       scale_in_(scale_in_dependencies()),
-      scale_out_requests_(loop_, settings_, deps.store, cache_, deps.http, deps.incarnation),
+      autoscaler_(autoscaler_dependencies()),
       rechunker_(loop_, settings_, cache_, deps.store, deps.versions,
                  [this](Transaction transaction, std::stop_token stop_token) {
                    return commit_and_apply(std::move(transaction), std::move(stop_token));
-                 }) {
-  scale_out_requests_.on_machines_created = [this](auto& machines, const MachineKind& kind) {
-    for (auto& id : machines)
-      if (!machines_.contains(id) && !cache_.has_tombstone(id))
-        booting_.try_emplace(id, Booting{kind.type, kind.zone, kind.spot, loop_.now()});
-  };
-}
+                 }) {}
 
 const ShardLease* ShardLeader::own_lease() const {
   for (auto& g : cache_.shard_table().leases)
@@ -73,13 +67,10 @@
   stopping_.clear();
   cancelled_.clear();
   scale_in_.begin_lease(fencing_token_);
-  lost_capacity_.clear();
   rechunker_.clear();
   uncommitted_starts_ = 0;
   send_queue_.clear();
-  booting_.clear();
-  scale_out_requests_.begin_lease(fencing_token_);
-  cost_account_.begin_lease(lease_acquired_at_);
+  autoscaler_.begin_lease(fencing_token_);
   hints_.clear();
   gangs_.clear();
   replicas_.clear();
@@ -123,7 +114,7 @@
     spdlog::info("the grant with term {} has gone to another holder", fencing_token_);
     fencing_token_ = 0;
     scale_in_.end_lease();
-    scale_out_requests_.begin_lease(0);
+    autoscaler_.end_lease();
   }
   if (!deps_.election.is_leading()) co_return fencing_token_ != 0;
   if (own && now < next_renewal_) co_return true;
@@ -242,7 +233,7 @@
       co_await scale_in_.return_machines(ScaleInTracker::Selection::all, stop_token);
       if (is_leading() && loop_.now() >= next_scaling_at_) {
         next_scaling_at_ = loop_.now() + settings_.heartbeat_interval_s / 2;
-        scale_out(stop_token);
+        autoscaler_.run(unschedulable_, stop_token);
       }
     } else if (scale_in_.tracker().any_keeps_cancelled_task()) {
       // A holder whose leadership ended and whose successor is gone too, in an outage: what others
--- a/src/coordination/shard_leader/shard_leader.hpp
+++ b/src/coordination/shard_leader/shard_leader.hpp
@@ -7,11 +7,9 @@
 #include <unordered_map>
 #include <unordered_set>
 
-#include "coordination/autoscaling/autoscaler.hpp"
-#include "coordination/autoscaling/cost_account.hpp"
+#include "coordination/autoscaling/autoscaler_driver.hpp"
 #include "coordination/autoscaling/machine_type_catalog.hpp"
 #include "coordination/autoscaling/scale_in.hpp"
-#include "coordination/autoscaling/scale_out_requests.hpp"
 #include "coordination/leadership/election.hpp"
 #include "coordination/leadership/exit_forwarder.hpp"
 #include "coordination/leadership/lease_renewal.hpp"
@@ -106,11 +104,6 @@
     int errors = 0;  // tasks that failed
     RunTimes run_times;
   };
-  struct Booting {
-    std::string type, zone;
-    bool spot = false;
-    double since = 0;
-  };
   struct Stopping {
     uint64_t attempt;
     double grace_s;
@@ -220,10 +213,8 @@
   // A job whose tasks were started again and again by earlier holders and of which nothing is done.
   static bool failed_before(const Job& job);
   bool is_schedulable(const Machine& m) const;
-  scheduling::Resources total_of(const Machine& m) const;
   // Enough for a task that saves, with some room for the message; 0 for one that never does.
   double stop_grace(const JobSpec& s) const;
-  scheduling::Resources free_of(const Machine& m) const;
 
   // --- orders (holder_orders.cpp)
   void dispatch(Machine& m, Command command);
@@ -240,18 +231,13 @@
   // Leader and holder, so that the cloud is this controller's to deal with.
   bool leads_cluster_and_shard() const;
   void note_listed(const ListedMachine& listed);
-  void note_starting(const ListedMachine& listed);
   void detect_dead_machines();
   void check_cancelled_tasks();
   void check_drains();
   void check_stragglers();
-  const MachineType* coming_type(const std::string& id, const Booting& b) const;
   ScaleIn::Dependencies scale_in_dependencies();
   void on_machine_returned(const std::string& id, bool declared_dead);
-  void scale_out(const std::stop_token& stop_token);
-  autoscaling::AutoscalerInput autoscaler_input() const;
-  void expect_arrivals(autoscaling::AutoscalerInput& in) const;
-  uint64_t team_limit(const JobSpec& spec) const;
+  AutoscalerDriver::Dependencies autoscaler_dependencies();
   void drain(Machine& m, const std::string& why);
 
   Dependencies deps_;
@@ -286,13 +272,9 @@
   std::map<TaskId, PendingExit> exits_;
   std::map<TaskId, Stopping> stopping_;
   std::set<std::string> cancelled_;  // jobs, whose tasks may still be there
-  std::vector<autoscaling::InstanceOffer>
-      lost_capacity_;  // kinds of machines given up, to be replaced
   ScaleIn scale_in_;
-  std::map<std::string, Booting> booting_;
-  ScaleOutRequests scale_out_requests_;
+  AutoscalerDriver autoscaler_;
   Rechunker rechunker_;
-  CostAccount cost_account_;
   std::deque<std::string> send_queue_;  // machines with orders
   std::set<std::string> probing_;
   int sends_ = 0;
--- a/src/coordination/shard_leader/shard_leader_machines.cpp
+++ b/src/coordination/shard_leader/shard_leader_machines.cpp
@@ -22,33 +22,10 @@
   return it->second;
 }
 
-scheduling::Resources ShardLeader::total_of(const Machine& m) const {
-  auto* t = deps_.catalog.type(m.type);
-  return t ? scheduling::Resources{t->cpus, t->gpus, t->memory_gb} : scheduling::Resources{};
-}
-
 double ShardLeader::stop_grace(const JobSpec& s) const {
   return s.checkpoint_s > 0 ? s.save_s * 1.2 + settings_.heartbeat_interval_s / 10 : 0;
 }
 
-// Everything that is or may be there counts: what the records place, and whatever else is reported.
-scheduling::Resources ShardLeader::free_of(const Machine& m) const {
-  auto room = total_of(m);
-  auto take = [&](const JobSpec& s) { room -= {s.cpus, s.gpus, s.memory_gb}; };
-  auto& assigned = cache_.assigned(m.id);
-  for (auto& [a, attempt] : assigned) take(a.job->spec);
-  for (auto& [name, t] : m.tasks) {
-    if (t.state == TaskState::exited) continue;
-    Job* job = cache_.job(name.job);
-    if (!job) {
-      room.cpus = std::min(room.cpus, 0.0);  // its size is unknown: nothing more until it is gone
-      continue;
-    }
-    if (!assigned.contains({job, name.index})) take(job->spec);
-  }
-  return room;
-}
-
 bool ShardLeader::is_schedulable(const Machine& m) const {
   return m.agent_epoch != 0 && !m.draining && !m.notice_at && !scale_in_.is_leaving(m.id) &&
          !scale_in_.tracker().is_returned(m.id) && m.failed_sends < 2 &&
@@ -93,7 +70,7 @@
   if (!apply_heartbeat(m, r, loop_.now(), direct, as_of)) return false;
   mark_changed(m.id);
   scale_in_.note_heartbeat(m.id);
-  booting_.erase(m.id);
+  autoscaler_.note_heartbeat(m.id);
   if (epoch_before != 0 && epoch_before != m.agent_epoch)
     spdlog::info("{} began session {}: what ran there is gone", m.id, m.agent_epoch);
   if (epoch_before == 0) {
--- a/src/coordination/shard_leader/shard_leader_view.cpp
+++ b/src/coordination/shard_leader/shard_leader_view.cpp
@@ -2,6 +2,7 @@
 #include <algorithm>
 #include <limits>
 
+#include "coordination/machines/machine_capacity.hpp"
 #include "coordination/shard_leader/shard_leader.hpp"
 
 namespace damsonport {
@@ -100,8 +101,8 @@
   v.type = snapshot_.types.id(m.type);
   v.zone = snapshot_.zones.id(m.zone);
   v.spot = m.spot;
-  v.total = total_of(m);
-  v.free = free_of(m);
+  v.total = total_resources(m, deps_.catalog);
+  v.free = free_resources(m, deps_.catalog, cache_);
   v.straggler = m.straggler.flagged;
   v.speed = m.straggler.updates >= tuning_.straggler_test_every ? m.straggler.average : 1.0;
   if (auto* type = deps_.catalog.type(m.type)) {
@@ -165,12 +166,12 @@
   for (auto& [id, m] : machines_)
     if (m.slot) snapshot_.machines[*m.slot].open = is_schedulable(m) && !cut_off.contains(m.zone);
   snapshot_.booting.clear();
-  for (auto& [id, b] : booting_)
-    if (auto* type = coming_type(id, b))
-      snapshot_.booting.push_back({snapshot_.types.id(b.type),
-                                   snapshot_.zones.id(b.zone),
-                                   b.spot,
-                                   {type->cpus, type->gpus, type->memory_gb}});
+  autoscaler_.for_each_expected([this](auto&, auto& booting, auto& type) {
+    snapshot_.booting.push_back({snapshot_.types.id(booting.kind.type),
+                                 snapshot_.zones.id(booting.kind.zone),
+                                 booting.kind.spot,
+                                 {type.cpus, type.gpus, type.memory_gb}});
+  });
   if (deps_.quotas.divided())
     for (size_t t = 0; t < snapshot_.teams.size(); ++t)
       snapshot_.teams[t].limit = deps_.quotas.limit(settings_.teams[t]);
