--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -21,7 +21,7 @@
 
 // Of users and workers.
 size_t max_connections(const Settings& s) {
-  const int left = s.max_sockets - kept_sockets - ShardLeader::direct_sockets(s);
+  const int left = s.max_sockets - kept_sockets - CommandDispatcher::max_concurrent_sends(s);
   return static_cast<size_t>(std::max(left, s.max_sockets / 2));
 }
 
--- /dev/null
+++ b/src/coordination/machines/command_dispatcher.cpp
@@ -0,0 +1,134 @@
+#include "coordination/machines/command_dispatcher.hpp"
+
+#include <spdlog/spdlog.h>
+
+namespace damsonport {
+
+void CommandDispatcher::dispatch(Machine& machine, Command command) {
+  machine.outbox.push_back(std::move(command));
+  enqueue(machine);
+}
+
+void CommandDispatcher::enqueue(Machine& machine) {
+  if (machine.sending || machine.agent_epoch == 0 || machine.outbox.empty()) return;
+  // Its next heartbeat is answered with what is still wanted, and no socket waits for it until
+  // then.
+  if (callbacks_.is_suspected(machine)) return machine.outbox.clear();
+  machine.sending = true;
+  queue_.push_back(machine.id);
+  start_sends();
+}
+
+// Bounded, so that commands to many unreachable machines leave sockets to everybody else.
+void CommandDispatcher::start_sends() {
+  while (sends_in_progress_ < max_concurrent_sends(settings_) && !queue_.empty()) {
+    ++sends_in_progress_;
+    loop_.spawn("commands", send(std::move(queue_.front())));
+    queue_.pop_front();
+  }
+}
+
+Task<void> CommandDispatcher::send(std::string machine_id) {
+  // Lets the other commands of this turn join the request.
+  co_await Sleep(loop_, 0, {});
+  co_await send_until_empty(std::move(machine_id));
+  --sends_in_progress_;
+  start_sends();
+}
+
+std::vector<Command> CommandDispatcher::take_wanted_commands(Machine& machine) const {
+  auto commands = std::exchange(machine.outbox, {});
+  std::erase_if(commands,
+                [&](const Command& command) { return !callbacks_.is_wanted(machine, command); });
+  return commands;
+}
+
+Task<HttpReply> CommandDispatcher::post_commands(std::string address, uint64_t agent_epoch,
+                                                 std::vector<Command> commands) {
+  Endpoint endpoint;
+  if (!parse_endpoint(address, endpoint)) co_return HttpReply{};
+  co_return co_await http_.request(
+      endpoint, Method::post, "/commands",
+      encode_direct_commands(callbacks_.fencing_token(), agent_epoch, commands),
+      std::max(min_send_timeout_s, settings_.heartbeat_interval_s));
+}
+
+Task<void> CommandDispatcher::send_until_empty(std::string machine_id) {
+  for (;;) {
+    Machine* machine = callbacks_.find_machine(machine_id);
+    if (!machine) co_return;
+    auto commands = take_wanted_commands(*machine);
+    if (commands.empty() || !callbacks_.is_leading()) {
+      machine->sending = false;
+      co_return;
+    }
+    std::set<AttemptKey> starts;
+    for (auto& command : commands)
+      if (command.op == Command::Op::start) starts.insert({command.task, command.attempt});
+    machine->in_flight.insert(starts.begin(), starts.end());
+    const uint64_t agent_epoch = machine->agent_epoch;
+    const uint64_t fencing_token = callbacks_.fencing_token();
+    const double requested_at = loop_.now();
+    const HttpReply reply =
+        co_await post_commands(machine->address, agent_epoch, std::move(commands));
+    machine = callbacks_.find_machine(machine_id);
+    if (!machine || fencing_token != callbacks_.fencing_token()) co_return;
+    if (machine->agent_epoch == agent_epoch) {
+      for (auto& start : starts) {
+        machine->in_flight.erase(start);
+        // The agent may still receive it at any time in this epoch.
+        if (!reply.answered()) machine->in_limbo.insert(start);
+      }
+    }
+    if (!reply.answered()) {
+      note_no_answer(*machine);
+      co_return;
+    }
+    process_answer(*machine, reply, requested_at);
+  }
+}
+
+void CommandDispatcher::note_no_answer(Machine& machine) {
+  ++machine.failed_sends;
+  callbacks_.on_send_failed(machine.id);
+  machine.sending = false;
+  machine.outbox.clear();
+  spdlog::debug("{} does not answer commands", machine.id);
+}
+
+void CommandDispatcher::process_answer(Machine& machine, const HttpReply& reply,
+                                       double requested_at) {
+  machine.failed_sends = 0;
+  const auto status = decode_heartbeat(decode_map(reply.body));
+  if (!status || status->machine != machine.id) return;
+  // Only removals are sent at once. A stop whose answer still shows the task saving, and the like,
+  // wait for the next heartbeat.
+  for (auto& command : callbacks_.on_status(machine, *status, requested_at))
+    if (reply.status == 200 && command.op == Command::Op::remove) machine.outbox.push_back(command);
+}
+
+void CommandDispatcher::start_probe(const std::string& machine_id) {
+  const auto max_probes = static_cast<size_t>(max_concurrent_sends(settings_)) / 2;
+  if (probes_in_progress_.contains(machine_id) || probes_in_progress_.size() >= max_probes) return;
+  loop_.spawn("probe", probe(machine_id));
+}
+
+Task<void> CommandDispatcher::probe(std::string machine_id) {
+  Machine* machine = callbacks_.find_machine(machine_id);
+  Endpoint endpoint;
+  if (!machine || !parse_endpoint(machine->address, endpoint)) co_return;
+  const uint64_t fencing_token = callbacks_.fencing_token();
+  const double requested_at = loop_.now();
+  probes_in_progress_.insert(machine_id);
+  const HttpReply reply =
+      co_await http_.request(endpoint, Method::get, "/show", {}, settings_.heartbeat_interval_s);
+  probes_in_progress_.erase(machine_id);
+  machine = callbacks_.find_machine(machine_id);
+  if (reply.status != 200 || !machine || fencing_token != callbacks_.fencing_token()) co_return;
+  const auto status = decode_heartbeat(decode_map(reply.body));
+  // What follows from it is sent with the response to the next heartbeat.
+  if (status && status->machine == machine_id)
+    callbacks_.on_status(*machine, *status, requested_at);
+}
+
+}  // namespace damsonport
--- a/src/coordination/shard_leader/shard_leader.cpp
+++ b/src/coordination/shard_leader/shard_leader.cpp
@@ -15,7 +15,7 @@
                      deps.exit_forwarder, contact_),
       machine_list_(loop_, settings_, deps.http),
       orphan_cleanup_(loop_, settings_, cache_, deps.http, deps.peer_network, deps.cancellations,
-                      contact_, machine_list_, direct_sockets(settings_)),
+                      contact_, machine_list_, CommandDispatcher::max_concurrent_sends(settings_)),
       failure_detector_(settings_),
       gangs_(loop_, settings_, *this),
       replicas_(loop_, settings_, cache_, *this, gangs_),
@@ -24,7 +24,8 @@
       rechunker_(loop_, settings_, cache_, deps.store, deps.versions,
                  [this](Transaction transaction, std::stop_token stop_token) {
                    return commit_and_apply(std::move(transaction), std::move(stop_token));
-                 }) {}
+                 }),
+      commands_(loop_, settings_, deps.http, dispatcher_callbacks()) {}
 
 const ShardLease* ShardLeader::own_lease() const {
   for (auto& g : cache_.shard_table().leases)
@@ -34,6 +35,35 @@
 
 bool ShardLeader::is_leading() const { return fencing_token_ != 0 && own_lease() != nullptr; }
 
+bool ShardLeader::is_still_wanted(const Machine& m, const Command& command) const {
+  if (command.op != Command::Op::start) return true;
+  return !exits_.contains(command.task) && cache_.places(command.task, command.attempt, m.id);
+}
+
+CommandDispatcher::Callbacks ShardLeader::dispatcher_callbacks() {
+  CommandDispatcher::Callbacks callbacks;
+  callbacks.fencing_token = [this] { return fencing_token_; };
+  callbacks.is_leading = [this] { return is_leading(); };
+  callbacks.find_machine = [this](const std::string& id) {
+    auto it = machines_.find(id);
+    return it == machines_.end() ? nullptr : &it->second;
+  };
+  callbacks.is_suspected = [this](const Machine& m) { return failure_detector_.is_suspected(m, loop_.now()); };
+  callbacks.is_wanted = [this](const Machine& m, const Command& command) {
+    if (!is_still_wanted(m, command)) return false;
+    // The start of a cancelled task that is never sent can't arrive: the next heartbeat proves that
+    // the task doesn't run.
+    return command.op != Command::Op::start || !is_cancelled(*cache_.job(command.task.job));
+  };
+  callbacks.on_send_failed = [this](const std::string& id) { mark_changed(id); };
+  callbacks.on_status = [this](Machine& m, const Heartbeat& status, double requested_at) {
+    std::vector<Command> commands;
+    process_heartbeat(m, status, true, requested_at, commands);
+    return commands;
+  };
+  return callbacks;
+}
+
 bool ShardLeader::records_current() const {
   return cache_.loaded() && cache_.revision() >= required_revision_;
 }
@@ -69,7 +99,7 @@
   scale_in_.begin_lease(fencing_token_);
   rechunker_.clear();
   uncommitted_starts_ = 0;
-  send_queue_.clear();
+  commands_.begin_lease();
   autoscaler_.begin_lease(fencing_token_);
   hints_.clear();
   gangs_.clear();
@@ -323,7 +353,7 @@
     m.in_answer.clear();
     if (process_heartbeat(m, r, false, request.previous_answer_at, commands))
       deduplicator_.remember(m.id, request.body, r.sequence);
-    std::erase_if(commands, [&](const Command& c) { return !still_wanted(m, c); });
+    std::erase_if(commands, [&](const Command& c) { return !is_still_wanted(m, c); });
     for (auto& c : commands)
       if (c.op == Command::Op::start) m.in_answer.insert({c.task, c.attempt});
   }
--- a/src/coordination/shard_leader/shard_leader.hpp
+++ b/src/coordination/shard_leader/shard_leader.hpp
@@ -1,6 +1,5 @@
 // The holder of a grant: sole placer for its teams and sole answerer of its machines' reports.
 #pragma once
-#include <deque>
 #include <map>
 #include <set>
 #include <string>
@@ -15,6 +14,7 @@
 #include "coordination/leadership/lease_renewal.hpp"
 #include "coordination/leadership/peer_network.hpp"
 #include "coordination/leadership/version_registry.hpp"
+#include "coordination/machines/command_dispatcher.hpp"
 #include "coordination/machines/failure_detector.hpp"
 #include "coordination/machines/fault_attribution.hpp"
 #include "coordination/machines/heartbeat_deduplicator.hpp"
@@ -66,8 +66,6 @@
   bool is_leading() const;
   // Of the grant held; 0: none.
   uint64_t fencing_token() const { return is_leading() ? fencing_token_ : 0; }
-  // Messages to workers that may be under way at once.
-  static int direct_sockets(const Settings& s) { return std::max(8, s.max_sockets / 16); }
   uint64_t pending_tasks() const { return pending_tasks_; }
   // Machines that report, or are named by the records.
   size_t fleet_size() const {
@@ -216,16 +214,9 @@
   // Enough for a task that saves, with some room for the message; 0 for one that never does.
   double stop_grace(const JobSpec& s) const;
 
-  // --- orders (holder_orders.cpp)
-  void dispatch(Machine& m, Command command);
-  void flush(const std::string& id);
-  void start_sends();
-  Task<void> send(std::string id);
-  Task<void> send_commands(std::string id);
-  bool still_wanted(const Machine& m, const Command& c) const;
-  Task<void> probe(std::string id);
-  // Unless it is being asked already, or too many are.
-  void start_probe(const std::string& id);
+  /// Whether the command, which was decided before, still agrees with the records.
+  bool is_still_wanted(const Machine& m, const Command& command) const;
+  CommandDispatcher::Callbacks dispatcher_callbacks();
 
   // --- cloud (holder_cloud.cpp)
   // Leader and holder, so that the cloud is this controller's to deal with.
@@ -275,9 +266,7 @@
   ScaleIn scale_in_;
   AutoscalerDriver autoscaler_;
   Rechunker rechunker_;
-  std::deque<std::string> send_queue_;  // machines with orders
-  std::set<std::string> probing_;
-  int sends_ = 0;
+  CommandDispatcher commands_;
   std::vector<autoscaling::ResourceDemand> unschedulable_;
   uint64_t pending_tasks_ = 0;
   size_t uncommitted_starts_ = 0;  // jobs whose starts the last pass decided and put off
--- a/src/coordination/shard_leader/shard_leader_cancelled.cpp
+++ b/src/coordination/shard_leader/shard_leader_cancelled.cpp
@@ -31,7 +31,7 @@
     mark_changed(task.machine);
     auto it = machines_.find(task.machine);
     if (it != machines_.end() && it->second.tasks.contains(task.name))
-      dispatch(it->second, {Command::Op::stop, task.name, task.attempt, 0});
+      commands_.dispatch(it->second, {Command::Op::stop, task.name, task.attempt, 0});
   }
 }
 
--- a/src/coordination/shard_leader/shard_leader_cloud.cpp
+++ b/src/coordination/shard_leader/shard_leader_cloud.cpp
@@ -68,7 +68,7 @@
   facts.silent_peers = deps_.peer_network.silent_peers();
   for (auto& machine : failure_detector_.detect(machines_, facts, loop_.now())) {
     scheduling_requested_ = true;
-    start_probe(machine.id);
+    commands_.start_probe(machine.id);
     if (!machine.is_dead) continue;
     scale_in_.request(machine.id,
                       "silent for " + std::to_string(static_cast<int>(machine.silent_s)) + " s",
--- a/src/coordination/shard_leader/shard_leader_commit.cpp
+++ b/src/coordination/shard_leader/shard_leader_commit.cpp
@@ -374,7 +374,7 @@
     it->second.idle_since = at;
     // Cancelled while it was committed: never ordered, it is gone by the next report.
     if (Job* job = cache_.job(s.task.job); !job || is_cancelled(*job)) continue;
-    dispatch(it->second, {Command::Op::start, s.task, s.attempt, 0});
+    commands_.dispatch(it->second, {Command::Op::start, s.task, s.attempt, 0});
   }
 }
 
--- a/src/coordination/shard_leader/shard_leader_gangs.cpp
+++ b/src/coordination/shard_leader/shard_leader_gangs.cpp
@@ -48,7 +48,7 @@
     if (count > 0 && job->unstarted() > 0) changed_jobs_.insert(job.get());
   }
   if (replicas_.review()) scheduling_requested_ = true;
-  for (auto& machine : replicas_.machines_to_ask()) start_probe(machine);
+  for (auto& machine : replicas_.machines_to_ask()) commands_.start_probe(machine);
   for (auto& move : replicas_.take_moves()) stop_gang(*move.job, move.parts, 0);
 }
 
@@ -94,7 +94,7 @@
   auto reported = m.tasks.find(task.name);
   // One that is not reported yet is stopped by the next report.
   if (reported != m.tasks.end() && reported->second.attempt == task.attempt)
-    dispatch(m, {Command::Op::stop, task.name, task.attempt, grace_s});
+    commands_.dispatch(m, {Command::Op::stop, task.name, task.attempt, grace_s});
 }
 
 }  // namespace damsonport
--- a/src/coordination/shard_leader/shard_leader_machines.cpp
+++ b/src/coordination/shard_leader/shard_leader_machines.cpp
@@ -206,7 +206,7 @@
   if (auto t = m.tasks.find(task); t != m.tasks.end() && t->second.attempt == exit.attempt &&
                                    t->second.state == TaskState::exited &&
                                    !m.start_outstanding({task, exit.attempt}))
-    dispatch(m, {Command::Op::remove, task, exit.attempt, 0});
+    commands_.dispatch(m, {Command::Op::remove, task, exit.attempt, 0});
   auto& hints = hints_[task.job];
   switch (exit.cause) {
     case ExitCause::done: {
--- /dev/null
+++ b/tests/command_dispatcher_test.cpp
@@ -0,0 +1,248 @@
+/// Delivery of commands and probes: what is sent, how many requests are in progress at once, and
+/// what stays known of start commands whose request failed.
+#include "coordination/machines/command_dispatcher.hpp"
+
+#include <gtest/gtest.h>
+
+#include <map>
+
+#include "simulation/world.hpp"
+
+namespace damsonport {
+namespace {
+
+constexpr uint64_t agent_epoch = 7;
+
+Command command(Command::Op op, uint32_t index) { return {op, {"run-1", index}, 1, 0}; }
+
+/// A dispatcher whose machines answer by hand: a request waits until the test answers it.
+class CommandDispatcherTest : public ::testing::Test {
+ protected:
+  struct Request {
+    std::string to, target, body;
+    simulation::World::Answer answer;
+  };
+
+  CommandDispatcherTest() {
+    settings_.max_sockets = 1;  // so that the bound on requests is at its minimum
+    settings_.heartbeat_interval_s = 2;
+  }
+
+  Machine& add_machine(const std::string& id) {
+    Machine& machine = machines_[id];
+    machine.id = id;
+    machine.address = "10.1.0." + id.substr(2) + ":9000";
+    machine.agent_epoch = agent_epoch;
+    world_.serve(machine.address.substr(0, machine.address.find(':')),
+                 [this, id](const std::string&, Method, const std::string& target,
+                            const std::string& body, auto answer) {
+                   requests_.push_back({id, target, body, std::move(answer)});
+                 });
+    return machine;
+  }
+  CommandDispatcher::Callbacks callbacks() {
+    CommandDispatcher::Callbacks callbacks;
+    callbacks.fencing_token = [this] { return fencing_token_; };
+    callbacks.is_leading = [this] { return is_leading_; };
+    callbacks.find_machine = [this](const std::string& id) {
+      auto it = machines_.find(id);
+      return it == machines_.end() ? nullptr : &it->second;
+    };
+    callbacks.is_suspected = [this](const Machine& machine) { return machine.id == suspected_; };
+    callbacks.is_wanted = [this](const Machine&, const Command& command) {
+      return !unwanted_.contains(command.task);
+    };
+    callbacks.on_send_failed = [this](const std::string& id) { failed_.push_back(id); };
+    callbacks.on_status = [this](Machine&, const Heartbeat&, double requested_at) {
+      status_requested_at_.push_back(requested_at);
+      return commands_on_status_;
+    };
+    return callbacks;
+  }
+  void run(double seconds = 0.5) { world_.run_until(world_.now() + seconds); }
+  static std::string status_of(const std::string& id) {
+    return encode(Json{{"vessel", id},
+                       {"address", id + ":9000"},
+                       {"hull", "g"},
+                       {"dock", "a"},
+                       {"tender", false},
+                       {"watch", agent_epoch},
+                       {"tally", 3},
+                       {"helm", 41},
+                       {"recall_s", nullptr},
+                       {"hands", Json::array()}});
+  }
+
+  simulation::World world_{1};
+  simulation::VirtualLoop loop_{world_, "n0", std::seed_seq{1}, 1, 0};
+  simulation::VirtualNetwork::Streams streams_;
+  simulation::VirtualNetwork network_{loop_, "n0", streams_};
+  std::unique_ptr<HttpClient> http_ = network_.client();
+  Settings settings_;
+  uint64_t fencing_token_ = 41;
+  bool is_leading_ = true;
+  std::string suspected_;
+  std::set<TaskId> unwanted_;
+  std::vector<Command> commands_on_status_;
+  std::map<std::string, Machine> machines_;
+  std::vector<Request> requests_;
+  std::vector<std::string> failed_;
+  std::vector<double> status_requested_at_;
+  CommandDispatcher dispatcher_{loop_, settings_, *http_, callbacks()};
+};
+
+TEST_F(CommandDispatcherTest, CommandsOfOneTurnShareARequest) {
+  Machine& machine = add_machine("i-1");
+  const std::vector<Command> commands = {command(Command::Op::start, 0),
+                                         command(Command::Op::stop, 1)};
+  for (auto& each : commands) dispatcher_.dispatch(machine, each);
+  run();
+  ASSERT_EQ(requests_.size(), 1u);
+  EXPECT_EQ(requests_[0].target, "/commands");
+  EXPECT_EQ(requests_[0].body, encode_direct_commands(fencing_token_, agent_epoch, commands));
+  EXPECT_EQ(machine.in_flight, (std::set<AttemptKey>{{{"run-1", 0}, 1}}));
+}
+
+TEST_F(CommandDispatcherTest, AMachineHasOneRequestInProgressAtATime) {
+  Machine& machine = add_machine("i-1");
+  dispatcher_.dispatch(machine, command(Command::Op::stop, 0));
+  run();
+  dispatcher_.dispatch(machine, command(Command::Op::stop, 1));
+  run();
+  ASSERT_EQ(requests_.size(), 1u);
+  requests_[0].answer({200, status_of("i-1")});
+  run();
+  ASSERT_EQ(requests_.size(), 2u);
+  EXPECT_EQ(requests_[1].body,
+            encode_direct_commands(fencing_token_, agent_epoch, {command(Command::Op::stop, 1)}));
+}
+
+TEST_F(CommandDispatcherTest, UnwantedCommandsAreNotSent) {
+  Machine& machine = add_machine("i-1");
+  dispatcher_.dispatch(machine, command(Command::Op::start, 0));
+  unwanted_.insert({"run-1", 0});
+  run();
+  EXPECT_TRUE(requests_.empty());
+  EXPECT_FALSE(machine.sending);
+}
+
+TEST_F(CommandDispatcherTest, NothingIsSentToASuspectedMachineOrOneWithoutHeartbeat) {
+  Machine& suspected = add_machine("i-1");
+  suspected_ = "i-1";
+  Machine& unknown = add_machine("i-2");
+  unknown.agent_epoch = 0;
+  dispatcher_.dispatch(suspected, command(Command::Op::stop, 0));
+  dispatcher_.dispatch(unknown, command(Command::Op::stop, 0));
+  run();
+  EXPECT_TRUE(requests_.empty());
+  EXPECT_TRUE(suspected.outbox.empty());
+}
+
+TEST_F(CommandDispatcherTest, NothingIsSentAfterTheLeaseIsLost) {
+  Machine& machine = add_machine("i-1");
+  dispatcher_.dispatch(machine, command(Command::Op::stop, 0));
+  is_leading_ = false;
+  run();
+  EXPECT_TRUE(requests_.empty());
+}
+
+TEST_F(CommandDispatcherTest, AStartWithoutAnswerMayStillArrive) {
+  Machine& machine = add_machine("i-1");
+  dispatcher_.dispatch(machine, command(Command::Op::start, 0));
+  run();
+  dispatcher_.dispatch(machine, command(Command::Op::stop, 1));
+  run(5);  // past the time limit of the request
+  EXPECT_EQ(machine.failed_sends, 1);
+  EXPECT_EQ(failed_, std::vector<std::string>{"i-1"});
+  EXPECT_TRUE(machine.in_flight.empty());
+  EXPECT_EQ(machine.in_limbo, (std::set<AttemptKey>{{{"run-1", 0}, 1}}));
+  EXPECT_TRUE(machine.outbox.empty()) << "the next heartbeat yields anew what is still wanted";
+  EXPECT_FALSE(machine.sending);
+}
+
+TEST_F(CommandDispatcherTest, AnAnswerOfAnEarlierLeaseIsIgnored) {
+  Machine& machine = add_machine("i-1");
+  dispatcher_.dispatch(machine, command(Command::Op::stop, 0));
+  run();
+  ASSERT_EQ(requests_.size(), 1u);
+  ++fencing_token_;
+  requests_[0].answer({200, status_of("i-1")});
+  run();
+  EXPECT_TRUE(status_requested_at_.empty());
+}
+
+TEST_F(CommandDispatcherTest, OnlyRemovalsFollowAnAnswerAtOnce) {
+  Machine& machine = add_machine("i-1");
+  dispatcher_.dispatch(machine, command(Command::Op::stop, 0));
+  run();
+  ASSERT_EQ(requests_.size(), 1u);
+  commands_on_status_ = {command(Command::Op::stop, 0), command(Command::Op::remove, 1)};
+  requests_[0].answer({200, status_of("i-1")});
+  run();
+  ASSERT_EQ(requests_.size(), 2u);
+  EXPECT_EQ(requests_[1].body,
+            encode_direct_commands(fencing_token_, agent_epoch, {command(Command::Op::remove, 1)}));
+}
+
+TEST_F(CommandDispatcherTest, RequestsAreBoundedAndTheQueueIsServedAsTheyEnd) {
+  const auto bound = static_cast<size_t>(CommandDispatcher::max_concurrent_sends(settings_));
+  for (size_t n = 0; n < bound + 2; ++n)
+    dispatcher_.dispatch(add_machine("i-" + std::to_string(n)), command(Command::Op::stop, 0));
+  run();
+  ASSERT_EQ(requests_.size(), bound);
+  requests_[0].answer({200, status_of("i-0")});
+  run();
+  EXPECT_EQ(requests_.size(), bound + 1);
+}
+
+TEST_F(CommandDispatcherTest, ANewLeaseForgetsTheQueue) {
+  const auto bound = static_cast<size_t>(CommandDispatcher::max_concurrent_sends(settings_));
+  for (size_t n = 0; n < bound + 2; ++n)
+    dispatcher_.dispatch(add_machine("i-" + std::to_string(n)), command(Command::Op::stop, 0));
+  run();
+  ASSERT_EQ(requests_.size(), bound);
+  dispatcher_.begin_lease();
+  requests_[0].answer({200, status_of("i-0")});
+  run();
+  EXPECT_EQ(requests_.size(), bound);
+}
+
+TEST_F(CommandDispatcherTest, AProbeReportsTheStatusAndIsNotRepeatedMeanwhile) {
+  add_machine("i-1");
+  const double asked_at = loop_.now();
+  dispatcher_.start_probe("i-1");
+  dispatcher_.start_probe("i-1");
+  run();
+  ASSERT_EQ(requests_.size(), 1u);
+  EXPECT_EQ(requests_[0].target, "/show");
+  requests_[0].answer({200, status_of("i-1")});
+  run();
+  EXPECT_EQ(status_requested_at_, std::vector<double>{asked_at});
+  dispatcher_.start_probe("i-1");
+  run();
+  EXPECT_EQ(requests_.size(), 2u);
+}
+
+TEST_F(CommandDispatcherTest, AStatusOfAnotherMachineIsIgnored) {
+  add_machine("i-1");
+  dispatcher_.start_probe("i-1");
+  run();
+  ASSERT_EQ(requests_.size(), 1u);
+  requests_[0].answer({200, status_of("i-2")});
+  run();
+  EXPECT_TRUE(status_requested_at_.empty());
+}
+
+TEST_F(CommandDispatcherTest, ProbesAreBoundedToHalfOfTheRequests) {
+  const auto bound = static_cast<size_t>(CommandDispatcher::max_concurrent_sends(settings_)) / 2;
+  for (size_t n = 0; n < bound + 2; ++n) {
+    const std::string id = "i-" + std::to_string(n);
+    add_machine(id);
+    dispatcher_.start_probe(id);
+  }
+  run();
+  EXPECT_EQ(requests_.size(), bound);
+}
+
+}  // namespace
+}  // namespace damsonport
