--- /dev/null
+++ b/src/coordination/leadership/shard_lease_keeper.cpp
@@ -0,0 +1,130 @@
+#include "coordination/leadership/shard_lease_keeper.hpp"
+
+#include <spdlog/spdlog.h>
+
+namespace damsonport {
+
+namespace {
+/// Renewals for each lease time: an outage of the store has to fit into what is left of the lease.
+constexpr double renewals_per_lease = 6;
+/// After a renewal that failed or whose outcome is unknown.
+constexpr double renewal_retry_s = 0.2;
+/// A healthy machine sends at least one heartbeat in so many heartbeat intervals.
+constexpr double heartbeat_recency_intervals = 1.5;
+/// After a failover machines still come here by way of the other controllers for this long.
+constexpr double failover_intervals = 3;
+/// Share of the lease for which the machines have to be unreachable before stepping down.
+constexpr double unreachable_lease_share = 0.125;
+}  // namespace
+
+const ShardLease* ShardLeaseKeeper::own_lease() const {
+  for (auto& lease : deps_.cache.shard_table().leases) {
+    const bool own = lease.controller == deps_.settings.controller_name &&
+                     lease.incarnation == deps_.incarnation;
+    if (own) return &lease;
+  }
+  return nullptr;
+}
+
+bool ShardLeaseKeeper::is_deposed() const {
+  return fencing_token_ != 0 && deps_.peer_network.newest_shard_leader().second > fencing_token_;
+}
+
+bool ShardLeaseKeeper::leads_cluster_and_shard() const {
+  return is_leading() && !is_deposed() && deps_.election.is_leading();
+}
+
+bool ShardLeaseKeeper::records_current() const {
+  return deps_.cache.loaded() && deps_.cache.revision() >= required_revision_;
+}
+
+void ShardLeaseKeeper::note_acquired() {
+  fencing_token_ = own_lease()->fencing_token;
+  required_revision_ = deps_.cache.shard_table_version();
+  acquired_at_ = deps_.loop.now();
+  unreachable_since_.reset();
+  callbacks_.on_acquired();
+}
+
+Transaction ShardLeaseKeeper::renewal_transaction() const {
+  const uint64_t replaced = deps_.cache.shard_table_version();
+  ShardTable next = deps_.cache.shard_table();
+  if (!own_lease()) {
+    ShardLease lease;
+    lease.controller = deps_.settings.controller_name;
+    lease.incarnation = deps_.incarnation;
+    // The very first table replaces nothing; the leader's key is older than any later revision.
+    lease.fencing_token = replaced ? replaced : deps_.cache.leader_version();
+    lease.covers_unassigned = true;
+    next.leases = {lease};
+  }
+  ++next.renewals;
+  Transaction transaction;
+  transaction.preconditions[keys::shard_table] = replaced;
+  transaction.preconditions[keys::leader] = deps_.cache.leader_version();
+  transaction.writes.push_back({keys::shard_table, encode_shard_table(next), 0});
+  return transaction;
+}
+
+Task<void> ShardLeaseKeeper::reread_records() {
+  for (auto& key : {keys::shard_table, keys::leader}) {
+    auto read = co_await deps_.store.get(key, Importance::lease);
+    if (read.ok && read.found) deps_.cache.apply(read.key_value);
+  }
+}
+
+Task<ShardRole> ShardLeaseKeeper::renew(std::stop_token stop_token) {
+  const double now = deps_.loop.now();
+  const ShardLease* own = own_lease();
+  if (own && fencing_token_ != own->fencing_token) note_acquired();
+  if (!own && fencing_token_ != 0) {
+    spdlog::info("shard lease with fencing token {} lost to another controller", fencing_token_);
+    fencing_token_ = 0;
+    callbacks_.on_lost();
+  }
+  if (!deps_.election.is_leading())
+    co_return fencing_token_ != 0 ? ShardRole::leader : ShardRole::follower;
+  if (own && now < next_renewal_at_) co_return ShardRole::leader;
+
+  const bool is_acquisition = !own;
+  Transaction transaction = renewal_transaction();
+  const auto writes = transaction.writes;
+  const double requested_at = deps_.loop.now();
+  auto result = co_await deps_.store.compare_and_swap(std::move(transaction), Importance::lease);
+  if (result.outcome == TransactionOutcome::committed) {
+    deps_.cache.apply_writes(writes, result.revision);
+    next_renewal_at_ = requested_at + deps_.settings.tuning.shard_lease_s / renewals_per_lease;
+    if (is_acquisition) note_acquired();
+    co_return ShardRole::leader;
+  }
+  const bool is_table_uncertain = result.outcome == TransactionOutcome::conflict ||
+                                  result.outcome == TransactionOutcome::unknown;
+  if (is_table_uncertain) co_await reread_records();
+  next_renewal_at_ = deps_.loop.now() + renewal_retry_s;
+  const bool still_leading = !stop_token.stop_requested() && is_leading();
+  co_return still_leading ? ShardRole::leader : ShardRole::follower;
+}
+
+double ShardLeaseKeeper::heartbeat_recency_s() const {
+  return heartbeat_recency_intervals * deps_.settings.heartbeat_interval_s;
+}
+
+void ShardLeaseKeeper::step_down_if_unreachable(size_t reachable_machines) {
+  const double now = deps_.loop.now();
+  const uint64_t misrouted = deps_.peer_network.misrouted_machines();
+  const bool failover_over =
+      now - acquired_at_ > failover_intervals * deps_.settings.heartbeat_interval_s;
+  const bool unreachable = failover_over && misrouted > reachable_machines;
+  if (!unreachable || !deps_.election.is_leading()) {
+    unreachable_since_.reset();
+    return;
+  }
+  if (!unreachable_since_) unreachable_since_ = now;
+  if (now - *unreachable_since_ < deps_.settings.lease_s * unreachable_lease_share) return;
+  spdlog::warn("{} machines reach this controller and {} another one: stepping down",
+               reachable_machines, misrouted);
+  deps_.election.step_down();
+  unreachable_since_.reset();
+}
+
+}  // namespace damsonport
--- a/src/coordination/shard_leader/shard_leader.cpp
+++ b/src/coordination/shard_leader/shard_leader.cpp
@@ -2,6 +2,8 @@
 
 #include <spdlog/spdlog.h>
 
+#include <algorithm>
+
 namespace damsonport {
 
 ShardLeader::ShardLeader(Dependencies deps)
@@ -10,6 +12,9 @@
       settings_(deps.settings),
       tuning_(deps.settings.tuning),
       cache_(deps.cache),
+      lease_({loop_, settings_, deps.store, cache_, deps.election, deps.peer_network,
+              deps.incarnation},
+             {[this] { on_lease_acquired(); }, [this] { on_lease_lost(); }}),
       contact_(loop_, settings_, deps.store),
       lease_renewal_(loop_, settings_, cache_, deps.peer_network, deps.cancellations,
                      deps.exit_forwarder, contact_),
@@ -27,14 +32,6 @@
                  }),
       commands_(loop_, settings_, deps.http, dispatcher_callbacks()) {}
 
-const ShardLease* ShardLeader::own_lease() const {
-  for (auto& g : cache_.shard_table().leases)
-    if (g.controller == settings_.controller_name && g.incarnation == deps_.incarnation) return &g;
-  return nullptr;
-}
-
-bool ShardLeader::is_leading() const { return fencing_token_ != 0 && own_lease() != nullptr; }
-
 bool ShardLeader::is_still_wanted(const Machine& m, const Command& command) const {
   if (command.op != Command::Op::start) return true;
   return !exits_.contains(command.task) && cache_.places(command.task, command.attempt, m.id);
@@ -42,13 +39,15 @@
 
 CommandDispatcher::Callbacks ShardLeader::dispatcher_callbacks() {
   CommandDispatcher::Callbacks callbacks;
-  callbacks.fencing_token = [this] { return fencing_token_; };
+  callbacks.fencing_token = [this] { return lease_.fencing_token(); };
   callbacks.is_leading = [this] { return is_leading(); };
   callbacks.find_machine = [this](const std::string& id) {
     auto it = machines_.find(id);
     return it == machines_.end() ? nullptr : &it->second;
   };
-  callbacks.is_suspected = [this](const Machine& m) { return failure_detector_.is_suspected(m, loop_.now()); };
+  callbacks.is_suspected = [this](const Machine& m) {
+    return failure_detector_.is_suspected(m, loop_.now());
+  };
   callbacks.is_wanted = [this](const Machine& m, const Command& command) {
     if (!is_still_wanted(m, command)) return false;
     // The start of a cancelled task that is never sent can't arrive: the next heartbeat proves that
@@ -64,14 +63,10 @@
   return callbacks;
 }
 
-bool ShardLeader::records_current() const {
-  return cache_.loaded() && cache_.revision() >= required_revision_;
-}
-
 void ShardLeader::apply_forwarded_exits() {
-  if (!records_current()) return;
+  if (!lease_.records_current()) return;
   for (auto& [controller, forwarded] : cache_.forwarded_exits()) {
-    if (forwarded.fencing_token != fencing_token_) continue;
+    if (forwarded.fencing_token != lease_.fencing_token()) continue;
     for (auto& exit : forwarded.exits) {
       if (exits_.contains(exit.task) || !cache_.places(exit.task, exit.attempt, exit.machine))
         continue;
@@ -83,24 +78,19 @@
 }
 
 void ShardLeader::on_lease_acquired() {
-  auto* g = own_lease();
-  fencing_token_ = g->fencing_token;
-  required_revision_ = cache_.shard_table_version();
-  lease_acquired_at_ = loop_.now();
-  failure_detector_.begin_lease(lease_acquired_at_);
+  failure_detector_.begin_lease(lease_.acquired_at());
   lease_renewal_.clear();
-  unreachable_since_ = 0;
   machines_.clear();
   deduplicator_.clear();
   attempts_.clear();
   exits_.clear();
   stopping_.clear();
   cancelled_.clear();
-  scale_in_.begin_lease(fencing_token_);
+  scale_in_.begin_lease(lease_.fencing_token());
   rechunker_.clear();
   uncommitted_starts_ = 0;
   commands_.begin_lease();
-  autoscaler_.begin_lease(fencing_token_);
+  autoscaler_.begin_lease(lease_.fencing_token());
   hints_.clear();
   gangs_.clear();
   replicas_.clear();
@@ -109,7 +99,7 @@
   next_list_ = 0;
   // Machines that an earlier holder rented are heard first. The first one of all has none.
   const bool first_of_all = cache_.shard_table().renewals <= 1;
-  next_scaling_at_ = lease_acquired_at_ + (first_of_all ? 0 : 2 * settings_.heartbeat_interval_s);
+  next_scaling_at_ = lease_.acquired_at() + (first_of_all ? 0 : 2 * settings_.heartbeat_interval_s);
   deps_.quotas.begin_lease();
   quota_news_ = true;
   reset_snapshot();
@@ -125,70 +115,21 @@
     replicas_.add_job(*job);
     changed_jobs_.insert(job.get());
   }
-  spdlog::info("holding the grant with term {}: {} machines named in records, {} jobs",
-               fencing_token_, machines_.size(), cache_.jobs().size());
+  spdlog::info("shard lease with fencing token {} acquired: {} machines in the records, {} jobs",
+               lease_.fencing_token(), machines_.size(), cache_.jobs().size());
   if (deps_.quotas.divided() && !deps_.quotas.exchanging())
     spdlog::warn(
         "the teams' limits are divided by the records, but no regions file is given: "
         "nothing is moved between regions from here");
 }
 
-// One value says who holds what. While it names another the leader replaces it; while it names us
-// we renew it. The term is the revision of the value that was replaced when the holder changed:
-// unique and growing, because no revision occurs twice.
-Task<bool> ShardLeader::renew_lease(std::stop_token stop_token) {
-  const double now = loop_.now();
-  const ShardLease* own = own_lease();
-  if (own && fencing_token_ != own->fencing_token) on_lease_acquired();
-  if (!own && fencing_token_ != 0) {
-    spdlog::info("the grant with term {} has gone to another holder", fencing_token_);
-    fencing_token_ = 0;
-    scale_in_.end_lease();
-    autoscaler_.end_lease();
-  }
-  if (!deps_.election.is_leading()) co_return fencing_token_ != 0;
-  if (own && now < next_renewal_) co_return true;
-
-  Transaction transaction;
-  uint64_t replaced = cache_.shard_table_version();
-  ShardTable next = cache_.shard_table();
-  if (!own) {
-    ShardLease g;
-    g.controller = settings_.controller_name;
-    g.incarnation = deps_.incarnation;
-    // The very first value replaces nothing; the leader's key is older than any later revision.
-    g.fencing_token = replaced ? replaced : cache_.leader_version();
-    g.covers_unassigned = true;
-    next.leases = {g};
-  }
-  ++next.renewals;
-  transaction.preconditions[keys::shard_table] = replaced;
-  transaction.preconditions[keys::leader] = cache_.leader_version();
-  transaction.writes.push_back({keys::shard_table, encode_shard_table(next), 0});
-  auto writes = transaction.writes;
-  const double asked = loop_.now();
-  auto reply = co_await deps_.store.compare_and_swap(std::move(transaction), Importance::lease);
-  if (reply.outcome == TransactionOutcome::committed) {
-    cache_.apply_writes(writes, reply.revision);
-    // Early and often: an outage must fit into what is left of the grant.
-    next_renewal_ = asked + tuning_.shard_lease_s / 6;
-    if (!own) on_lease_acquired();
-    co_return true;
-  }
-  if (reply.outcome == TransactionOutcome::conflict ||
-      reply.outcome == TransactionOutcome::unknown) {
-    for (auto& key : {keys::shard_table, keys::leader}) {
-      auto read = co_await deps_.store.get(key, Importance::lease);
-      if (read.ok && read.found) cache_.apply(read.key_value);
-    }
-  }
-  next_renewal_ = loop_.now() + 0.2;
-  if (stop_token.stop_requested()) co_return false;
-  co_return is_leading();
+void ShardLeader::on_lease_lost() {
+  scale_in_.end_lease();
+  autoscaler_.end_lease();
 }
 
 void ShardLeader::job_changed(Job* job) {
-  if (fencing_token_ != 0 && job) {
+  if (lease_.fencing_token() != 0 && job) {
     scheduling_requested_ = true;
     changed_jobs_.insert(job);
     replicas_.add_job(*job);
@@ -221,11 +162,11 @@
       continue;
     }
     bool busy = false;
-    if (co_await renew_lease(stop_token)) {
+    if (co_await lease_.renew(stop_token) == ShardRole::leader) {
       if (is_leading()) apply_forwarded_exits();
       busy = co_await commit_exits(stop_token);
       if (is_leading()) busy = co_await commit_finals(stop_token) || busy;
-      if (is_leading() && records_current())
+      if (is_leading() && lease_.records_current())
         busy = co_await rechunker_.commit_next(stop_token) || busy;
       if (is_leading()) busy = co_await commit_quotas(stop_token) || busy;
       if (is_leading()) busy = co_await commit_starts(stop_token) || busy;
@@ -244,12 +185,12 @@
     if (!co_await Sleep(loop_, tick, stop_token)) co_return;
     lease_renewal_.forget_old_visits();
     std::erase_if(images_seen_, [&](auto& entry) { return cache_.has_tombstone(entry.first); });
-    if (!is_leading() || is_deposed()) {
+    if (!is_leading() || lease_.is_deposed()) {
       co_await orphan_cleanup_.run_once(stop_token);
       continue;
     }
     failure_detector_.note_tick(loop_.now(), tick);
-    if (!records_current() || !deps_.catalog.known()) continue;
+    if (!lease_.records_current() || !deps_.catalog.known()) continue;
     step_down_if_unreachable();
     detect_dead_machines();
     check_cancelled_tasks();
@@ -275,36 +216,20 @@
   }
 }
 
-// A holder that hears few of its machines while they come to other nodes can't do its work. It
-// gives the leadership up, and one that they reach takes over. Where nobody else hears them either,
-// the fault is theirs, and nothing is gained by going.
 void ShardLeader::step_down_if_unreachable() {
-  // A report period and a half, over which a healthy machine reports at least once.
-  constexpr double heard_within_reports = 1.5, deaf_lease_share = 0.125;
   const double now = loop_.now();
-  const double heard_within = heard_within_reports * settings_.heartbeat_interval_s;
-  size_t received = 0;
-  for (auto& [id, m] : machines_)
-    received += now - m.last_heartbeat_at < heard_within && m.agent_epoch != 0;
-  // After a takeover they come here by way of the others.
-  const bool acknowledged = now - lease_acquired_at_ > 3 * settings_.heartbeat_interval_s;
-  const bool deaf = acknowledged && deps_.peer_network.misrouted_machines() > received;
-  if (!deaf || !deps_.election.is_leading()) {
-    unreachable_since_ = 0;
-    return;
-  }
-  if (unreachable_since_ == 0) unreachable_since_ = now;
-  if (now - unreachable_since_ < settings_.lease_s * deaf_lease_share) return;
-  spdlog::warn("{} machines heard here and {} by other controllers: giving the leadership up",
-               received, deps_.peer_network.misrouted_machines());
-  deps_.election.step_down();
-  unreachable_since_ = 0;
+  const double recency_s = lease_.heartbeat_recency_s();
+  const auto reachable = std::count_if(machines_.begin(), machines_.end(), [&](auto& entry) {
+    auto& [id, m] = entry;
+    return m.agent_epoch != 0 && now - m.last_heartbeat_at < recency_s;
+  });
+  lease_.step_down_if_unreachable(static_cast<size_t>(reachable));
 }
 
 std::optional<HttpResponse> ShardLeader::refusal(const std::string& machine,
                                                  uint64_t fencing_token) {
   // A newer holder exists: a 200 would only hold the worker here while its lease runs out.
-  if (fencing_token > fencing_token_) return HttpResponse{421, encode_redirect({}), 0};
+  if (fencing_token > lease_.fencing_token()) return HttpResponse{421, encode_redirect({}), 0};
   const bool lost = deps_.peer_network.alone() && !contact_.in_contact();
   if (!lease_renewal_.may_renew(lost && lease_renewal_.note_visit(machine)))
     return HttpResponse{503, {}, 0};
@@ -324,7 +249,7 @@
 
 // Only what the holder itself took last is remembered, so its token is known to be ours.
 std::optional<HttpResponse> ShardLeader::answer_repeated_heartbeat(const HttpRequest& request) {
-  if (!is_leading() || is_deposed()) return std::nullopt;
+  if (!is_leading() || lease_.is_deposed()) return std::nullopt;
   const auto repeat = deduplicator_.find(request.body);
   if (!repeat || faults_.any() || scale_in_.tracker().is_declared_dead(repeat->machine))
     return std::nullopt;
@@ -338,13 +263,13 @@
   m.state_as_of = std::max(m.state_as_of, request.previous_answer_at);
   if (!m.tasks.empty()) m.idle_since = now;
   m.in_answer.clear();
-  return HttpResponse{200, encode_heartbeat_response(fencing_token_, {}), 0};
+  return HttpResponse{200, encode_heartbeat_response(lease_.fencing_token(), {}), 0};
 }
 
 HttpResponse ShardLeader::on_decoded_heartbeat(const Heartbeat& r, const HttpRequest& request) {
   // Gone, as the cloud said: this is a late copy.
   if (scale_in_.tracker().is_returned(r.machine)) return {421, encode_redirect({}), 0};
-  if (!is_leading() || is_deposed()) return lease_renewal_.answer(r);
+  if (!is_leading() || lease_.is_deposed()) return lease_renewal_.answer(r);
   if (auto no = refusal(r.machine, r.fencing_token)) return *no;
   std::vector<Command> commands;
   Machine& m = machine(r.machine);
@@ -357,7 +282,7 @@
     for (auto& c : commands)
       if (c.op == Command::Op::start) m.in_answer.insert({c.task, c.attempt});
   }
-  return {200, encode_heartbeat_response(fencing_token_, commands), 0};
+  return {200, encode_heartbeat_response(lease_.fencing_token(), commands), 0};
 }
 
 }  // namespace damsonport
--- a/src/coordination/shard_leader/shard_leader.hpp
+++ b/src/coordination/shard_leader/shard_leader.hpp
@@ -9,10 +9,10 @@
 #include "coordination/autoscaling/autoscaler_driver.hpp"
 #include "coordination/autoscaling/machine_type_catalog.hpp"
 #include "coordination/autoscaling/scale_in.hpp"
-#include "coordination/leadership/election.hpp"
 #include "coordination/leadership/exit_forwarder.hpp"
 #include "coordination/leadership/lease_renewal.hpp"
 #include "coordination/leadership/peer_network.hpp"
+#include "coordination/leadership/shard_lease_keeper.hpp"
 #include "coordination/leadership/version_registry.hpp"
 #include "coordination/machines/command_dispatcher.hpp"
 #include "coordination/machines/failure_detector.hpp"
@@ -63,9 +63,9 @@
 
   // The answer to a report in the form in which it came.
   HttpResponse on_heartbeat(const HttpRequest& request);
-  bool is_leading() const;
-  // Of the grant held; 0: none.
-  uint64_t fencing_token() const { return is_leading() ? fencing_token_ : 0; }
+  bool is_leading() const { return lease_.is_leading(); }
+  /// Of the lease held; 0: none.
+  uint64_t fencing_token() const { return is_leading() ? lease_.fencing_token() : 0; }
   uint64_t pending_tasks() const { return pending_tasks_; }
   // Machines that report, or are named by the records.
   size_t fleet_size() const {
@@ -107,14 +107,8 @@
     double grace_s;
   };
 
-  // --- grants (holder.cpp)
-  const ShardLease* own_lease() const;
-  Task<bool> renew_lease(std::stop_token stop_token);
   void on_lease_acquired();
-  // A peer says that it holds a newer grant: ours is over, though we may not have read it.
-  bool is_deposed() const {
-    return fencing_token_ != 0 && deps_.peer_network.newest_shard_leader().second > fencing_token_;
-  }
+  void on_lease_lost();
   void step_down_if_unreachable();
 
   // --- cancelled jobs
@@ -148,7 +142,6 @@
   // What the exits that were committed teach, and their end here.
   void finish_exits(const std::vector<TaskId>& tasks);
   Task<void> reread(std::vector<std::string> failed);
-  bool records_current() const;
   // What every write has to fit.
   const StateLimits& limits() const { return settings_.state_limits.always(); }
   static bool is_over(const Job& job) { return job.cancelled ? job.live == 0 : job.finished(); }
@@ -219,8 +212,6 @@
   CommandDispatcher::Callbacks dispatcher_callbacks();
 
   // --- cloud (holder_cloud.cpp)
-  // Leader and holder, so that the cloud is this controller's to deal with.
-  bool leads_cluster_and_shard() const;
   void note_listed(const ListedMachine& listed);
   void detect_dead_machines();
   void check_cancelled_tasks();
@@ -237,18 +228,13 @@
   const Tuning& tuning_;
   RecordCache& cache_;
 
-  // Of the present grant; cleared when it is taken over.
-  uint64_t fencing_token_ = 0;
-  uint64_t required_revision_ = 0;  // records must be complete up to here before anything is placed
-  double next_renewal_ = 0;
-  double lease_acquired_at_ = 0;
+  ShardLeaseKeeper lease_;
 
   StoreContact contact_;
   LeaseRenewal lease_renewal_;
   MachineListReader machine_list_;
   OrphanCleanup orphan_cleanup_;
   FailureDetector failure_detector_;
-  double unreachable_since_ = 0;  // 0: the machines are heard
   // Which images the records put on which machine and when, seen by every node from the changes it
   // follows, so that a new holder knows most of what the last one knew.
   std::unordered_map<std::string, ImageCache> images_seen_;
--- a/src/coordination/shard_leader/shard_leader_budgets.cpp
+++ b/src/coordination/shard_leader/shard_leader_budgets.cpp
@@ -14,7 +14,7 @@
 // A gift counts on the records alone: none of this holder's starts is under way or in doubt here,
 // since it writes one transaction at a time, and an older holder's fail on `blocks`.
 Task<bool> ShardLeader::commit_quotas(std::stop_token stop_token) {
-  if (!deps_.quotas.exchanging() || !records_current()) co_return false;
+  if (!deps_.quotas.exchanging() || !lease_.records_current()) co_return false;
   // An older version that takes over would count the whole limit as its own.
   if (!deps_.versions.all_have(VersionRegistry::quotas)) co_return false;
   const double now = loop_.now();
--- a/src/coordination/shard_leader/shard_leader_cancelled.cpp
+++ b/src/coordination/shard_leader/shard_leader_cancelled.cpp
@@ -19,7 +19,7 @@
 
 void ShardLeader::cancelled_elsewhere(const std::string& id) {
   Job* job = cache_.job(id);
-  if (fencing_token_ == 0 || !job) return;
+  if (lease_.fencing_token() == 0 || !job) return;
   changed_jobs_.insert(job);
   stop_cancelled(*job);
   deps_.changed.notify();
@@ -56,7 +56,7 @@
   const double limit = settings_.cancel_s * tuning_.cancel_return_share;
   // A new holder has not heard yet what its machines did meanwhile. It waits for that, but not past
   // the time at which the task must be gone; what is older was long stopped, or is too late.
-  const bool acknowledged = now - lease_acquired_at_ > 2 * settings_.heartbeat_interval_s;
+  const bool acknowledged = now - lease_.acquired_at() > 2 * settings_.heartbeat_interval_s;
   const double latest = settings_.cancel_s * 0.9;
   const double too_late = settings_.cancel_s * 1.1;
   for (auto& id : cancelled_) {
--- a/src/coordination/shard_leader/shard_leader_cloud.cpp
+++ b/src/coordination/shard_leader/shard_leader_cloud.cpp
@@ -14,21 +14,18 @@
   while (!stop_token.stop_requested()) {
     if (!co_await Sleep(loop_, tick_s, stop_token)) co_return;
     const bool due = loop_.now() >= next_list_;
-    if (!due || !leads_cluster_and_shard() || !records_current() || !deps_.catalog.known())
+    if (!due || !lease_.leads_cluster_and_shard() || !lease_.records_current() ||
+        !deps_.catalog.known())
       continue;
     next_list_ = loop_.now() + settings_.list_lag_s / 2;
     MachineListReader::Take take = [this](auto& listed) { note_listed(listed); };
-    MachineListReader::KeepGoing keep_going = [this, fencing_token = fencing_token_] {
-      return fencing_token == fencing_token_ && leads_cluster_and_shard();
+    MachineListReader::KeepGoing keep_going = [this, fencing_token = lease_.fencing_token()] {
+      return fencing_token == lease_.fencing_token() && lease_.leads_cluster_and_shard();
     };
     co_await machine_list_.read(std::move(take), std::move(keep_going), stop_token);
   }
 }
 
-bool ShardLeader::leads_cluster_and_shard() const {
-  return is_leading() && !is_deposed() && deps_.election.is_leading();
-}
-
 void ShardLeader::note_listed(const ListedMachine& listed) {
   if (scale_in_.tracker().is_returned(listed.id)) return;  // the list lags
   if (cache_.has_tombstone(listed.id)) {
--- a/src/coordination/shard_leader/shard_leader_commit.cpp
+++ b/src/coordination/shard_leader/shard_leader_commit.cpp
@@ -95,7 +95,7 @@
 }
 
 Task<bool> ShardLeader::commit_exits(std::stop_token stop_token) {
-  if (exits_.empty() || !records_current()) co_return false;
+  if (exits_.empty() || !lease_.records_current()) co_return false;
   ChunkEdits edits(cache_, limits());
   std::vector<TaskId> taken, last;  // `last`: those that end their jobs
   for (auto it = exits_.begin(); it != exits_.end();) {
@@ -144,7 +144,7 @@
 
 // A job's record goes when all its tasks are done, or when it was cancelled and none is left.
 Task<bool> ShardLeader::commit_finals(std::stop_token stop_token) {
-  if (!records_current()) co_return false;
+  if (!lease_.records_current()) co_return false;
   Transaction transaction;
   std::vector<std::string> ended;
   int room = limits().txn_writes;
@@ -194,7 +194,7 @@
 
 Task<bool> ShardLeader::commit_starts(std::stop_token stop_token) {
   const double now = loop_.now();
-  if (!records_current() || !deps_.catalog.known() || !scheduling_requested_ ||
+  if (!lease_.records_current() || !deps_.catalog.known() || !scheduling_requested_ ||
       now < next_cycle_at_)
     co_return false;
   uncommitted_starts_ = 0;
--- a/src/coordination/shard_leader/shard_leader_machines.cpp
+++ b/src/coordination/shard_leader/shard_leader_machines.cpp
@@ -79,7 +79,7 @@
   }
   note_states(m);
   note_absent_parts(m);
-  auto todo = reconcile(m, desired_tasks_on(m), fencing_token_, records_current());
+  auto todo = reconcile(m, desired_tasks_on(m), lease_.fencing_token(), lease_.records_current());
   for (auto& e : todo.exits) {
     if (exits_.contains(e.task)) continue;
     spdlog::debug("{} attempt {} ended on {}: cause {}", e.task.text(), e.attempt, m.id,
@@ -98,7 +98,7 @@
 }
 
 void ShardLeader::assignment_changed(const std::string& machine, const Job& job, bool added) {
-  if (fencing_token_ != 0) mark_changed(machine);
+  if (lease_.fencing_token() != 0) mark_changed(machine);
   if (!added) return;
   // How much a machine holds depends on its type, which is not known here: as much as any.
   double most = 0;
@@ -156,7 +156,8 @@
 // A replica that may have been ready is never ready again under an attempt that lost a part, so the
 // part isn't started anew as any other task would be: the attempt is over.
 void ShardLeader::note_absent_parts(const Machine& m) {
-  if (!replicas_.any() || m.fencing_token < fencing_token_ || !records_current()) return;
+  if (!replicas_.any() || m.fencing_token < lease_.fencing_token() || !lease_.records_current())
+    return;
   std::vector<std::pair<const Job*, TaskRange>> concerned;
   for (auto& [assignment, attempt] : cache_.assigned(m.id)) {
     const Job& job = *assignment.job;
