--- a/src/coordination/shard_leader/shard_leader.cpp
+++ b/src/coordination/shard_leader/shard_leader.cpp
@@ -3,6 +3,9 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
+#include <limits>
+
+#include "coordination/machines/machine_capacity.hpp"
 
 namespace damsonport {
 
@@ -30,7 +33,9 @@
                  [this](Transaction transaction, std::stop_token stop_token) {
                    return commit_and_apply(std::move(transaction), std::move(stop_token));
                  }),
-      commands_(loop_, settings_, deps.http, dispatcher_callbacks()) {}
+      commands_(loop_, settings_, deps.http, dispatcher_callbacks()),
+      snapshot_builder_({loop_, settings_, cache_, deps.catalog, deps.quotas, faults_},
+                        snapshot_facts()) {}
 
 bool ShardLeader::is_still_wanted(const Machine& m, const Command& command) const {
   if (command.op != Command::Op::start) return true;
@@ -63,6 +68,41 @@
   return callbacks;
 }
 
+SnapshotBuilder::Facts ShardLeader::snapshot_facts() {
+  SnapshotBuilder::Facts facts;
+  facts.is_cancelled = [this](const Job& job) { return is_cancelled(job); };
+  facts.is_backing_off = [this](const std::string& job) {
+    auto hint = hints_.find(job);
+    return hint != hints_.end() && hint->second.backoff_until > loop_.now();
+  };
+  facts.startable_gang_tasks = [this](const Job& job, TaskRange gang) {
+    return startable_gang_tasks(job, gang);
+  };
+  facts.stop_grace_s = [this](const JobSpec& spec) { return stop_grace(spec); };
+  facts.running_since = [this](const TaskId& task, uint64_t attempt) {
+    return running_since(task, attempt);
+  };
+  facts.is_ending = [this](const PlacedTask& task) {
+    return is_stopping(task) || exits_.contains(task.name);
+  };
+  facts.is_schedulable = [this](const Machine& m) { return is_schedulable(m); };
+  facts.total_resources = [this](const Machine& m) { return total_resources(m, deps_.catalog); };
+  facts.free_resources = [this](const Machine& m) {
+    return free_resources(m, deps_.catalog, cache_);
+  };
+  return facts;
+}
+
+double ShardLeader::running_since(const TaskId& task, uint64_t attempt) const {
+  constexpr double infinity = std::numeric_limits<double>::infinity();
+  // What was started under an earlier lease has run for long.
+  auto attempts = attempts_.find(task);
+  if (attempts == attempts_.end()) return -infinity;
+  auto it = attempts->second.find(attempt);
+  if (it == attempts->second.end()) return -infinity;
+  return it->second.running_at > 0 ? it->second.running_at : infinity;
+}
+
 void ShardLeader::apply_forwarded_exits() {
   if (!lease_.records_current()) return;
   for (auto& [controller, forwarded] : cache_.forwarded_exits()) {
@@ -102,7 +142,8 @@
   next_scaling_at_ = lease_.acquired_at() + (first_of_all ? 0 : 2 * settings_.heartbeat_interval_s);
   deps_.quotas.begin_lease();
   quota_news_ = true;
-  reset_snapshot();
+  snapshot_builder_.begin_lease();
+  over_.clear();
   for (auto& [id, assigned] : cache_.assignments()) machine(id);
   // Marked by an earlier holder, who may not have got round to it.
   // Those on which nothing is placed any more are returned again where the machine list names them.
@@ -113,7 +154,7 @@
     if (is_over(*job)) over_.insert(id);
     if (failed_before(*job)) faults_.suspect(id);
     replicas_.add_job(*job);
-    changed_jobs_.insert(job.get());
+    snapshot_builder_.mark_job_changed(*job);
   }
   spdlog::info("shard lease with fencing token {} acquired: {} machines in the records, {} jobs",
                lease_.fencing_token(), machines_.size(), cache_.jobs().size());
@@ -131,7 +172,7 @@
 void ShardLeader::job_changed(Job* job) {
   if (lease_.fencing_token() != 0 && job) {
     scheduling_requested_ = true;
-    changed_jobs_.insert(job);
+    snapshot_builder_.mark_job_changed(*job);
     replicas_.add_job(*job);
     if (is_over(*job)) over_.insert(job->spec.id);
     if (is_cancelled(*job)) stop_cancelled(*job);
@@ -140,13 +181,11 @@
 }
 
 void ShardLeader::job_gone(Job* job) {
-  changed_jobs_.erase(job);
-  job_index_.release(job, snapshot_.jobs);
+  snapshot_builder_.forget_job(*job);
   hints_.erase(job->spec.id);
   gangs_.forget_job(job->spec.id);
   replicas_.forget_job(job->spec.id);
   faults_.forget_job(job->spec.id);
-  held_back_.erase(job->spec.id);
   over_.erase(job->spec.id);
   cancelled_.erase(job->spec.id);
   TaskId first{job->spec.id, 0};
@@ -199,7 +238,7 @@
     check_drains();
     review_gangs();
     // What changes with time alone: pauses that are over, machines in doubt.
-    if (pending_tasks_ > 0 || !held_back_.empty()) scheduling_requested_ = true;
+    if (pending_tasks_ > 0 || snapshot_builder_.has_held_back_jobs()) scheduling_requested_ = true;
     if (deps_.election.is_leading()) {
       co_await scale_in_.return_machines(ScaleInTracker::Selection::all, stop_token);
       if (is_leading() && loop_.now() >= next_scaling_at_) {
--- a/src/coordination/shard_leader/shard_leader.hpp
+++ b/src/coordination/shard_leader/shard_leader.hpp
@@ -4,7 +4,6 @@
 #include <set>
 #include <string>
 #include <unordered_map>
-#include <unordered_set>
 
 #include "coordination/autoscaling/autoscaler_driver.hpp"
 #include "coordination/autoscaling/machine_type_catalog.hpp"
@@ -28,7 +27,7 @@
 #include "coordination/scheduling/gang_tracker.hpp"
 #include "coordination/scheduling/rechunker.hpp"
 #include "coordination/scheduling/scheduler.hpp"
-#include "coordination/scheduling/snapshot_index.hpp"
+#include "coordination/scheduling/snapshot_builder.hpp"
 #include "coordination/scheduling/start_edits.hpp"
 
 namespace damsonport {
@@ -126,8 +125,6 @@
   Task<bool> commit_starts(std::stop_token stop_token);
   void dispatch_preemptions(const scheduling::Decisions& decided);
   void note_unschedulable(const scheduling::Decisions& decided);
-  DecidedStart by_name(size_t job, size_t machine) const;
-  DecidedGang gang_by_name(const scheduling::GangPlacement& decided) const;
   Task<bool> commit_gang_starts(std::vector<DecidedGang> gangs, std::stop_token stop_token);
   Task<bool> commit_gang_start(const DecidedGang& gang, std::stop_token stop_token);
   Task<bool> commit_single_starts(std::vector<DecidedStart> decided, std::stop_token stop_token);
@@ -165,13 +162,10 @@
   void stop_gang(const Job& job, TaskRange gang, double grace_s);
   void stop_task(const PlacedTask& task, double grace_s);
 
-  // --- what placement sees (holder_view.cpp)
-  void reset_snapshot();
+  SnapshotBuilder::Facts snapshot_facts();
+  /// See SnapshotBuilder::Facts.
+  double running_since(const TaskId& task, uint64_t attempt) const;
   void refresh_snapshot();
-  void refresh_job(Job& job);
-  void describe_job(const JobSpec& spec, scheduling::JobSnapshot& view);
-  uint32_t startable_tasks(const Job& job, uint32_t gang);
-  void refresh_machine(Machine& m);
   void forget_machine(const std::string& id);
 
   // --- machines (holder_machines.cpp)
@@ -262,16 +256,8 @@
   bool scheduling_requested_ = true;
   double next_cycle_at_ = 0;
   double last_cycle_s_ = 0;  // how long the last pass of placement took
-
-  // Kept from pass to pass; only what changed is made anew. Nobody marks what passes with time
-  // alone: silence and pauses are looked at in each pass.
-  scheduling::SchedulerSnapshot snapshot_;
-  SnapshotIndex job_index_;
-  std::vector<size_t> free_machine_slots_;
-  std::unordered_set<Job*> changed_jobs_;
-  std::unordered_set<std::string> changed_machines_;
-  std::set<std::string> held_back_;  // jobs that pause after errors
-  std::set<std::string> over_;       // jobs whose end may be committed
+  SnapshotBuilder snapshot_builder_;
+  std::set<std::string> over_;  // jobs whose end may be committed
 };
 
 }  // namespace damsonport
--- a/src/coordination/shard_leader/shard_leader_cancelled.cpp
+++ b/src/coordination/shard_leader/shard_leader_cancelled.cpp
@@ -20,7 +20,7 @@
 void ShardLeader::cancelled_elsewhere(const std::string& id) {
   Job* job = cache_.job(id);
   if (lease_.fencing_token() == 0 || !job) return;
-  changed_jobs_.insert(job);
+  snapshot_builder_.mark_job_changed(*job);
   stop_cancelled(*job);
   deps_.changed.notify();
 }
--- a/src/coordination/shard_leader/shard_leader_commit.cpp
+++ b/src/coordination/shard_leader/shard_leader_commit.cpp
@@ -192,6 +192,18 @@
   co_return true;
 }
 
+void ShardLeader::refresh_snapshot() {
+  for (auto& id : replicas_.offer_repairs())
+    if (Job* job = cache_.job(id)) snapshot_builder_.mark_job_changed(*job);
+  std::vector<SnapshotBuilder::ExpectedMachine> expected;
+  autoscaler_.for_each_expected([&](auto&, auto& booting, auto& type) {
+    const scheduling::Resources total{type.cpus, type.gpus, type.memory_gb};
+    expected.push_back({booting.kind.type, booting.kind.zone, booting.kind.spot, total});
+  });
+  snapshot_builder_.refresh(machines_, failure_detector_.unreachable_zones(machines_, loop_.now()),
+                            expected);
+}
+
 Task<bool> ShardLeader::commit_starts(std::stop_token stop_token) {
   const double now = loop_.now();
   if (!lease_.records_current() || !deps_.catalog.known() || !scheduling_requested_ ||
@@ -203,7 +215,7 @@
   scheduling_requested_ = false;
 
   refresh_snapshot();
-  const auto decided = scheduling::place(snapshot_);
+  const auto decided = scheduling::place(snapshot_builder_.snapshot());
   note_unschedulable(decided);
   dispatch_preemptions(decided);
   // A pass over a large fleet that a new holder hears for the first time takes long: half of the
@@ -213,9 +225,10 @@
 
   // By name from here on: places in the view are used anew while the commits are under way.
   std::vector<DecidedStart> singles;
-  for (auto& start : decided.starts) singles.push_back(by_name(start.job, start.machine));
+  for (auto& start : decided.starts)
+    singles.push_back(snapshot_builder_.start_by_name(start.job, start.machine));
   std::vector<DecidedGang> gangs;
-  for (auto& gang : decided.gangs) gangs.push_back(gang_by_name(gang));
+  for (auto& gang : decided.gangs) gangs.push_back(snapshot_builder_.gang_by_name(gang));
   bool any = co_await commit_gang_starts(std::move(gangs), stop_token);
   any = co_await commit_single_starts(std::move(singles), stop_token) || any;
   co_return any;
@@ -227,14 +240,13 @@
   for (auto& u : decided.unschedulable) {
     pending_tasks_ += u.count;
     if (u.room_coming) continue;
-    auto& s = job_index_.owner(u.job).job->spec;
+    auto& s = snapshot_builder_.job_at(u.job).spec;
     autoscaling::ResourceDemand demand{resources_per_task(s), u.missing, s.types, s.zone, s.spot};
     if (s.gang_size() > 0) {
       demand.gang = true;
       demand.one_zone = u.one_zone;
       demand.distinct_machines = s.distinct_machines;
-      for (auto& zone : settings_.zones)
-        if (u.zone != 0 && snapshot_.zones.id(zone) == u.zone) demand.zone = zone;
+      if (auto zone = snapshot_builder_.zone_name(u.zone); !zone.empty()) demand.zone = zone;
       spdlog::debug("no room for {} of {} tasks of a gang of {}{}", u.missing, u.count, s.id,
                     demand.zone.empty() ? "" : " in " + demand.zone);
     }
@@ -244,28 +256,16 @@
 
 void ShardLeader::dispatch_preemptions(const scheduling::Decisions& decided) {
   for (auto& s : decided.stops) {
-    auto& live = snapshot_.machines[s.machine].live[s.live];
-    const std::string& machine_id = snapshot_.machines[s.machine].id;
-    const TaskId name{job_index_.owner(live.job).job->spec.id, live.index};
+    const auto& machine = snapshot_builder_.snapshot().machines[s.machine];
+    const auto& live = machine.live[s.live];
+    const std::string& machine_id = machine.id;
+    const TaskId name{snapshot_builder_.job_at(live.job).spec.id, live.index};
     spdlog::info("stopping {} attempt {} on {} to make room", name.text(), live.attempt,
                  machine_id);
     stop_task({name, live.attempt, machine_id}, s.grace_s);
   }
 }
 
-DecidedStart ShardLeader::by_name(size_t job, size_t machine) const {
-  auto& m = snapshot_.machines[machine];
-  auto& j = snapshot_.jobs[job];
-  return {j.id, m.id, scheduling::holds(m, j.image)};
-}
-
-DecidedGang ShardLeader::gang_by_name(const scheduling::GangPlacement& decided) const {
-  const auto& owner = job_index_.owner(decided.job);
-  DecidedGang gang{gang_range(owner.job->spec, owner.gang), {}};
-  for (size_t machine : decided.machines) gang.starts.push_back(by_name(decided.job, machine));
-  return gang;
-}
-
 // A gang is started by one transaction where its records fit into one. Otherwise one after the
 // other under the same attempt: a holder that ends halfway leaves a gang with missing tasks, which
 // the next one completes or gives up like any other.
--- a/src/coordination/shard_leader/shard_leader_gangs.cpp
+++ b/src/coordination/shard_leader/shard_leader_gangs.cpp
@@ -45,7 +45,7 @@
     if (job->live == 0) continue;
     const uint32_t count = gang_count(job->spec);
     for (uint32_t n = 0; n < count; ++n) review_gang(*job, gang_range(job->spec, n));
-    if (count > 0 && job->unstarted() > 0) changed_jobs_.insert(job.get());
+    if (count > 0 && job->unstarted() > 0) snapshot_builder_.mark_job_changed(*job);
   }
   if (replicas_.review()) scheduling_requested_ = true;
   for (auto& machine : replicas_.machines_to_ask()) commands_.start_probe(machine);
--- a/src/coordination/shard_leader/shard_leader_machines.cpp
+++ b/src/coordination/shard_leader/shard_leader_machines.cpp
@@ -45,8 +45,17 @@
   return out;
 }
 
+void ShardLeader::forget_machine(const std::string& id) {
+  faults_.forget_machine(id);
+  deduplicator_.forget(id);
+  auto it = machines_.find(id);
+  if (it == machines_.end()) return;
+  snapshot_builder_.forget_machine(it->second);
+  machines_.erase(it);
+}
+
 void ShardLeader::mark_changed(const std::string& machine) {
-  changed_machines_.insert(machine);
+  snapshot_builder_.mark_machine_changed(machine);
   deduplicator_.forget(machine);
 }
 
--- /dev/null
+++ b/tests/scheduling/snapshot_builder_test.cpp
@@ -0,0 +1,233 @@
+/// What the scheduler's snapshot says of jobs and machines after changes, and how indices are used
+/// again.
+#include "coordination/scheduling/snapshot_builder.hpp"
+
+#include <gtest/gtest.h>
+
+#include "simulation/world.hpp"
+
+namespace damsonport {
+namespace {
+
+constexpr StateLimits limits{150, 50, 16, 12};
+constexpr uint32_t tasks_per_chunk = 8;
+
+Settings test_settings() {
+  Settings settings;
+  settings.state = {"10.9.0.1", 80};
+  settings.state_limits = {limits, limits};
+  settings.zones = {"a", "b"};
+  settings.teams.resize(1);
+  settings.teams[0].name = "t";
+  settings.teams[0].cpus_max = 40;
+  return settings;
+}
+
+class SnapshotBuilderTest : public ::testing::Test {
+ protected:
+  SnapshotBuilderTest() { builder_.begin_lease(); }
+
+  Job& add_job(const std::string& id, uint32_t tasks = 4) {
+    JobSpec spec;
+    spec.id = id;
+    spec.team = "t";
+    spec.tasks = tasks;
+    spec.cpus = 2;
+    spec.image = "img";
+    spec.zone = "b";
+    cache_.apply({keys::job(id), encode_job_record(spec, tasks_per_chunk), ++revision_, 0});
+    Job& job = *cache_.job(id);
+    builder_.mark_job_changed(job);
+    return job;
+  }
+  void start_task(const std::string& job, const std::string& machine) {
+    TaskChunk chunk;
+    chunk.start(0, 1, machine);
+    cache_.apply({keys::chunk(job, 0), encode_chunk(chunk), ++revision_, 0});
+    builder_.mark_job_changed(*cache_.job(job));
+    builder_.mark_machine_changed(machine);
+  }
+  Machine& add_machine(const std::string& id) {
+    Machine& machine = machines_[id];
+    machine.id = id;
+    machine.zone = "a";
+    builder_.mark_machine_changed(id);
+    return machine;
+  }
+  void refresh() { builder_.refresh(machines_, unreachable_zones_, expected_); }
+  const scheduling::JobSnapshot& job_view(const std::string& id) const {
+    for (auto& view : builder_.snapshot().jobs)
+      if (view.id == id) return view;
+    throw std::out_of_range(id);
+  }
+  const scheduling::MachineSnapshot& machine_view(const std::string& id) const {
+    return builder_.snapshot().machines[*machines_.at(id).slot];
+  }
+  SnapshotBuilder::Facts facts() {
+    SnapshotBuilder::Facts facts;
+    facts.is_cancelled = [this](const Job& job) { return job.spec.id == cancelled_; };
+    facts.is_backing_off = [this](const std::string& job) { return job == backing_off_; };
+    facts.startable_gang_tasks = [](const Job&, TaskRange gang) { return gang.count; };
+    facts.stop_grace_s = [](const JobSpec&) { return 7.0; };
+    facts.running_since = [](const TaskId&, uint64_t) { return 900.0; };
+    facts.is_ending = [this](const PlacedTask& task) { return task.machine == ending_on_; };
+    facts.is_schedulable = [this](const Machine& machine) { return machine.id != drained_; };
+    facts.total_resources = [](const Machine&) { return scheduling::Resources{8, 0, 32}; };
+    facts.free_resources = [](const Machine&) { return scheduling::Resources{6, 0, 30}; };
+    return facts;
+  }
+
+  simulation::World world_{1};
+  simulation::VirtualLoop loop_{world_, "n0", std::seed_seq{1}, 1, 0};
+  simulation::VirtualNetwork::Streams streams_;
+  simulation::VirtualNetwork network_{loop_, "10.0.0.1", streams_};
+  std::unique_ptr<HttpClient> http_ = network_.client();
+  Settings settings_ = test_settings();
+  KeyValueClient store_{loop_, *http_, settings_.state, settings_.state_limits};
+  RecordCache cache_{loop_, store_, 1, 0, 50};
+  MachineTypeCatalog catalog_{loop_, *http_, settings_};
+  quotas::TeamQuotas quotas_{settings_, nullptr, cache_};
+  FaultAttribution faults_;
+  uint64_t revision_ = 1;
+  std::string cancelled_, backing_off_, ending_on_, drained_;
+  std::map<std::string, Machine> machines_;
+  std::set<std::string> unreachable_zones_;
+  std::vector<SnapshotBuilder::ExpectedMachine> expected_;
+  SnapshotBuilder builder_{{loop_, settings_, cache_, catalog_, quotas_, faults_}, facts()};
+};
+
+TEST_F(SnapshotBuilderTest, DescribesAJob) {
+  add_job("run-1", 4);
+  refresh();
+  const auto& view = job_view("run-1");
+  EXPECT_EQ(view.team, 0u);
+  EXPECT_EQ(builder_.snapshot().teams[0].limit.cpus, 40);
+  EXPECT_EQ(view.need.cpus, 2);
+  EXPECT_EQ(view.waiting, 4u);
+  EXPECT_EQ(view.unfinished, 4u);
+  EXPECT_FALSE(view.begun);
+  EXPECT_EQ(view.grace_s, 7);
+  EXPECT_EQ(builder_.zone_name(view.zone), "b");
+  EXPECT_EQ(builder_.zone_name(0), "");
+}
+
+TEST_F(SnapshotBuilderTest, DescribesAMachineAndItsTasks) {
+  add_job("run-1");
+  Machine& machine = add_machine("i-1");
+  machine.failed_jobs["run-9"] = 1;
+  start_task("run-1", "i-1");
+  ending_on_ = "i-1";
+  refresh();
+  const auto& view = machine_view("i-1");
+  EXPECT_TRUE(view.open);
+  EXPECT_EQ(view.total.cpus, 8);
+  EXPECT_EQ(view.free.cpus, 6);
+  EXPECT_EQ(view.bad_jobs, std::vector<std::string>{"run-9"});
+  ASSERT_EQ(view.live.size(), 1u);
+  EXPECT_EQ(builder_.job_at(view.live[0].job).spec.id, "run-1");
+  EXPECT_EQ(view.live[0].attempt, 1u);
+  EXPECT_EQ(view.live[0].since, 900);
+  EXPECT_TRUE(view.live[0].stopping);
+  EXPECT_TRUE(job_view("run-1").begun);
+  EXPECT_EQ(job_view("run-1").waiting, 3u);
+}
+
+TEST_F(SnapshotBuilderTest, OnlyWhatIsMarkedIsDescribedAnew) {
+  Machine& machine = add_machine("i-1");
+  refresh();
+  machine.spot = true;
+  refresh();
+  EXPECT_FALSE(machine_view("i-1").spot);
+  builder_.mark_machine_changed("i-1");
+  refresh();
+  EXPECT_TRUE(machine_view("i-1").spot);
+}
+
+TEST_F(SnapshotBuilderTest, WhetherAMachineTakesTasksIsLookedAtInEachRefresh) {
+  add_machine("i-1");
+  refresh();
+  EXPECT_TRUE(machine_view("i-1").open);
+  drained_ = "i-1";
+  refresh();
+  EXPECT_FALSE(machine_view("i-1").open);
+  drained_.clear();
+  unreachable_zones_ = {"a"};
+  refresh();
+  EXPECT_FALSE(machine_view("i-1").open);
+}
+
+TEST_F(SnapshotBuilderTest, AJobThatBacksOffIsLookedAtAgainUntilItStarts) {
+  add_job("run-1");
+  backing_off_ = "run-1";
+  refresh();
+  EXPECT_EQ(job_view("run-1").waiting, 0u);
+  EXPECT_TRUE(builder_.has_held_back_jobs());
+  backing_off_.clear();  // without a mark
+  refresh();
+  EXPECT_EQ(job_view("run-1").waiting, 4u);
+  EXPECT_FALSE(builder_.has_held_back_jobs());
+}
+
+TEST_F(SnapshotBuilderTest, AFaultyJobIsTriedByOneTaskAtATime) {
+  add_job("run-1");
+  for (auto* machine : {"i-7", "i-8", "i-9"}) faults_.failed("run-1", machine, 1);
+  ASSERT_TRUE(faults_.is_job_faulty("run-1"));
+  refresh();
+  EXPECT_TRUE(job_view("run-1").faulty);
+  EXPECT_EQ(job_view("run-1").waiting, 1u);
+  start_task("run-1", "i-1");
+  refresh();
+  EXPECT_EQ(job_view("run-1").waiting, 0u);
+}
+
+TEST_F(SnapshotBuilderTest, NoTaskOfACancelledJobWaits) {
+  add_job("run-1");
+  cancelled_ = "run-1";
+  refresh();
+  EXPECT_TRUE(job_view("run-1").cancelled);
+  EXPECT_EQ(job_view("run-1").waiting, 0u);
+}
+
+TEST_F(SnapshotBuilderTest, IndicesOfWhatIsGoneAreUsedAgain) {
+  Job& job = add_job("run-1");
+  add_machine("i-1");
+  refresh();
+  builder_.forget_machine(machines_.at("i-1"));
+  machines_.erase("i-1");
+  builder_.forget_job(job);
+  EXPECT_TRUE(builder_.snapshot().jobs[0].id.empty());
+  EXPECT_FALSE(builder_.snapshot().machines[0].open);
+  add_job("run-2");
+  add_machine("i-2");
+  refresh();
+  EXPECT_EQ(builder_.snapshot().jobs.size(), 1u);
+  EXPECT_EQ(builder_.snapshot().machines.size(), 1u);
+  EXPECT_EQ(builder_.start_by_name(0, 0).job, "run-2");
+  EXPECT_EQ(builder_.start_by_name(0, 0).machine, "i-2");
+}
+
+TEST_F(SnapshotBuilderTest, ExpectedMachinesAreThoseOfTheLastRefresh) {
+  expected_ = {{"g", "b", true, {4, 1, 16}}};
+  refresh();
+  ASSERT_EQ(builder_.snapshot().booting.size(), 1u);
+  EXPECT_EQ(builder_.zone_name(builder_.snapshot().booting[0].zone), "b");
+  EXPECT_TRUE(builder_.snapshot().booting[0].spot);
+  EXPECT_EQ(builder_.snapshot().booting[0].room.gpus, 1);
+  expected_.clear();
+  refresh();
+  EXPECT_TRUE(builder_.snapshot().booting.empty());
+}
+
+TEST_F(SnapshotBuilderTest, ANewLeaseBeginsEmpty) {
+  add_job("run-1");
+  add_machine("i-1");
+  refresh();
+  machines_.clear();
+  builder_.begin_lease();
+  refresh();
+  EXPECT_TRUE(builder_.snapshot().jobs.empty());
+  EXPECT_TRUE(builder_.snapshot().machines.empty());
+}
+
+}  // namespace
+}  // namespace damsonport
