--- a/src/coordination/shard_leader/shard_leader.cpp
+++ b/src/coordination/shard_leader/shard_leader.cpp
@@ -31,7 +31,7 @@
       autoscaler_(autoscaler_dependencies()),
       rechunker_(loop_, settings_, cache_, deps.store, deps.versions,
                  [this](Transaction transaction, std::stop_token stop_token) {
-                   return commit_and_apply(std::move(transaction), std::move(stop_token));
+                   return commit_chunks(std::move(transaction), std::move(stop_token));
                  }),
       commands_(loop_, settings_, deps.http, dispatcher_callbacks()),
       snapshot_builder_({loop_, settings_, cache_, deps.catalog, deps.quotas, faults_},
@@ -200,17 +200,17 @@
       if (!co_await Sleep(loop_, 0.1, stop_token)) co_return;
       continue;
     }
-    bool busy = false;
+    StepResult result = StepResult::idle;
     if (co_await lease_.renew(stop_token) == ShardRole::leader) {
       if (is_leading()) apply_forwarded_exits();
-      busy = co_await commit_exits(stop_token);
-      if (is_leading()) busy = co_await commit_finals(stop_token) || busy;
+      result = co_await commit_exits(stop_token);
+      if (is_leading()) result = combine(co_await commit_finals(stop_token), result);
       if (is_leading() && lease_.records_current())
-        busy = co_await rechunker_.commit_next(stop_token) || busy;
-      if (is_leading()) busy = co_await commit_quotas(stop_token) || busy;
-      if (is_leading()) busy = co_await commit_starts(stop_token) || busy;
+        result = combine(co_await rechunk(stop_token), result);
+      if (is_leading()) result = combine(co_await commit_quotas(stop_token), result);
+      if (is_leading()) result = combine(co_await commit_starts(stop_token), result);
     }
-    if (busy) continue;
+    if (result == StepResult::busy) continue;
     double pause = std::min(0.25, settings_.heartbeat_interval_s / 6);
     co_await deps_.changed.wait(pause, stop_token);
     // Events that come close together are decided together.
--- a/src/coordination/shard_leader/shard_leader.hpp
+++ b/src/coordination/shard_leader/shard_leader.hpp
@@ -91,6 +91,25 @@
     double running_at = 0;  // first seen running
     bool image_cached = false;
   };
+  /// Whether a step of the scheduling loop had something to write. After a busy step the loop goes
+  /// on without a pause.
+  enum class StepResult : uint8_t { idle, busy };
+  enum class CommitResult : uint8_t { committed, not_committed };
+  enum class GangStart : uint8_t { complete, incomplete };
+  /// Whether the changes of a commit are a reason for another scheduling cycle.
+  enum class AfterCommit : uint8_t {
+    request_cycle,
+    /// The cycle that decided the commit has counted its changes.
+    keep_cycle_request,
+  };
+  struct CommitOptions {
+    AfterCommit after = AfterCommit::request_cycle;
+    /// Called between the commit and its taking effect here.
+    std::function<void()> on_committed;
+  };
+  static StepResult combine(StepResult one, StepResult other) {
+    return one == StepResult::busy ? one : other;
+  }
   struct PendingExit {
     uint64_t attempt;
     ExitCause cause;
@@ -120,20 +139,24 @@
   void apply_forwarded_exits();
 
   // --- committing (holder_commit.cpp)
-  Task<bool> commit_exits(std::stop_token stop_token);
-  Task<bool> commit_finals(std::stop_token stop_token);
-  Task<bool> commit_starts(std::stop_token stop_token);
+  Task<StepResult> commit_exits(std::stop_token stop_token);
+  Task<StepResult> commit_finals(std::stop_token stop_token);
+  Task<StepResult> commit_starts(std::stop_token stop_token);
   void dispatch_preemptions(const scheduling::Decisions& decided);
   void note_unschedulable(const scheduling::Decisions& decided);
-  Task<bool> commit_gang_starts(std::vector<DecidedGang> gangs, std::stop_token stop_token);
-  Task<bool> commit_gang_start(const DecidedGang& gang, std::stop_token stop_token);
-  Task<bool> commit_single_starts(std::vector<DecidedStart> decided, std::stop_token stop_token);
+  Task<StepResult> commit_gang_starts(std::vector<DecidedGang> gangs, std::stop_token stop_token);
+  /// Whether all of the gang was committed.
+  Task<GangStart> commit_gang_start(const DecidedGang& gang, std::stop_token stop_token);
+  Task<StepResult> commit_single_starts(std::vector<DecidedStart> decided,
+                                        std::stop_token stop_token);
   // How long the starts of one pass may be committed before the next pass.
   double starts_may_take_s() const;
   void dispatch_starts(const std::vector<CommittedStart>& starts);
-  // `committed` is called between the commit and its taking effect here.
-  Task<bool> commit_and_apply(Transaction transaction, std::stop_token stop_token,
-                              bool starts = false, std::function<void()> committed = {});
+  /// Commits until the outcome is definite and applies the writes here. Nothing else of this shard
+  /// leader is written meanwhile, so whatever has an uncertain outcome keeps its resources and its
+  /// team's quota until the outcome is known.
+  Task<CommitResult> commit_and_apply(Transaction transaction, std::stop_token stop_token,
+                                      CommitOptions options);
   // An exit that is the last of its job, in a transaction that may end the job with it.
   bool ends_with(const Job& job, const TaskChunk& record, const PendingExit& exit) const;
   // What the exits that were committed teach, and their end here.
@@ -143,8 +166,11 @@
   const StateLimits& limits() const { return settings_.state_limits.always(); }
   static bool is_over(const Job& job) { return job.cancelled ? job.live == 0 : job.finished(); }
 
+  Task<StepResult> rechunk(std::stop_token stop_token);
+  /// For the rechunker: whether its transaction was committed.
+  Task<bool> commit_chunks(Transaction transaction, std::stop_token stop_token);
   // --- the teams' limits among regions (holder_budgets.cpp)
-  Task<bool> commit_quotas(std::stop_token stop_token);
+  Task<StepResult> commit_quotas(std::stop_token stop_token);
   void send_deficits();
 
   // --- gangs (holder_gangs.cpp)
--- a/src/coordination/shard_leader/shard_leader_budgets.cpp
+++ b/src/coordination/shard_leader/shard_leader_budgets.cpp
@@ -13,12 +13,12 @@
 
 // A gift counts on the records alone: none of this holder's starts is under way or in doubt here,
 // since it writes one transaction at a time, and an older holder's fail on `blocks`.
-Task<bool> ShardLeader::commit_quotas(std::stop_token stop_token) {
-  if (!deps_.quotas.exchanging() || !lease_.records_current()) co_return false;
+Task<ShardLeader::StepResult> ShardLeader::commit_quotas(std::stop_token stop_token) {
+  if (!deps_.quotas.exchanging() || !lease_.records_current()) co_return StepResult::idle;
   // An older version that takes over would count the whole limit as its own.
-  if (!deps_.versions.all_have(VersionRegistry::quotas)) co_return false;
+  if (!deps_.versions.all_have(VersionRegistry::quotas)) co_return StepResult::idle;
   const double now = loop_.now();
-  if (!quota_news_ && now < next_quotas_at_) co_return false;
+  if (!quota_news_ && now < next_quotas_at_) co_return StepResult::idle;
   quota_news_ = false;
   next_quotas_at_ = now + settings_.heartbeat_interval_s * measure_reports;
   deps_.quotas.measure(now);
@@ -26,14 +26,17 @@
   Transaction transaction = deps_.quotas.next_changes(limits().txn_writes - 1);
   if (transaction.writes.empty()) {
     send_deficits();
-    co_return false;
+    co_return StepResult::idle;
   }
   transaction.preconditions[keys::shard_table] = cache_.shard_table_version();
   spdlog::debug("budgets of {} teams change", transaction.writes.size());
-  if (co_await commit_and_apply(std::move(transaction), stop_token)) scheduling_requested_ = true;
+  CommitOptions options;
+  const CommitResult result =
+      co_await commit_and_apply(std::move(transaction), stop_token, std::move(options));
+  if (result == CommitResult::committed) scheduling_requested_ = true;
   quota_news_ = true;  // more may be due
   deps_.regions.wake();
-  co_return true;
+  co_return StepResult::busy;
 }
 
 // Other regions hear at once that a team wants more than it has here.
--- a/src/coordination/shard_leader/shard_leader_commit.cpp
+++ b/src/coordination/shard_leader/shard_leader_commit.cpp
@@ -24,34 +24,32 @@
   }
 }
 
-// Commits surely. Nothing else of this holder is written meanwhile, so whatever is in doubt keeps
-// its room and its team's quota until the outcome is known.
-Task<bool> ShardLeader::commit_and_apply(Transaction transaction, std::stop_token stop_token,
-                                         bool starts, std::function<void()> committed) {
+Task<ShardLeader::CommitResult> ShardLeader::commit_and_apply(Transaction transaction,
+                                                              std::stop_token stop_token,
+                                                              CommitOptions options) {
   auto writes = transaction.writes;
   auto reply = co_await deps_.store.commit_until_resolved(std::move(transaction),
                                                           Importance::scheduling, stop_token);
   if (reply.outcome == TransactionOutcome::committed) {
-    if (committed) committed();
-    const bool again = scheduling_requested_;
+    if (options.on_committed) options.on_committed();
+    const bool was_requested = scheduling_requested_;
     cache_.apply_writes(writes, reply.revision);
-    // The pass that decided the starts has counted them: they are no reason for another one.
-    if (starts) scheduling_requested_ = again;
-    co_return true;
+    if (options.after == AfterCommit::keep_cycle_request) scheduling_requested_ = was_requested;
+    co_return CommitResult::committed;
   }
   if (reply.outcome == TransactionOutcome::conflict) {
-    spdlog::debug("a commit lost against a change of {}",
+    spdlog::debug("a commit conflicts with a change of {}",
                   reply.failed.empty() ? "?" : reply.failed.front());
     co_await reread(std::move(reply.failed));
   }
   if (reply.outcome == TransactionOutcome::invalid) {
     // Definite: nothing of it was written, and the same again would be refused again.
-    spdlog::error("the state service takes no transaction with {}",
+    spdlog::error("the key-value store refuses a transaction with {} as invalid",
                   writes.empty() ? "no writes" : writes.front().key);
     rechunker_.note_refused(writes);
     co_await Sleep(loop_, pause_after_refusal_s, stop_token);
   }
-  co_return false;
+  co_return CommitResult::not_committed;
 }
 
 // Tasks of one record share its write, so that an array of thousands wants few.
@@ -94,8 +92,8 @@
   if (any_failed) review_faults();
 }
 
-Task<bool> ShardLeader::commit_exits(std::stop_token stop_token) {
-  if (exits_.empty() || !lease_.records_current()) co_return false;
+Task<ShardLeader::StepResult> ShardLeader::commit_exits(std::stop_token stop_token) {
+  if (exits_.empty() || !lease_.records_current()) co_return StepResult::idle;
   ChunkEdits edits(cache_, limits());
   std::vector<TaskId> taken, last;  // `last`: those that end their jobs
   for (auto it = exits_.begin(); it != exits_.end();) {
@@ -121,7 +119,7 @@
     (ends ? last : taken).push_back(name);
     ++it;
   }
-  if (edits.empty()) co_return false;
+  if (edits.empty()) co_return StepResult::idle;
   // While the job is still known here: its records go with the commit.
   std::function<void()> committed = [&] {
     std::set<std::string> ended;
@@ -131,7 +129,10 @@
       if (ended.contains(name.job)) of_ended.push_back(name);
     finish_exits(of_ended);
   };
-  if (co_await commit_and_apply(edits.finish(), stop_token, false, std::move(committed))) {
+  CommitOptions options{AfterCommit::request_cycle, std::move(committed)};
+  const CommitResult result =
+      co_await commit_and_apply(edits.finish(), stop_token, std::move(options));
+  if (result == CommitResult::committed) {
     for (auto& name : last) {
       cache_.remember_final(name.job, FinalState::done);
       spdlog::info("job {} is done", name.job);
@@ -139,12 +140,12 @@
     finish_exits(taken);
     scheduling_requested_ = true;
   }
-  co_return true;
+  co_return StepResult::busy;
 }
 
 // A job's record goes when all its tasks are done, or when it was cancelled and none is left.
-Task<bool> ShardLeader::commit_finals(std::stop_token stop_token) {
-  if (!lease_.records_current()) co_return false;
+Task<ShardLeader::StepResult> ShardLeader::commit_finals(std::stop_token stop_token) {
+  if (!lease_.records_current()) co_return StepResult::idle;
   Transaction transaction;
   std::vector<std::string> ended;
   int room = limits().txn_writes;
@@ -180,16 +181,19 @@
       if (room-- <= 0) break;
       transaction.writes.push_back({key, Json(), 0});
     }
-    if (transaction.writes.empty()) co_return false;
+    if (transaction.writes.empty()) co_return StepResult::idle;
   }
   transaction.preconditions[keys::shard_table] = cache_.shard_table_version();
   std::vector<std::pair<std::string, bool>> outcome;
   outcome.reserve(ended.size());
   for (auto& id : ended) outcome.emplace_back(id, cache_.job(id)->cancelled);
-  if (co_await commit_and_apply(std::move(transaction), stop_token))
+  CommitOptions options;
+  const CommitResult result =
+      co_await commit_and_apply(std::move(transaction), stop_token, std::move(options));
+  if (result == CommitResult::committed)
     for (auto& [id, cancelled] : outcome)
       cache_.remember_final(id, cancelled ? FinalState::cancelled : FinalState::done);
-  co_return true;
+  co_return StepResult::busy;
 }
 
 void ShardLeader::refresh_snapshot() {
@@ -204,11 +208,23 @@
                             expected);
 }
 
-Task<bool> ShardLeader::commit_starts(std::stop_token stop_token) {
+Task<ShardLeader::StepResult> ShardLeader::rechunk(std::stop_token stop_token) {
+  const bool any = co_await rechunker_.commit_next(stop_token);
+  co_return any ? StepResult::busy : StepResult::idle;
+}
+
+Task<bool> ShardLeader::commit_chunks(Transaction transaction, std::stop_token stop_token) {
+  CommitOptions options;
+  const CommitResult result =
+      co_await commit_and_apply(std::move(transaction), stop_token, std::move(options));
+  co_return result == CommitResult::committed;
+}
+
+Task<ShardLeader::StepResult> ShardLeader::commit_starts(std::stop_token stop_token) {
   const double now = loop_.now();
   if (!lease_.records_current() || !deps_.catalog.known() || !scheduling_requested_ ||
       now < next_cycle_at_)
-    co_return false;
+    co_return StepResult::idle;
   uncommitted_starts_ = 0;
   // One pass serves all that came meanwhile; passes are spaced so that bursts share them.
   next_cycle_at_ = now + std::min(0.05, settings_.heartbeat_interval_s / 30);
@@ -229,9 +245,9 @@
     singles.push_back(snapshot_builder_.start_by_name(start.job, start.machine));
   std::vector<DecidedGang> gangs;
   for (auto& gang : decided.gangs) gangs.push_back(snapshot_builder_.gang_by_name(gang));
-  bool any = co_await commit_gang_starts(std::move(gangs), stop_token);
-  any = co_await commit_single_starts(std::move(singles), stop_token) || any;
-  co_return any;
+  const StepResult gang_result = co_await commit_gang_starts(std::move(gangs), stop_token);
+  const StepResult single_result = co_await commit_single_starts(std::move(singles), stop_token);
+  co_return combine(gang_result, single_result);
 }
 
 void ShardLeader::note_unschedulable(const scheduling::Decisions& decided) {
@@ -269,7 +285,8 @@
 // A gang is started by one transaction where its records fit into one. Otherwise one after the
 // other under the same attempt: a holder that ends halfway leaves a gang with missing tasks, which
 // the next one completes or gives up like any other.
-Task<bool> ShardLeader::commit_gang_start(const DecidedGang& gang, std::stop_token stop_token) {
+Task<ShardLeader::GangStart> ShardLeader::commit_gang_start(const DecidedGang& gang,
+                                                            std::stop_token stop_token) {
   const std::string id = gang.starts.front().job;
   uint64_t attempt = 0;
   std::vector<CommittedStart> committed;
@@ -291,11 +308,15 @@
     std::function<void()> begun = [&] {
       if (const Job* now = cache_.job(id)) gangs_.note_begun(*now, gang.tasks, attempt);
     };
-    if (!co_await commit_and_apply(edits.finish(), stop_token, true, std::move(begun))) break;
+    CommitOptions options{AfterCommit::keep_cycle_request, std::move(begun)};
+    const CommitResult result =
+        co_await commit_and_apply(edits.finish(), stop_token, std::move(options));
+    if (result != CommitResult::committed) break;
     committed.insert(committed.end(), started.begin(), started.end());
   }
   dispatch_starts(committed);
-  co_return committed.size() == gang.starts.size();
+  const bool complete = committed.size() == gang.starts.size();
+  co_return complete ? GangStart::complete : GangStart::incomplete;
 }
 
 // What a long pass has decided is committed for as long as it took, rather than decided again.
@@ -303,8 +324,8 @@
   return std::max(settings_.heartbeat_interval_s * starts_share, last_cycle_s_);
 }
 
-Task<bool> ShardLeader::commit_gang_starts(std::vector<DecidedGang> gangs,
-                                           std::stop_token stop_token) {
+Task<ShardLeader::StepResult> ShardLeader::commit_gang_starts(std::vector<DecidedGang> gangs,
+                                                              std::stop_token stop_token) {
   const double begun = loop_.now();
   for (auto& gang : gangs) {
     if (!is_leading()) break;
@@ -312,13 +333,14 @@
       scheduling_requested_ = true;
       break;
     }
-    if (!co_await commit_gang_start(gang, stop_token)) scheduling_requested_ = true;
+    if (co_await commit_gang_start(gang, stop_token) != GangStart::complete)
+      scheduling_requested_ = true;
   }
-  co_return !gangs.empty();
+  co_return gangs.empty() ? StepResult::idle : StepResult::busy;
 }
 
-Task<bool> ShardLeader::commit_single_starts(std::vector<DecidedStart> planned,
-                                             std::stop_token stop_token) {
+Task<ShardLeader::StepResult> ShardLeader::commit_single_starts(std::vector<DecidedStart> planned,
+                                                                std::stop_token stop_token) {
   const double begun = loop_.now();
   size_t next = 0;
   bool any = false;
@@ -349,13 +371,17 @@
     }
     if (started.empty()) break;
     any = true;
-    if (!co_await commit_and_apply(edits.finish(), stop_token, true)) {
+    CommitOptions options;
+    options.after = AfterCommit::keep_cycle_request;
+    const CommitResult result =
+        co_await commit_and_apply(edits.finish(), stop_token, std::move(options));
+    if (result != CommitResult::committed) {
       scheduling_requested_ = true;
       break;
     }
     dispatch_starts(started);
   }
-  co_return any;
+  co_return any ? StepResult::busy : StepResult::idle;
 }
 
 void ShardLeader::dispatch_starts(const std::vector<CommittedStart>& starts) {
