--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -52,7 +52,7 @@
 // Connections of users and workers.
 size_t max_connections(const Settings& settings) {
   const int unreserved =
-      settings.max_sockets - reserved_sockets - ShardLeader::direct_sockets(settings);
+      settings.max_sockets - reserved_sockets - CommandDispatcher::max_concurrent_sends(settings);
   return static_cast<size_t>(std::max(unreserved, settings.max_sockets / 2));
 }
 
--- a/src/coordination/shard_leader/shard_leader.cpp
+++ b/src/coordination/shard_leader/shard_leader.cpp
@@ -2,6 +2,11 @@
 
 #include <spdlog/spdlog.h>
 
+#include <algorithm>
+#include <limits>
+
+#include "coordination/machines/machine_capacity.hpp"
+
 namespace damsonport {
 
 ShardLeader::ShardLeader(Dependencies deps)
@@ -10,44 +15,98 @@
       settings_(deps.settings),
       tuning_(deps.settings.tuning),
       cache_(deps.cache),
+      lease_({loop_, settings_, deps.store, cache_, deps.election, deps.peer_network,
+              deps.incarnation},
+             {[this] { on_lease_acquired(); }, [this] { on_lease_lost(); }}),
       contact_(settings_, deps.store),
       lease_renewal_(loop_, settings_, cache_, deps.peer_network, deps.cancellations,
                      deps.exit_forwarder, contact_),
       machine_list_(loop_, settings_, deps.http),
       orphan_cleanup_(loop_, settings_, cache_, deps.http, deps.peer_network, deps.cancellations,
-                      contact_, machine_list_, direct_sockets(settings_)),
+                      contact_, machine_list_, CommandDispatcher::max_concurrent_sends(settings_)),
       failure_detector_(settings_),
       gangs_(loop_, settings_, *this),
       replicas_(loop_, settings_, cache_, *this, gangs_),
       scale_in_(scale_in_dependencies()),
-      scale_out_requests_(loop_, settings_, deps.store, cache_, deps.http, deps.incarnation),
+      autoscaler_(autoscaler_dependencies()),
       rechunker_(loop_, settings_, cache_, deps.store, deps.versions,
                  [this](Transaction transaction, std::stop_token stop_token) {
-                   return commit_and_apply(std::move(transaction), std::move(stop_token));
-                 }) {
-  scale_out_requests_.on_machines_created = [this](auto& machines, const MachineKind& kind) {
-    for (auto& id : machines)
-      if (!machines_.contains(id) && !cache_.has_tombstone(id))
-        booting_.try_emplace(id, Booting{kind.type, kind.zone, kind.spot, loop_.now()});
-  };
+                   return commit_chunks(std::move(transaction), std::move(stop_token));
+                 }),
+      commands_(loop_, settings_, deps.http, dispatcher_callbacks()),
+      snapshot_builder_({loop_, settings_, cache_, deps.catalog, deps.quotas, faults_},
+                        snapshot_facts()) {}
+
+bool ShardLeader::is_still_wanted(const Machine& m, const Command& command) const {
+  if (command.op != Command::Op::start) return true;
+  return !exits_.contains(command.task) && cache_.places(command.task, command.attempt, m.id);
 }
 
-const ShardLease* ShardLeader::own_lease() const {
-  for (auto& g : cache_.shard_table().leases)
-    if (g.controller == settings_.controller_name && g.incarnation == deps_.incarnation) return &g;
-  return nullptr;
+CommandDispatcher::Callbacks ShardLeader::dispatcher_callbacks() {
+  CommandDispatcher::Callbacks callbacks;
+  callbacks.fencing_token = [this] { return lease_.fencing_token(); };
+  callbacks.is_leading = [this] { return is_leading(); };
+  callbacks.find_machine = [this](const std::string& id) {
+    auto it = machines_.find(id);
+    return it == machines_.end() ? nullptr : &it->second;
+  };
+  callbacks.is_suspected = [this](const Machine& m) {
+    return failure_detector_.is_suspected(m, loop_.now());
+  };
+  callbacks.is_wanted = [this](const Machine& m, const Command& command) {
+    if (!is_still_wanted(m, command)) return false;
+    // The start of a cancelled task that is never sent can't arrive: the next heartbeat proves that
+    // the task doesn't run.
+    return command.op != Command::Op::start || !is_cancelled(*cache_.job(command.task.job));
+  };
+  callbacks.on_send_failed = [this](const std::string& id) { mark_changed(id); };
+  callbacks.on_status = [this](Machine& m, const Heartbeat& status, double requested_at) {
+    std::vector<Command> commands;
+    process_heartbeat(m, status, true, requested_at, commands);
+    return commands;
+  };
+  return callbacks;
 }
 
-bool ShardLeader::is_leading() const { return fencing_token_ != 0 && own_lease() != nullptr; }
+SnapshotBuilder::Facts ShardLeader::snapshot_facts() {
+  SnapshotBuilder::Facts facts;
+  facts.is_cancelled = [this](const Job& job) { return is_cancelled(job); };
+  facts.is_backing_off = [this](const std::string& job) {
+    auto hint = hints_.find(job);
+    return hint != hints_.end() && hint->second.backoff_until > loop_.now();
+  };
+  facts.startable_gang_tasks = [this](const Job& job, TaskRange gang) {
+    return startable_gang_tasks(job, gang);
+  };
+  facts.stop_grace_s = [this](const JobSpec& spec) { return stop_grace(spec); };
+  facts.running_since = [this](const TaskId& task, uint64_t attempt) {
+    return running_since(task, attempt);
+  };
+  facts.is_ending = [this](const PlacedTask& task) {
+    return is_stopping(task) || exits_.contains(task.name);
+  };
+  facts.is_schedulable = [this](const Machine& m) { return is_schedulable(m); };
+  facts.total_resources = [this](const Machine& m) { return total_resources(m, deps_.catalog); };
+  facts.free_resources = [this](const Machine& m) {
+    return free_resources(m, deps_.catalog, cache_);
+  };
+  return facts;
+}
 
-bool ShardLeader::records_current() const {
-  return cache_.loaded() && cache_.revision() >= required_revision_;
+double ShardLeader::running_since(const TaskId& task, uint64_t attempt) const {
+  constexpr double infinity = std::numeric_limits<double>::infinity();
+  // What was started under an earlier lease has run for long.
+  auto attempts = attempts_.find(task);
+  if (attempts == attempts_.end()) return -infinity;
+  auto it = attempts->second.find(attempt);
+  if (it == attempts->second.end()) return -infinity;
+  return it->second.running_at > 0 ? it->second.running_at : infinity;
 }
 
 void ShardLeader::apply_forwarded_exits() {
-  if (!records_current()) return;
+  if (!lease_.records_current()) return;
   for (auto& [controller, forwarded] : cache_.forwarded_exits()) {
-    if (forwarded.fencing_token != fencing_token_) continue;
+    if (forwarded.fencing_token != lease_.fencing_token()) continue;
     for (auto& exit : forwarded.exits) {
       if (exits_.contains(exit.task) || !cache_.places(exit.task, exit.attempt, exit.machine))
         continue;
@@ -59,27 +118,19 @@
 }
 
 void ShardLeader::on_lease_acquired() {
-  auto* g = own_lease();
-  fencing_token_ = g->fencing_token;
-  required_revision_ = cache_.shard_table_version();
-  lease_acquired_at_ = loop_.now();
-  failure_detector_.begin_lease(lease_acquired_at_);
+  failure_detector_.begin_lease(lease_.acquired_at());
   lease_renewal_.clear();
-  unreachable_since_ = 0;
   machines_.clear();
   deduplicator_.clear();
   attempts_.clear();
   exits_.clear();
   stopping_.clear();
   cancelled_.clear();
-  scale_in_.begin_lease(fencing_token_);
-  lost_capacity_.clear();
+  scale_in_.begin_lease(lease_.fencing_token());
   rechunker_.clear();
   uncommitted_starts_ = 0;
-  send_queue_.clear();
-  booting_.clear();
-  scale_out_requests_.begin_lease(fencing_token_);
-  cost_account_.begin_lease(lease_acquired_at_);
+  commands_.begin_lease();
+  autoscaler_.begin_lease(lease_.fencing_token());
   hints_.clear();
   gangs_.clear();
   replicas_.clear();
@@ -88,10 +139,11 @@
   next_list_ = 0;
   // Machines that an earlier holder rented are heard first. The first one of all has none.
   const bool first_of_all = cache_.shard_table().renewals <= 1;
-  next_scaling_at_ = lease_acquired_at_ + (first_of_all ? 0 : 2 * settings_.heartbeat_interval_s);
+  next_scaling_at_ = lease_.acquired_at() + (first_of_all ? 0 : 2 * settings_.heartbeat_interval_s);
   deps_.quotas.begin_lease();
   quota_news_ = true;
-  reset_snapshot();
+  snapshot_builder_.begin_lease();
+  over_.clear();
   for (auto& [id, assigned] : cache_.assignments()) machine(id);
   // Marked by an earlier holder, who may not have got round to it.
   // Those on which nothing is placed any more are returned again where the machine list names them.
@@ -102,75 +154,25 @@
     if (is_over(*job)) over_.insert(id);
     if (failed_before(*job)) faults_.suspect(id);
     replicas_.add_job(*job);
-    changed_jobs_.insert(job.get());
+    snapshot_builder_.mark_job_changed(*job);
   }
-  spdlog::info("holding the grant with term {}: {} machines named in records, {} jobs",
-               fencing_token_, machines_.size(), cache_.jobs().size());
+  spdlog::info("shard lease with fencing token {} acquired: {} machines in the records, {} jobs",
+               lease_.fencing_token(), machines_.size(), cache_.jobs().size());
   if (deps_.quotas.divided() && !deps_.quotas.exchanging())
     spdlog::warn(
         "the teams' limits are divided by the records, but no regions file is given: "
         "nothing is moved between regions from here");
 }
 
-// One value says who holds what. While it names another the leader replaces it; while it names us
-// we renew it. The term is the revision of the value that was replaced when the holder changed:
-// unique and growing, because no revision occurs twice.
-Task<bool> ShardLeader::renew_lease(std::stop_token stop_token) {
-  const double now = loop_.now();
-  const ShardLease* own = own_lease();
-  if (own && fencing_token_ != own->fencing_token) on_lease_acquired();
-  if (!own && fencing_token_ != 0) {
-    spdlog::info("the grant with term {} has gone to another holder", fencing_token_);
-    fencing_token_ = 0;
-    scale_in_.end_lease();
-    scale_out_requests_.begin_lease(0);
-  }
-  if (!deps_.election.is_leading()) co_return fencing_token_ != 0;
-  if (own && now < next_renewal_) co_return true;
-
-  Transaction transaction;
-  uint64_t replaced = cache_.shard_table_version();
-  ShardTable next = cache_.shard_table();
-  if (!own) {
-    ShardLease g;
-    g.controller = settings_.controller_name;
-    g.incarnation = deps_.incarnation;
-    // The very first value replaces nothing; the leader's key is older than any later revision.
-    g.fencing_token = replaced ? replaced : cache_.leader_version();
-    g.covers_unassigned = true;
-    next.leases = {g};
-  }
-  ++next.renewals;
-  transaction.preconditions[keys::shard_table] = replaced;
-  transaction.preconditions[keys::leader] = cache_.leader_version();
-  transaction.writes.push_back({keys::shard_table, encode_shard_table(next), 0});
-  auto writes = transaction.writes;
-  const double asked = loop_.now();
-  auto reply =
-      co_await deps_.store.compare_and_swap(std::move(transaction), RequestPriority::lease);
-  if (reply.outcome == TransactionOutcome::committed) {
-    cache_.apply_writes(writes, reply.revision);
-    // Early and often: an outage must fit into what is left of the grant.
-    next_renewal_ = asked + tuning_.shard_lease_s / 6;
-    if (!own) on_lease_acquired();
-    co_return true;
-  }
-  if (reply.outcome == TransactionOutcome::conflict ||
-      reply.outcome == TransactionOutcome::unknown) {
-    for (auto& key : {keys::shard_table, keys::leader}) {
-      auto read = co_await deps_.store.get(key, RequestPriority::lease);
-      if (read.found()) cache_.apply(read.key_value);
-    }
-  }
-  next_renewal_ = loop_.now() + 0.2;
-  if (stop_token.stop_requested()) co_return false;
-  co_return is_leading();
+void ShardLeader::on_lease_lost() {
+  scale_in_.end_lease();
+  autoscaler_.end_lease();
 }
 
 void ShardLeader::job_changed(Job* job) {
-  if (fencing_token_ != 0 && job) {
+  if (lease_.fencing_token() != 0 && job) {
     scheduling_requested_ = true;
-    changed_jobs_.insert(job);
+    snapshot_builder_.mark_job_changed(*job);
     replicas_.add_job(*job);
     if (is_over(*job)) over_.insert(job->spec.id);
     if (is_cancelled(*job)) stop_cancelled(*job);
@@ -179,13 +181,11 @@
 }
 
 void ShardLeader::job_gone(Job* job) {
-  changed_jobs_.erase(job);
-  job_index_.release(job, snapshot_.jobs);
+  snapshot_builder_.forget_job(*job);
   hints_.erase(job->spec.id);
   gangs_.forget_job(job->spec.id);
   replicas_.forget_job(job->spec.id);
   faults_.forget_job(job->spec.id);
-  held_back_.erase(job->spec.id);
   over_.erase(job->spec.id);
   cancelled_.erase(job->spec.id);
   TaskId first{job->spec.id, 0};
@@ -200,17 +200,17 @@
       if (!co_await Sleep(loop_, 0.1, stop_token)) co_return;
       continue;
     }
-    bool busy = false;
-    if (co_await renew_lease(stop_token)) {
+    StepResult result = StepResult::idle;
+    if (co_await lease_.renew(stop_token) == ShardRole::leader) {
       if (is_leading()) apply_forwarded_exits();
-      busy = co_await commit_exits(stop_token);
-      if (is_leading()) busy = co_await commit_finals(stop_token) || busy;
-      if (is_leading() && records_current())
-        busy = co_await rechunker_.commit_next(stop_token) || busy;
-      if (is_leading()) busy = co_await commit_quotas(stop_token) || busy;
-      if (is_leading()) busy = co_await commit_starts(stop_token) || busy;
+      result = co_await commit_exits(stop_token);
+      if (is_leading()) result = combine(co_await commit_finals(stop_token), result);
+      if (is_leading() && lease_.records_current())
+        result = combine(co_await rechunk(stop_token), result);
+      if (is_leading()) result = combine(co_await commit_quotas(stop_token), result);
+      if (is_leading()) result = combine(co_await commit_starts(stop_token), result);
     }
-    if (busy) continue;
+    if (result == StepResult::busy) continue;
     double pause = std::min(0.25, settings_.heartbeat_interval_s / 6);
     co_await deps_.changed.wait(pause, stop_token);
     // Events that come close together are decided together.
@@ -224,12 +224,12 @@
     if (!co_await Sleep(loop_, tick, stop_token)) co_return;
     lease_renewal_.forget_old_visits();
     std::erase_if(images_seen_, [&](auto& entry) { return cache_.has_tombstone(entry.first); });
-    if (!is_leading() || is_deposed()) {
+    if (!is_leading() || lease_.is_deposed()) {
       co_await orphan_cleanup_.run_once(stop_token);
       continue;
     }
     failure_detector_.note_tick(loop_.now(), tick);
-    if (!records_current() || !deps_.catalog.known()) continue;
+    if (!lease_.records_current() || !deps_.catalog.known()) continue;
     step_down_if_unreachable();
     detect_dead_machines();
     check_cancelled_tasks();
@@ -238,12 +238,12 @@
     check_drains();
     review_gangs();
     // What changes with time alone: pauses that are over, machines in doubt.
-    if (pending_tasks_ > 0 || !held_back_.empty()) scheduling_requested_ = true;
+    if (pending_tasks_ > 0 || snapshot_builder_.has_held_back_jobs()) scheduling_requested_ = true;
     if (deps_.election.is_leading()) {
       co_await scale_in_.return_machines(ScaleInTracker::Selection::all, stop_token);
       if (is_leading() && loop_.now() >= next_scaling_at_) {
         next_scaling_at_ = loop_.now() + settings_.heartbeat_interval_s / 2;
-        scale_out(stop_token);
+        autoscaler_.run(unschedulable_, stop_token);
       }
     } else if (scale_in_.tracker().any_keeps_cancelled_task()) {
       // A holder whose leadership ended and whose successor is gone too, in an outage: what others
@@ -255,36 +255,20 @@
   }
 }
 
-// A holder that hears few of its machines while they come to other nodes can't do its work. It
-// gives the leadership up, and one that they reach takes over. Where nobody else hears them either,
-// the fault is theirs, and nothing is gained by going.
 void ShardLeader::step_down_if_unreachable() {
-  // A report period and a half, over which a healthy machine reports at least once.
-  constexpr double heard_within_reports = 1.5, deaf_lease_share = 0.125;
   const double now = loop_.now();
-  const double heard_within = heard_within_reports * settings_.heartbeat_interval_s;
-  size_t received = 0;
-  for (auto& [id, m] : machines_)
-    received += now - m.last_heartbeat_at < heard_within && m.agent_epoch != 0;
-  // After a takeover they come here by way of the others.
-  const bool acknowledged = now - lease_acquired_at_ > 3 * settings_.heartbeat_interval_s;
-  const bool deaf = acknowledged && deps_.peer_network.max_misrouted_machines() > received;
-  if (!deaf || !deps_.election.is_leading()) {
-    unreachable_since_ = 0;
-    return;
-  }
-  if (unreachable_since_ == 0) unreachable_since_ = now;
-  if (now - unreachable_since_ < settings_.lease_s * deaf_lease_share) return;
-  spdlog::warn("{} machines heard here and {} by other controllers: giving the leadership up",
-               received, deps_.peer_network.max_misrouted_machines());
-  deps_.election.step_down();
-  unreachable_since_ = 0;
+  const double recency_s = lease_.heartbeat_recency_s();
+  const auto reachable = std::count_if(machines_.begin(), machines_.end(), [&](auto& entry) {
+    auto& [id, m] = entry;
+    return m.agent_epoch != 0 && now - m.last_heartbeat_at < recency_s;
+  });
+  lease_.step_down_if_unreachable(static_cast<size_t>(reachable));
 }
 
 std::optional<HttpResponse> ShardLeader::refusal(const std::string& machine,
                                                  uint64_t fencing_token) {
   // A newer holder exists: a 200 would only hold the worker here while its lease runs out.
-  if (fencing_token > fencing_token_) return HttpResponse{421, encode_redirect({}), 0};
+  if (fencing_token > lease_.fencing_token()) return HttpResponse{421, encode_redirect({}), 0};
   const bool lost = deps_.peer_network.is_isolated() && !contact_.in_contact();
   if (!lease_renewal_.may_renew(lost ? lease_renewal_.note_visit(machine) : Visit::repeated))
     return HttpResponse{503, {}, 0};
@@ -304,7 +288,7 @@
 
 // Only what the holder itself took last is remembered, so its token is known to be ours.
 std::optional<HttpResponse> ShardLeader::answer_repeated_heartbeat(const HttpRequest& request) {
-  if (!is_leading() || is_deposed()) return std::nullopt;
+  if (!is_leading() || lease_.is_deposed()) return std::nullopt;
   const auto repeat = deduplicator_.find(request.body);
   if (!repeat || faults_.any() || scale_in_.tracker().is_declared_dead(repeat->machine))
     return std::nullopt;
@@ -318,13 +302,13 @@
   m.state_as_of = std::max(m.state_as_of, request.previous_answer_at);
   if (!m.tasks.empty()) m.idle_since = now;
   m.in_answer.clear();
-  return HttpResponse{200, encode_heartbeat_response(fencing_token_, {}), 0};
+  return HttpResponse{200, encode_heartbeat_response(lease_.fencing_token(), {}), 0};
 }
 
 HttpResponse ShardLeader::on_decoded_heartbeat(const Heartbeat& r, const HttpRequest& request) {
   // Gone, as the cloud said: this is a late copy.
   if (scale_in_.tracker().is_returned(r.machine)) return {421, encode_redirect({}), 0};
-  if (!is_leading() || is_deposed()) return lease_renewal_.answer_misrouted(r);
+  if (!is_leading() || lease_.is_deposed()) return lease_renewal_.answer_misrouted(r);
   if (auto no = refusal(r.machine, r.fencing_token)) return *no;
   std::vector<Command> commands;
   Machine& m = machine(r.machine);
@@ -333,11 +317,11 @@
     m.in_answer.clear();
     if (process_heartbeat(m, r, false, request.previous_answer_at, commands))
       deduplicator_.remember(m.id, request.body, r.sequence);
-    std::erase_if(commands, [&](const Command& c) { return !still_wanted(m, c); });
+    std::erase_if(commands, [&](const Command& c) { return !is_still_wanted(m, c); });
     for (auto& c : commands)
       if (c.op == Command::Op::start) m.in_answer.insert({c.task, c.attempt});
   }
-  return {200, encode_heartbeat_response(fencing_token_, commands), 0};
+  return {200, encode_heartbeat_response(lease_.fencing_token(), commands), 0};
 }
 
 }  // namespace damsonport
--- a/src/coordination/shard_leader/shard_leader.hpp
+++ b/src/coordination/shard_leader/shard_leader.hpp
@@ -1,22 +1,19 @@
 // The holder of a grant: sole placer for its teams and sole answerer of its machines' reports.
 #pragma once
-#include <deque>
 #include <map>
 #include <set>
 #include <string>
 #include <unordered_map>
-#include <unordered_set>
 
-#include "coordination/autoscaling/autoscaler.hpp"
-#include "coordination/autoscaling/cost_account.hpp"
+#include "coordination/autoscaling/autoscaler_driver.hpp"
 #include "coordination/autoscaling/machine_type_catalog.hpp"
 #include "coordination/autoscaling/scale_in.hpp"
-#include "coordination/autoscaling/scale_out_requests.hpp"
-#include "coordination/leadership/election.hpp"
 #include "coordination/leadership/exit_forwarder.hpp"
 #include "coordination/leadership/lease_renewal.hpp"
 #include "coordination/leadership/peer_network.hpp"
+#include "coordination/leadership/shard_lease_keeper.hpp"
 #include "coordination/leadership/version_registry.hpp"
+#include "coordination/machines/command_dispatcher.hpp"
 #include "coordination/machines/failure_detector.hpp"
 #include "coordination/machines/fault_attribution.hpp"
 #include "coordination/machines/heartbeat_deduplicator.hpp"
@@ -30,7 +27,7 @@
 #include "coordination/scheduling/gang_tracker.hpp"
 #include "coordination/scheduling/rechunker.hpp"
 #include "coordination/scheduling/scheduler.hpp"
-#include "coordination/scheduling/snapshot_index.hpp"
+#include "coordination/scheduling/snapshot_builder.hpp"
 #include "coordination/scheduling/start_edits.hpp"
 
 namespace damsonport {
@@ -65,11 +62,9 @@
 
   // The answer to a report in the form in which it came.
   HttpResponse on_heartbeat(const HttpRequest& request);
-  bool is_leading() const;
-  // Of the grant held; 0: none.
-  uint64_t fencing_token() const { return is_leading() ? fencing_token_ : 0; }
-  // Messages to workers that may be under way at once.
-  static int direct_sockets(const Settings& s) { return std::max(8, s.max_sockets / 16); }
+  bool is_leading() const { return lease_.is_leading(); }
+  /// Of the lease held; 0: none.
+  uint64_t fencing_token() const { return is_leading() ? lease_.fencing_token() : 0; }
   uint64_t pending_tasks() const { return pending_tasks_; }
   // Machines that report, or are named by the records.
   size_t fleet_size() const {
@@ -96,6 +91,25 @@
     double running_at = 0;  // first seen running
     bool image_cached = false;
   };
+  /// Whether a step of the scheduling loop had something to write. After a busy step the loop goes
+  /// on without a pause.
+  enum class StepResult : uint8_t { idle, busy };
+  enum class CommitResult : uint8_t { committed, not_committed };
+  enum class GangStart : uint8_t { complete, incomplete };
+  /// Whether the changes of a commit are a reason for another scheduling cycle.
+  enum class AfterCommit : uint8_t {
+    request_cycle,
+    /// The cycle that decided the commit has counted its changes.
+    keep_cycle_request,
+  };
+  struct CommitOptions {
+    AfterCommit after = AfterCommit::request_cycle;
+    /// Called between the commit and its taking effect here.
+    std::function<void()> on_committed;
+  };
+  static StepResult combine(StepResult one, StepResult other) {
+    return one == StepResult::busy ? one : other;
+  }
   struct PendingExit {
     uint64_t attempt;
     ExitCause cause;
@@ -106,24 +120,13 @@
     int errors = 0;  // tasks that failed
     RunTimes run_times;
   };
-  struct Booting {
-    std::string type, zone;
-    bool spot = false;
-    double since = 0;
-  };
   struct Stopping {
     uint64_t attempt;
     double grace_s;
   };
 
-  // --- grants (holder.cpp)
-  const ShardLease* own_lease() const;
-  Task<bool> renew_lease(std::stop_token stop_token);
   void on_lease_acquired();
-  // A peer says that it holds a newer grant: ours is over, though we may not have read it.
-  bool is_deposed() const {
-    return fencing_token_ != 0 && deps_.peer_network.newest_fencing_token() > fencing_token_;
-  }
+  void on_lease_lost();
   void step_down_if_unreachable();
 
   // --- cancelled jobs
@@ -136,34 +139,38 @@
   void apply_forwarded_exits();
 
   // --- committing (holder_commit.cpp)
-  Task<bool> commit_exits(std::stop_token stop_token);
-  Task<bool> commit_finals(std::stop_token stop_token);
-  Task<bool> commit_starts(std::stop_token stop_token);
+  Task<StepResult> commit_exits(std::stop_token stop_token);
+  Task<StepResult> commit_finals(std::stop_token stop_token);
+  Task<StepResult> commit_starts(std::stop_token stop_token);
   void dispatch_preemptions(const scheduling::Decisions& decided);
   void note_unschedulable(const scheduling::Decisions& decided);
-  DecidedStart by_name(size_t job, size_t machine) const;
-  DecidedGang gang_by_name(const scheduling::GangPlacement& decided) const;
-  Task<bool> commit_gang_starts(std::vector<DecidedGang> gangs, std::stop_token stop_token);
-  Task<bool> commit_gang_start(const DecidedGang& gang, std::stop_token stop_token);
-  Task<bool> commit_single_starts(std::vector<DecidedStart> decided, std::stop_token stop_token);
+  Task<StepResult> commit_gang_starts(std::vector<DecidedGang> gangs, std::stop_token stop_token);
+  /// Whether all of the gang was committed.
+  Task<GangStart> commit_gang_start(const DecidedGang& gang, std::stop_token stop_token);
+  Task<StepResult> commit_single_starts(std::vector<DecidedStart> decided,
+                                        std::stop_token stop_token);
   // How long the starts of one pass may be committed before the next pass.
   double starts_may_take_s() const;
   void dispatch_starts(const std::vector<CommittedStart>& starts);
-  // `committed` is called between the commit and its taking effect here.
-  Task<bool> commit_and_apply(Transaction transaction, std::stop_token stop_token,
-                              bool starts = false, std::function<void()> committed = {});
+  /// Commits until the outcome is definite and applies the writes here. Nothing else of this shard
+  /// leader is written meanwhile, so whatever has an uncertain outcome keeps its resources and its
+  /// team's quota until the outcome is known.
+  Task<CommitResult> commit_and_apply(Transaction transaction, std::stop_token stop_token,
+                                      CommitOptions options);
   // An exit that is the last of its job, in a transaction that may end the job with it.
   bool ends_with(const Job& job, const TaskChunk& record, const PendingExit& exit) const;
   // What the exits that were committed teach, and their end here.
   void finish_exits(const std::vector<TaskId>& tasks);
   Task<void> reread(std::vector<std::string> failed);
-  bool records_current() const;
   // What every write has to fit.
   const StateLimits& limits() const { return settings_.state_limits.always(); }
   static bool is_over(const Job& job) { return job.cancelled ? job.live == 0 : job.finished(); }
 
+  Task<StepResult> rechunk(std::stop_token stop_token);
+  /// For the rechunker: whether its transaction was committed.
+  Task<bool> commit_chunks(Transaction transaction, std::stop_token stop_token);
   // --- the teams' limits among regions (holder_budgets.cpp)
-  Task<bool> commit_quotas(std::stop_token stop_token);
+  Task<StepResult> commit_quotas(std::stop_token stop_token);
   void send_deficits();
 
   // --- gangs (holder_gangs.cpp)
@@ -181,13 +188,10 @@
   void stop_gang(const Job& job, TaskRange gang, double grace_s);
   void stop_task(const PlacedTask& task, double grace_s);
 
-  // --- what placement sees (holder_view.cpp)
-  void reset_snapshot();
+  SnapshotBuilder::Facts snapshot_facts();
+  /// See SnapshotBuilder::Facts.
+  double running_since(const TaskId& task, uint64_t attempt) const;
   void refresh_snapshot();
-  void refresh_job(Job& job);
-  void describe_job(const JobSpec& spec, scheduling::JobSnapshot& view);
-  uint32_t startable_tasks(const Job& job, uint32_t gang);
-  void refresh_machine(Machine& m);
   void forget_machine(const std::string& id);
 
   // --- machines (holder_machines.cpp)
@@ -220,38 +224,22 @@
   // A job whose tasks were started again and again by earlier holders and of which nothing is done.
   static bool failed_before(const Job& job);
   bool is_schedulable(const Machine& m) const;
-  scheduling::Resources total_of(const Machine& m) const;
   // Enough for a task that saves, with some room for the message; 0 for one that never does.
   double stop_grace(const JobSpec& s) const;
-  scheduling::Resources free_of(const Machine& m) const;
 
-  // --- orders (holder_orders.cpp)
-  void dispatch(Machine& m, Command command);
-  void flush(const std::string& id);
-  void start_sends();
-  Task<void> send(std::string id);
-  Task<void> send_commands(std::string id);
-  bool still_wanted(const Machine& m, const Command& c) const;
-  Task<void> probe(std::string id);
-  // Unless it is being asked already, or too many are.
-  void start_probe(const std::string& id);
+  /// Whether the command, which was decided before, still agrees with the records.
+  bool is_still_wanted(const Machine& m, const Command& command) const;
+  CommandDispatcher::Callbacks dispatcher_callbacks();
 
   // --- cloud (holder_cloud.cpp)
-  // Leader and holder, so that the cloud is this controller's to deal with.
-  bool leads_cluster_and_shard() const;
   void note_listed(const ListedMachine& listed);
-  void note_starting(const ListedMachine& listed);
   void detect_dead_machines();
   void check_cancelled_tasks();
   void check_drains();
   void check_stragglers();
-  const MachineType* coming_type(const std::string& id, const Booting& b) const;
   ScaleIn::Dependencies scale_in_dependencies();
   void on_machine_returned(const std::string& id, bool declared_dead);
-  void scale_out(const std::stop_token& stop_token);
-  autoscaling::AutoscalerInput autoscaler_input() const;
-  void expect_arrivals(autoscaling::AutoscalerInput& in) const;
-  uint64_t team_limit(const JobSpec& spec) const;
+  AutoscalerDriver::Dependencies autoscaler_dependencies();
   void drain(Machine& m, const std::string& why);
 
   Dependencies deps_;
@@ -260,18 +248,13 @@
   const Tuning& tuning_;
   RecordCache& cache_;
 
-  // Of the present grant; cleared when it is taken over.
-  uint64_t fencing_token_ = 0;
-  uint64_t required_revision_ = 0;  // records must be complete up to here before anything is placed
-  double next_renewal_ = 0;
-  double lease_acquired_at_ = 0;
+  ShardLeaseKeeper lease_;
 
   StoreContact contact_;
   LeaseRenewal lease_renewal_;
   MachineListReader machine_list_;
   OrphanCleanup orphan_cleanup_;
   FailureDetector failure_detector_;
-  double unreachable_since_ = 0;  // 0: the machines are heard
   // Which images the records put on which machine and when, seen by every node from the changes it
   // follows, so that a new holder knows most of what the last one knew.
   std::unordered_map<std::string, ImageCache> images_seen_;
@@ -286,15 +269,10 @@
   std::map<TaskId, PendingExit> exits_;
   std::map<TaskId, Stopping> stopping_;
   std::set<std::string> cancelled_;  // jobs, whose tasks may still be there
-  std::vector<MachineKind> lost_capacity_;  // kinds of machines given up, to be replaced
   ScaleIn scale_in_;
-  std::map<std::string, Booting> booting_;
-  ScaleOutRequests scale_out_requests_;
+  AutoscalerDriver autoscaler_;
   Rechunker rechunker_;
-  CostAccount cost_account_;
-  std::deque<std::string> send_queue_;  // machines with orders
-  std::set<std::string> probing_;
-  int sends_ = 0;
+  CommandDispatcher commands_;
   std::vector<autoscaling::ResourceDemand> unschedulable_;
   uint64_t pending_tasks_ = 0;
   size_t uncommitted_starts_ = 0;  // jobs whose starts the last pass decided and put off
@@ -304,16 +282,8 @@
   bool scheduling_requested_ = true;
   double next_cycle_at_ = 0;
   double last_cycle_s_ = 0;  // how long the last pass of placement took
-
-  // Kept from pass to pass; only what changed is made anew. Nobody marks what passes with time
-  // alone: silence and pauses are looked at in each pass.
-  scheduling::SchedulerSnapshot snapshot_;
-  SnapshotIndex job_index_;
-  std::vector<size_t> free_machine_slots_;
-  std::unordered_set<Job*> changed_jobs_;
-  std::unordered_set<std::string> changed_machines_;
-  std::set<std::string> held_back_;  // jobs that pause after errors
-  std::set<std::string> over_;       // jobs whose end may be committed
+  SnapshotBuilder snapshot_builder_;
+  std::set<std::string> over_;  // jobs whose end may be committed
 };
 
 }  // namespace damsonport
--- a/src/coordination/shard_leader/shard_leader_cancelled.cpp
+++ b/src/coordination/shard_leader/shard_leader_cancelled.cpp
@@ -19,8 +19,8 @@
 
 void ShardLeader::cancelled_elsewhere(const std::string& id) {
   Job* job = cache_.job(id);
-  if (fencing_token_ == 0 || !job) return;
-  changed_jobs_.insert(job);
+  if (lease_.fencing_token() == 0 || !job) return;
+  snapshot_builder_.mark_job_changed(*job);
   stop_cancelled(*job);
   deps_.changed.notify();
 }
@@ -31,7 +31,7 @@
     mark_changed(task.machine);
     auto it = machines_.find(task.machine);
     if (it != machines_.end() && it->second.tasks.contains(task.name))
-      dispatch(it->second, {Command::Op::stop, task.name, task.attempt, 0});
+      commands_.dispatch(it->second, {Command::Op::stop, task.name, task.attempt, 0});
   }
 }
 
@@ -56,7 +56,7 @@
   const double limit = settings_.cancel_s * tuning_.cancel_return_share;
   // A new holder has not heard yet what its machines did meanwhile. It waits for that, but not past
   // the time at which the task must be gone; what is older was long stopped, or is too late.
-  const bool acknowledged = now - lease_acquired_at_ > 2 * settings_.heartbeat_interval_s;
+  const bool acknowledged = now - lease_.acquired_at() > 2 * settings_.heartbeat_interval_s;
   const double latest = settings_.cancel_s * 0.9;
   const double too_late = settings_.cancel_s * 1.1;
   for (auto& id : cancelled_) {
--- a/src/coordination/shard_leader/shard_leader_commit.cpp
+++ b/src/coordination/shard_leader/shard_leader_commit.cpp
@@ -24,34 +24,32 @@
   }
 }
 
-// Commits surely. Nothing else of this holder is written meanwhile, so whatever is in doubt keeps
-// its room and its team's quota until the outcome is known.
-Task<bool> ShardLeader::commit_and_apply(Transaction transaction, std::stop_token stop_token,
-                                         bool starts, std::function<void()> committed) {
+Task<ShardLeader::CommitResult> ShardLeader::commit_and_apply(Transaction transaction,
+                                                              std::stop_token stop_token,
+                                                              CommitOptions options) {
   auto writes = transaction.writes;
   auto reply = co_await deps_.store.commit_until_resolved(std::move(transaction),
                                                           RequestPriority::scheduling, stop_token);
   if (reply.outcome == TransactionOutcome::committed) {
-    if (committed) committed();
-    const bool again = scheduling_requested_;
+    if (options.on_committed) options.on_committed();
+    const bool was_requested = scheduling_requested_;
     cache_.apply_writes(writes, reply.revision);
-    // The pass that decided the starts has counted them: they are no reason for another one.
-    if (starts) scheduling_requested_ = again;
-    co_return true;
+    if (options.after == AfterCommit::keep_cycle_request) scheduling_requested_ = was_requested;
+    co_return CommitResult::committed;
   }
   if (reply.outcome == TransactionOutcome::conflict) {
-    spdlog::debug("a commit lost against a change of {}",
+    spdlog::debug("a commit conflicts with a change of {}",
                   reply.failed_keys.empty() ? "?" : reply.failed_keys.front());
     co_await reread(std::move(reply.failed_keys));
   }
   if (reply.outcome == TransactionOutcome::invalid) {
     // Definite: nothing of it was written, and the same again would be refused again.
-    spdlog::error("the state service takes no transaction with {}",
+    spdlog::error("the key-value store refuses a transaction with {} as invalid",
                   writes.empty() ? "no writes" : writes.front().key);
     rechunker_.note_refused(writes);
     co_await Sleep(loop_, pause_after_refusal_s, stop_token);
   }
-  co_return false;
+  co_return CommitResult::not_committed;
 }
 
 // Tasks of one record share its write, so that an array of thousands wants few.
@@ -94,8 +92,8 @@
   if (any_failed) review_faults();
 }
 
-Task<bool> ShardLeader::commit_exits(std::stop_token stop_token) {
-  if (exits_.empty() || !records_current()) co_return false;
+Task<ShardLeader::StepResult> ShardLeader::commit_exits(std::stop_token stop_token) {
+  if (exits_.empty() || !lease_.records_current()) co_return StepResult::idle;
   ChunkEdits edits(cache_, limits());
   std::vector<TaskId> taken, last;  // `last`: those that end their jobs
   for (auto it = exits_.begin(); it != exits_.end();) {
@@ -122,7 +120,7 @@
     (ends ? last : taken).push_back(name);
     ++it;
   }
-  if (edits.empty()) co_return false;
+  if (edits.empty()) co_return StepResult::idle;
   // While the job is still known here: its records go with the commit.
   std::function<void()> committed = [&] {
     std::set<std::string> ended;
@@ -132,7 +130,10 @@
       if (ended.contains(name.job)) of_ended.push_back(name);
     finish_exits(of_ended);
   };
-  if (co_await commit_and_apply(edits.finish(), stop_token, false, std::move(committed))) {
+  CommitOptions options{AfterCommit::request_cycle, std::move(committed)};
+  const CommitResult result =
+      co_await commit_and_apply(edits.finish(), stop_token, std::move(options));
+  if (result == CommitResult::committed) {
     for (auto& name : last) {
       cache_.remember_final(name.job, FinalState::done);
       spdlog::info("job {} is done", name.job);
@@ -140,12 +141,12 @@
     finish_exits(taken);
     scheduling_requested_ = true;
   }
-  co_return true;
+  co_return StepResult::busy;
 }
 
 // A job's record goes when all its tasks are done, or when it was cancelled and none is left.
-Task<bool> ShardLeader::commit_finals(std::stop_token stop_token) {
-  if (!records_current()) co_return false;
+Task<ShardLeader::StepResult> ShardLeader::commit_finals(std::stop_token stop_token) {
+  if (!lease_.records_current()) co_return StepResult::idle;
   Transaction transaction;
   std::vector<std::string> ended;
   int room = limits().txn_writes;
@@ -183,30 +184,57 @@
       if (room-- <= 0) break;
       transaction.writes.push_back({key, Json(), 0});
     }
-    if (transaction.writes.empty()) co_return false;
+    if (transaction.writes.empty()) co_return StepResult::idle;
   }
   transaction.preconditions[keys::shard_table] = cache_.shard_table_version();
   std::vector<std::pair<std::string, bool>> outcome;
   outcome.reserve(ended.size());
   for (auto& id : ended) outcome.emplace_back(id, cache_.job(id)->cancelled);
-  if (co_await commit_and_apply(std::move(transaction), stop_token))
+  CommitOptions options;
+  const CommitResult result =
+      co_await commit_and_apply(std::move(transaction), stop_token, std::move(options));
+  if (result == CommitResult::committed)
     for (auto& [id, cancelled] : outcome)
       cache_.remember_final(id, cancelled ? FinalState::cancelled : FinalState::done);
-  co_return true;
+  co_return StepResult::busy;
 }
 
-Task<bool> ShardLeader::commit_starts(std::stop_token stop_token) {
+void ShardLeader::refresh_snapshot() {
+  for (auto& id : replicas_.offer_repairs())
+    if (Job* job = cache_.job(id)) snapshot_builder_.mark_job_changed(*job);
+  std::vector<SnapshotBuilder::ExpectedMachine> expected;
+  autoscaler_.for_each_expected([&](auto&, auto& booting, auto& type) {
+    const scheduling::Resources total{type.cpus, type.gpus, type.memory_gb};
+    expected.push_back({booting.kind.type, booting.kind.zone, booting.kind.spot, total});
+  });
+  snapshot_builder_.refresh(machines_, failure_detector_.unreachable_zones(machines_, loop_.now()),
+                            expected);
+}
+
+Task<ShardLeader::StepResult> ShardLeader::rechunk(std::stop_token stop_token) {
+  const bool any = co_await rechunker_.commit_next(stop_token);
+  co_return any ? StepResult::busy : StepResult::idle;
+}
+
+Task<bool> ShardLeader::commit_chunks(Transaction transaction, std::stop_token stop_token) {
+  CommitOptions options;
+  const CommitResult result =
+      co_await commit_and_apply(std::move(transaction), stop_token, std::move(options));
+  co_return result == CommitResult::committed;
+}
+
+Task<ShardLeader::StepResult> ShardLeader::commit_starts(std::stop_token stop_token) {
   const double now = loop_.now();
-  if (!records_current() || !deps_.catalog.known() || !scheduling_requested_ ||
+  if (!lease_.records_current() || !deps_.catalog.known() || !scheduling_requested_ ||
       now < next_cycle_at_)
-    co_return false;
+    co_return StepResult::idle;
   uncommitted_starts_ = 0;
   // One pass serves all that came meanwhile; passes are spaced so that bursts share them.
   next_cycle_at_ = now + std::min(0.05, settings_.heartbeat_interval_s / 30);
   scheduling_requested_ = false;
 
   refresh_snapshot();
-  const auto decided = scheduling::place(snapshot_);
+  const auto decided = scheduling::place(snapshot_builder_.snapshot());
   note_unschedulable(decided);
   dispatch_preemptions(decided);
   // A pass over a large fleet that a new holder hears for the first time takes long: half of the
@@ -216,12 +244,13 @@
 
   // By name from here on: places in the view are used anew while the commits are under way.
   std::vector<DecidedStart> singles;
-  for (auto& start : decided.starts) singles.push_back(by_name(start.job, start.machine));
+  for (auto& start : decided.starts)
+    singles.push_back(snapshot_builder_.start_by_name(start.job, start.machine));
   std::vector<DecidedGang> gangs;
-  for (auto& gang : decided.gangs) gangs.push_back(gang_by_name(gang));
-  bool any = co_await commit_gang_starts(std::move(gangs), stop_token);
-  any = co_await commit_single_starts(std::move(singles), stop_token) || any;
-  co_return any;
+  for (auto& gang : decided.gangs) gangs.push_back(snapshot_builder_.gang_by_name(gang));
+  const StepResult gang_result = co_await commit_gang_starts(std::move(gangs), stop_token);
+  const StepResult single_result = co_await commit_single_starts(std::move(singles), stop_token);
+  co_return combine(gang_result, single_result);
 }
 
 void ShardLeader::note_unschedulable(const scheduling::Decisions& decided) {
@@ -230,14 +259,13 @@
   for (auto& u : decided.unschedulable) {
     pending_tasks_ += u.count;
     if (u.capacity_pending) continue;
-    auto& s = job_index_.owner(u.job).job->spec;
+    auto& s = snapshot_builder_.job_at(u.job).spec;
     autoscaling::ResourceDemand demand{resources_per_task(s), u.missing, s.types, s.zone, s.spot};
     if (s.gang_size() > 0) {
       demand.gang = true;
       demand.one_zone = u.one_zone;
       demand.distinct_machines = s.distinct_machines;
-      for (auto& zone : settings_.zones)
-        if (u.zone != 0 && snapshot_.zones.id(zone) == u.zone) demand.zone = zone;
+      if (auto zone = snapshot_builder_.zone_name(u.zone); !zone.empty()) demand.zone = zone;
       spdlog::debug("no room for {} of {} tasks of a gang of {}{}", u.missing, u.count, s.id,
                     demand.zone.empty() ? "" : " in " + demand.zone);
     }
@@ -247,32 +275,21 @@
 
 void ShardLeader::dispatch_preemptions(const scheduling::Decisions& decided) {
   for (auto& s : decided.stops) {
-    auto& live = snapshot_.machines[s.machine].live[s.live];
-    const std::string& machine_id = snapshot_.machines[s.machine].id;
-    const TaskId name{job_index_.owner(live.job).job->spec.id, live.index};
+    const auto& machine = snapshot_builder_.snapshot().machines[s.machine];
+    const auto& live = machine.live[s.live];
+    const std::string& machine_id = machine.id;
+    const TaskId name{snapshot_builder_.job_at(live.job).spec.id, live.index};
     spdlog::info("stopping {} attempt {} on {} to make room", name.text(), live.attempt,
                  machine_id);
     stop_task({name, live.attempt, machine_id}, s.grace_s);
   }
 }
 
-DecidedStart ShardLeader::by_name(size_t job, size_t machine) const {
-  auto& m = snapshot_.machines[machine];
-  auto& j = snapshot_.jobs[job];
-  return {j.id, m.id, scheduling::has_image(m, j.image)};
-}
-
-DecidedGang ShardLeader::gang_by_name(const scheduling::GangPlacement& decided) const {
-  const auto& owner = job_index_.owner(decided.job);
-  DecidedGang gang{gang_range(owner.job->spec, owner.gang), {}};
-  for (size_t machine : decided.machines) gang.starts.push_back(by_name(decided.job, machine));
-  return gang;
-}
-
 // A gang is started by one transaction where its records fit into one. Otherwise one after the
 // other under the same attempt: a holder that ends halfway leaves a gang with missing tasks, which
 // the next one completes or gives up like any other.
-Task<bool> ShardLeader::commit_gang_start(const DecidedGang& gang, std::stop_token stop_token) {
+Task<ShardLeader::GangStart> ShardLeader::commit_gang_start(const DecidedGang& gang,
+                                                            std::stop_token stop_token) {
   const std::string id = gang.starts.front().job;
   uint64_t attempt = 0;
   std::vector<CommittedStart> committed;
@@ -294,11 +311,15 @@
     std::function<void()> begun = [&] {
       if (const Job* now = cache_.job(id)) gangs_.note_attempt_started(*now, gang.tasks, attempt);
     };
-    if (!co_await commit_and_apply(edits.finish(), stop_token, true, std::move(begun))) break;
+    CommitOptions options{AfterCommit::keep_cycle_request, std::move(begun)};
+    const CommitResult result =
+        co_await commit_and_apply(edits.finish(), stop_token, std::move(options));
+    if (result != CommitResult::committed) break;
     committed.insert(committed.end(), started.begin(), started.end());
   }
   dispatch_starts(committed);
-  co_return committed.size() == gang.starts.size();
+  const bool complete = committed.size() == gang.starts.size();
+  co_return complete ? GangStart::complete : GangStart::incomplete;
 }
 
 // What a long pass has decided is committed for as long as it took, rather than decided again.
@@ -306,8 +327,8 @@
   return std::max(settings_.heartbeat_interval_s * starts_share, last_cycle_s_);
 }
 
-Task<bool> ShardLeader::commit_gang_starts(std::vector<DecidedGang> gangs,
-                                           std::stop_token stop_token) {
+Task<ShardLeader::StepResult> ShardLeader::commit_gang_starts(std::vector<DecidedGang> gangs,
+                                                              std::stop_token stop_token) {
   const double begun = loop_.now();
   for (auto& gang : gangs) {
     if (!is_leading()) break;
@@ -315,13 +336,14 @@
       scheduling_requested_ = true;
       break;
     }
-    if (!co_await commit_gang_start(gang, stop_token)) scheduling_requested_ = true;
+    if (co_await commit_gang_start(gang, stop_token) != GangStart::complete)
+      scheduling_requested_ = true;
   }
-  co_return !gangs.empty();
+  co_return gangs.empty() ? StepResult::idle : StepResult::busy;
 }
 
-Task<bool> ShardLeader::commit_single_starts(std::vector<DecidedStart> planned,
-                                             std::stop_token stop_token) {
+Task<ShardLeader::StepResult> ShardLeader::commit_single_starts(std::vector<DecidedStart> planned,
+                                                                std::stop_token stop_token) {
   const double begun = loop_.now();
   size_t next = 0;
   bool any = false;
@@ -352,13 +374,17 @@
     }
     if (started.empty()) break;
     any = true;
-    if (!co_await commit_and_apply(edits.finish(), stop_token, true)) {
+    CommitOptions options;
+    options.after = AfterCommit::keep_cycle_request;
+    const CommitResult result =
+        co_await commit_and_apply(edits.finish(), stop_token, std::move(options));
+    if (result != CommitResult::committed) {
       scheduling_requested_ = true;
       break;
     }
     dispatch_starts(started);
   }
-  co_return any;
+  co_return any ? StepResult::busy : StepResult::idle;
 }
 
 void ShardLeader::dispatch_starts(const std::vector<CommittedStart>& starts) {
@@ -377,7 +403,7 @@
     it->second.idle_since = at;
     // Cancelled while it was committed: never ordered, it is gone by the next report.
     if (Job* job = cache_.job(s.task.job); !job || is_cancelled(*job)) continue;
-    dispatch(it->second, {Command::Op::start, s.task, s.attempt, 0});
+    commands_.dispatch(it->second, {Command::Op::start, s.task, s.attempt, 0});
   }
 }
 
--- a/src/coordination/shard_leader/shard_leader_machines.cpp
+++ b/src/coordination/shard_leader/shard_leader_machines.cpp
@@ -22,33 +22,10 @@
   return it->second;
 }
 
-scheduling::Resources ShardLeader::total_of(const Machine& m) const {
-  auto* t = deps_.catalog.type(m.type);
-  return t ? scheduling::Resources{t->cpus, t->gpus, t->memory_gb} : scheduling::Resources{};
-}
-
 double ShardLeader::stop_grace(const JobSpec& s) const {
   return s.checkpoint_s > 0 ? s.save_s * 1.2 + settings_.heartbeat_interval_s / 10 : 0;
 }
 
-// Everything that is or may be there counts: what the records place, and whatever else is reported.
-scheduling::Resources ShardLeader::free_of(const Machine& m) const {
-  auto room = total_of(m);
-  auto take = [&](const JobSpec& s) { room -= {s.cpus, s.gpus, s.memory_gb}; };
-  auto& assigned = cache_.assigned(m.id);
-  for (auto& [a, attempt] : assigned) take(a.job->spec);
-  for (auto& [name, t] : m.tasks) {
-    if (t.state == TaskState::exited) continue;
-    Job* job = cache_.job(name.job);
-    if (!job) {
-      room.cpus = std::min(room.cpus, 0.0);  // its size is unknown: nothing more until it is gone
-      continue;
-    }
-    if (!assigned.contains({job, name.index})) take(job->spec);
-  }
-  return room;
-}
-
 bool ShardLeader::is_schedulable(const Machine& m) const {
   return m.agent_epoch != 0 && !m.draining && !m.notice_at && !scale_in_.is_leaving(m.id) &&
          !scale_in_.tracker().is_returned(m.id) && m.failed_sends < 2 &&
@@ -68,8 +45,17 @@
   return out;
 }
 
+void ShardLeader::forget_machine(const std::string& id) {
+  faults_.forget_machine(id);
+  deduplicator_.forget(id);
+  auto it = machines_.find(id);
+  if (it == machines_.end()) return;
+  snapshot_builder_.forget_machine(it->second);
+  machines_.erase(it);
+}
+
 void ShardLeader::mark_changed(const std::string& machine) {
-  changed_machines_.insert(machine);
+  snapshot_builder_.mark_machine_changed(machine);
   deduplicator_.forget(machine);
 }
 
@@ -93,7 +79,7 @@
   if (!apply_heartbeat(m, r, loop_.now(), direct, as_of)) return false;
   mark_changed(m.id);
   scale_in_.note_heartbeat(m.id);
-  booting_.erase(m.id);
+  autoscaler_.note_heartbeat(m.id);
   if (epoch_before != 0 && epoch_before != m.agent_epoch)
     spdlog::info("{} began session {}: what ran there is gone", m.id, m.agent_epoch);
   if (epoch_before == 0) {
@@ -102,7 +88,7 @@
   }
   note_states(m);
   note_absent_parts(m);
-  auto todo = reconcile(m, desired_tasks_on(m), fencing_token_, records_current());
+  auto todo = reconcile(m, desired_tasks_on(m), lease_.fencing_token(), lease_.records_current());
   for (auto& e : todo.exits) {
     if (exits_.contains(e.task)) continue;
     spdlog::debug("{} attempt {} ended on {}: cause {}", e.task.text(), e.attempt, m.id,
@@ -121,7 +107,7 @@
 }
 
 void ShardLeader::assignment_changed(const std::string& machine, const Job& job, bool added) {
-  if (fencing_token_ != 0) mark_changed(machine);
+  if (lease_.fencing_token() != 0) mark_changed(machine);
   if (!added) return;
   // How much a machine holds depends on its type, which is not known here: as much as any.
   double most = 0;
@@ -179,7 +165,8 @@
 // A replica that may have been ready is never ready again under an attempt that lost a part, so the
 // part isn't started anew as any other task would be: the attempt is over.
 void ShardLeader::note_absent_parts(const Machine& m) {
-  if (!replicas_.any() || m.fencing_token < fencing_token_ || !records_current()) return;
+  if (!replicas_.any() || m.fencing_token < lease_.fencing_token() || !lease_.records_current())
+    return;
   std::vector<std::pair<const Job*, TaskRange>> concerned;
   for (auto& [assignment, attempt] : cache_.assigned(m.id)) {
     const Job& job = *assignment.job;
@@ -229,7 +216,7 @@
   if (auto t = m.tasks.find(task); t != m.tasks.end() && t->second.attempt == exit.attempt &&
                                    t->second.state == TaskState::exited &&
                                    !m.start_outstanding({task, exit.attempt}))
-    dispatch(m, {Command::Op::remove, task, exit.attempt, 0});
+    commands_.dispatch(m, {Command::Op::remove, task, exit.attempt, 0});
   auto& hints = hints_[task.job];
   switch (exit.cause) {
     case ExitCause::done: {
--- a/tests/leadership/cancellation_gossip_test.cpp
+++ b/tests/leadership/cancellation_gossip_test.cpp
@@ -3,6 +3,7 @@
 #include <gtest/gtest.h>
 
 #include "coordination/leadership/peer_network.hpp"
+#include "simulation/virtual_network.hpp"
 #include "simulation/world.hpp"
 
 namespace damsonport {
