--- a/tests/fault_scenario_test.cpp
+++ b/tests/fault_scenario_test.cpp
@@ -1,4 +1,4 @@
-// Fault scenarios, each a kept trace played by whole controllers on virtual time.
+/// Fault scenarios, from traces and drawn at random, played by whole controllers on virtual time.
 #include "scenarios/fault_scenario.hpp"
 
 #include <gtest/gtest.h>
@@ -43,9 +43,9 @@
 };
 const auto* const log_set_up = testing::AddGlobalTestEnvironment(new Log);
 
-class FaultScenarios : public testing::TestWithParam<std::string> {};
+class TraceScenarios : public testing::TestWithParam<std::string> {};
 
-TEST_P(FaultScenarios, BreakNoRule) {
+TEST_P(TraceScenarios, KeepProtocolRules) {
   std::ifstream in(scenario_path(TRACE_DIR, GetParam()));
   ASSERT_TRUE(in);
   for (auto& lines : trace_variants(in))
@@ -64,7 +64,7 @@
 }
 
 // Groups of three. SCENARIO_FIRST and SCENARIO_COUNT play others than those of the suite.
-constexpr uint64_t drawn_groups = 8, drawn_in_a_group = 3;
+constexpr uint64_t random_groups = 8, seeds_in_a_group = 3;
 
 using DrawScenario = std::vector<std::string> (*)(uint64_t seed);
 
@@ -81,37 +81,42 @@
   shown = nullptr;
 }
 
-// Those of the group, by what `draw` makes of their seeds.
-void play_drawn(uint64_t group, DrawScenario draw) {
+// Plays the scenarios that `draw` makes of the seeds of the group.
+void play_group(uint64_t group, DrawScenario draw) {
   const char* first = std::getenv("SCENARIO_FIRST");
   const char* count = std::getenv("SCENARIO_COUNT");
-  const uint64_t n = count ? std::stoull(count) : drawn_in_a_group;
+  const uint64_t n = count ? std::stoull(count) : seeds_in_a_group;
   const uint64_t from = (first ? std::stoull(first) : 1) + group * n;
   for (uint64_t seed = from; seed < from + n; ++seed) play_seed(seed, draw);
 }
 
-class DrawnScenarios : public testing::TestWithParam<uint64_t> {};
+class RandomScenarios : public testing::TestWithParam<uint64_t> {};
 
-TEST_P(DrawnScenarios, BreakNoRule) { play_drawn(GetParam(), random_scenario); }
+TEST_P(RandomScenarios, KeepProtocolRules) { play_group(GetParam(), random_scenario); }
 
-INSTANTIATE_TEST_SUITE_P(Suite, DrawnScenarios, testing::Range(uint64_t{0}, drawn_groups));
+INSTANTIATE_TEST_SUITE_P(Suite, RandomScenarios, testing::Range(uint64_t{0}, random_groups));
 
-class DrawnReplicaScenarios : public testing::TestWithParam<uint64_t> {};
+class RandomReplicaScenarios : public testing::TestWithParam<uint64_t> {};
 
-TEST_P(DrawnReplicaScenarios, BreakNoRule) { play_drawn(GetParam(), random_replica_scenario); }
+TEST_P(RandomReplicaScenarios, KeepProtocolRules) {
+  play_group(GetParam(), random_replica_scenario);
+}
 
-// Seeds that failed once: repairs that nothing asked a pass for, room in a zone of no use, a job
-// suspected for its attempts, a wrong claim of readiness, a job at fault for which nothing is
-// rented.
-class KeptReplicaSeeds : public testing::TestWithParam<uint64_t> {};
+// Seeds that failed once: repairs for which no scheduling cycle was requested, capacity in a zone
+// of no use, a job suspected because of its attempts, a false claim of readiness, a faulty job for
+// which no machine is requested.
+class ReplicaRegressionSeeds : public testing::TestWithParam<uint64_t> {};
 
-TEST_P(KeptReplicaSeeds, BreakNoRule) { play_seed(GetParam(), random_replica_scenario); }
+TEST_P(ReplicaRegressionSeeds, KeepProtocolRules) {
+  play_seed(GetParam(), random_replica_scenario);
+}
 
-INSTANTIATE_TEST_SUITE_P(Suite, KeptReplicaSeeds, testing::Values(15, 1541, 1696, 8124, 12251));
+INSTANTIATE_TEST_SUITE_P(Suite, ReplicaRegressionSeeds,
+                         testing::Values(15, 1541, 1696, 8124, 12251));
 
-INSTANTIATE_TEST_SUITE_P(Suite, DrawnReplicaScenarios, testing::Range(uint64_t{0}, drawn_groups));
+INSTANTIATE_TEST_SUITE_P(Suite, RandomReplicaScenarios, testing::Range(uint64_t{0}, random_groups));
 
-INSTANTIATE_TEST_SUITE_P(Kept, FaultScenarios, testing::ValuesIn(kept_scenarios(TRACE_DIR)),
+INSTANTIATE_TEST_SUITE_P(Kept, TraceScenarios, testing::ValuesIn(kept_scenarios(TRACE_DIR)),
                          [](auto& test) { return test.param; });
 
 }  // namespace
--- a/tests/load_tool_test.cpp
+++ b/tests/load_tool_test.cpp
@@ -38,7 +38,7 @@
 other = 1
 )";
 
-TEST(Experiment, APlanIsRead) {
+TEST(Experiment, ParsesCompletePlan) {
   auto plan = parse_experiment(whole);
   ASSERT_TRUE(plan) << plan.error();
   EXPECT_EQ(plan->controllers, (std::vector<size_t>{2, 1}));
@@ -58,7 +58,7 @@
   return text;
 }
 
-TEST(Experiment, ErrorsNameTheField) {
+TEST(Experiment, ParseErrorNamesField) {
   const std::pair<std::string, std::string> bad[] = {
       {replaced("seconds = 60", ""), "seconds: is missing"},
       {replaced("seconds = 60", "seconds = -1"), "seconds: must be a number from 1"},
@@ -76,7 +76,7 @@
   }
 }
 
-TEST(Experiment, AFaultMayNameANumberOfJobs) {
+TEST(Experiment, ParsesJobCountOfFault) {
   const auto plan =
       parse_experiment(replaced("kind = \"cut_regions\"", "kind = \"cancel_jobs\"\ncount = 2000"));
   ASSERT_TRUE(plan) << plan.error();
@@ -84,7 +84,7 @@
   EXPECT_EQ(plan->faults[0].count, 2000u);
 }
 
-TEST(Experiment, APlanThatTakesTooMuchIsRefused) {
+TEST(Experiment, RejectsPlanOverResourceLimits) {
   auto plan = parse_experiment("max_memory_mb = 100\n" + whole);
   ASSERT_FALSE(plan);
   EXPECT_NE(plan.error().find("of memory, of 100"), std::string::npos) << plan.error();
@@ -95,7 +95,7 @@
   ASSERT_FALSE(plan) << "the bound itself is bounded";
 }
 
-TEST(Quantiles, AreExact) {
+TEST(Quantiles, AreExactOrderStatistics) {
   std::vector<float> values;
   for (int i = 100; i >= 1; --i) values.push_back(static_cast<float>(i));
   const auto q = quantiles(values);
@@ -106,7 +106,7 @@
   EXPECT_EQ(quantiles({}).count, 0u);
 }
 
-TEST(Waits, OfSpellsInWhichNothingCanStartAreToldApart) {
+TEST(Waits, ExcludeOutagesAndFailovers) {
   Results results;
   const Json waits = {
       {"urgent", {{10.0, 0.5}, {19.5, 0.25}, {19.5, 3.0}, {21.0, 1.0}, {30.0, 0.5}}}};
@@ -121,7 +121,7 @@
             (std::vector<float>{0.5, 0.25, 0.5, 0.5, 0.25, 3.0, 1.0}));
 }
 
-TEST(TeamUse, SumsAndRemembersThePeak) {
+TEST(TeamUse, SumsAndTracksPeak) {
   TeamUse use(2);
   use.add(1, 2, 1.5);
   const auto sum = use.add(1, 4, 0.5);
