--- a/simulation/rule_checker.cpp
+++ b/simulation/rule_checker.cpp
@@ -68,7 +68,7 @@
   if (state != "done" && state != "aborted") return;
   if (has_ended && ended->second.state != state)
     report_violation("went_back", job + " is both " + ended->second.state + " and " + state);
-  const bool is_first = final_answers_.try_emplace(job, world_.now(), state).second;
+  const bool is_first = final_answers_.try_emplace(job, FinalAnswer{world_.now(), state}).second;
   if (!is_first || state == "done") return;
   world_.in(settings_.cancel_s + after_deadline_s,
             [this, job] { check_cancelled_job_is_gone(job); });
--- a/tests/scenarios/scenario_checks.cpp
+++ b/tests/scenarios/scenario_checks.cpp
@@ -129,7 +129,7 @@
   const std::string& status = event.words.first_name();
   for (auto& job : expand_names(event.target))
     if (!deployment_.fleet().rules().ended_as(job, status))
-      complain(event, job + " " + status + ", but it was not");
+      complain(event, fmt::format("{} {}, but it was not", job, status));
 }
 
 // accepted JOBS
