--- a/src/coordination/quotas/region_network.cpp
+++ b/src/coordination/quotas/region_network.cpp
@@ -5,9 +5,14 @@
 namespace damsonport::quotas {
 
 namespace {
-// Between two messages to a region, in report periods: at the most, and when there is news.
-constexpr double period_reports = 1.0, news_pause_reports = 0.05;
-// Streams accepted for each controller of the other regions: one in use, one that is being left.
+/// Longest time between two messages to a region, in heartbeat intervals.
+constexpr double max_message_intervals = 1.0;
+/// Shortest time between two messages to a region, in heartbeat intervals.
+constexpr double min_message_intervals = 0.05;
+/// The longest time is drawn between these shares of it, so that controllers don't send in step.
+constexpr double min_period_share = 0.85;
+constexpr double max_period_share = 1.05;
+/// Streams accepted from each controller of the other regions: one in use, one being replaced.
 constexpr size_t streams_per_peer = 2;
 }  // namespace
 
@@ -29,52 +34,53 @@
     return;
   }
   listener_ = network.listener(own->endpoint, streams_per_peer * std::max<size_t>(peers, 1),
-                               [this](std::string_view bytes) { return take(bytes); });
+                               [this](std::string_view bytes) { return receive(bytes); });
 }
 
-long RegionNetwork::take(std::string_view bytes) {
-  long taken = 0;
+long RegionNetwork::receive(std::string_view bytes) {
+  long consumed = 0;
   bool news = false;
   for (;;) {
     RegionMessage message;
     size_t used = 0;
     const auto framed =
-        decode_region_message(bytes.substr(static_cast<size_t>(taken)), message, used);
+        decode_region_message(bytes.substr(static_cast<size_t>(consumed)), message, used);
     if (framed == Framed::bad) return -1;
     if (framed == Framed::partial) break;
-    taken += static_cast<long>(used);
+    consumed += static_cast<long>(used);
     news |= quotas_.receive_message(message, loop_.now());
   }
   if (news && on_news) on_news();
-  return taken;
+  return consumed;
 }
 
-void RegionNetwork::tell_all(uint64_t fencing_token) {
+void RegionNetwork::send_to_all(uint64_t fencing_token) {
   for (auto& [region, links] : links_) {
     const auto bytes = encode_region_message(quotas_.message_to(region, fencing_token));
     for (auto& link : links) link->send(bytes);
   }
 }
 
-void RegionNetwork::note_silence() {
+void RegionNetwork::log_reachability() {
   for (auto& [region, links] : links_) {
-    const bool silent = !quotas_.fresh(region, loop_.now());
-    if (silent && silent_.insert(region).second)
-      spdlog::warn("region {} isn't heard: budgets stay as they are between it and this one",
-                   regions_->regions[region].name);
-    if (!silent && silent_.erase(region) > 0)
-      spdlog::info("region {} is heard", regions_->regions[region].name);
+    const bool reachable = quotas_.has_recent_message(region, loop_.now());
+    const std::string& name = regions_->regions[region].name;
+    if (!reachable && unreachable_.insert(region).second)
+      spdlog::warn("region {} is unreachable: no quota units are transferred to it", name);
+    if (reachable && unreachable_.erase(region) > 0)
+      spdlog::info("region {} is reachable again", name);
   }
 }
 
 Task<void> RegionNetwork::run(std::function<uint64_t()> fencing_token, std::stop_token stop_token) {
   if (links_.empty()) co_return;
   while (!stop_token.stop_requested()) {
-    note_silence();
-    if (const uint64_t held = fencing_token(); held != 0) tell_all(held);
-    if (!co_await Sleep(loop_, settings_.heartbeat_interval_s * news_pause_reports, stop_token))
+    log_reachability();
+    if (const uint64_t token = fencing_token(); token != 0) send_to_all(token);
+    if (!co_await Sleep(loop_, settings_.heartbeat_interval_s * min_message_intervals, stop_token))
       co_return;
-    co_await wake_.wait(settings_.heartbeat_interval_s * period_reports * loop_.uniform(0.85, 1.05),
+    co_await wake_.wait(settings_.heartbeat_interval_s * max_message_intervals *
+                            loop_.uniform(min_period_share, max_period_share),
                         stop_token);
   }
 }
--- a/src/coordination/quotas/team_demand.cpp
+++ b/src/coordination/quotas/team_demand.cpp
@@ -4,12 +4,14 @@
 
 namespace {
 
-scheduling::Resources times(const JobSpec& spec, uint64_t tasks) {
+/// Of so many tasks of the job together.
+scheduling::Resources resources_of(const JobSpec& spec, uint64_t tasks) {
   const auto n = static_cast<double>(tasks);
   return {spec.cpus * n, spec.gpus * n, spec.memory_gb * n};
 }
 
-void take_smaller(double& smallest, double need) {
+/// 0 in `smallest`: no need noted yet; a need of 0 isn't noted.
+void note_smallest(double& smallest, double need) {
   if (need > 0 && (smallest == 0 || need < smallest)) smallest = need;
 }
 
@@ -17,16 +19,16 @@
 
 Demands measure_demands(const RecordCache& cache) {
   Demands demands;
-  for (auto& [id, job] : cache.jobs()) {
-    auto& spec = job->spec;
+  for (const auto& [id, job] : cache.jobs()) {
+    const auto& spec = job->spec;
     auto& demand = demands[spec.team];
-    demand.used += times(spec, job->live);
-    const uint64_t waiting = job->cancelled ? 0 : job->unstarted();
-    if (waiting == 0) continue;
-    demand.need += times(spec, waiting);
-    if (spec.priority >= Priority::high) demand.urgent_need += times(spec, waiting);
-    take_smaller(demand.smallest.cpus, spec.cpus);
-    take_smaller(demand.smallest.gpus, spec.gpus);
+    demand.used += resources_of(spec, job->live);
+    const uint64_t pending = job->cancelled ? 0 : job->unstarted();
+    if (pending == 0) continue;
+    demand.need += resources_of(spec, pending);
+    if (spec.priority >= Priority::high) demand.urgent_need += resources_of(spec, pending);
+    note_smallest(demand.smallest_need.cpus, spec.cpus);
+    note_smallest(demand.smallest_need.gpus, spec.gpus);
   }
   return demands;
 }
--- a/src/coordination/quotas/team_demand.hpp
+++ b/src/coordination/quotas/team_demand.hpp
@@ -1,4 +1,4 @@
-// What the teams use and want in this region, from the records. Pure.
+/// What the teams use and need in this region, from the records. Pure.
 #pragma once
 #include <map>
 #include <string>
@@ -8,17 +8,18 @@
 
 namespace damsonport::quotas {
 
+/// CPUs, accelerators and GB of memory of one team.
 struct TeamDemand {
-  scheduling::Resources used;         // by tasks that the records place on machines
-  scheduling::Resources urgent_need;  // of waiting tasks of an urgent rank
-  scheduling::Resources need;         // of all waiting tasks
-  scheduling::Resources
-      smallest;  // the least of each resource that one waiting task needs; 0: none
+  scheduling::Resources used;         ///< Of tasks that the records place on machines.
+  scheduling::Resources urgent_need;  ///< Of pending tasks of high priority or above.
+  scheduling::Resources need;         ///< Of all pending tasks.
+  /// Of each resource the least that a pending task needs; 0: no pending task needs any.
+  scheduling::Resources smallest_need;
 };
 
 using Demands = std::map<std::string, TeamDemand>;  // by team
 
-// Teams without any unfinished job are left out.
+/// Teams without any unfinished job are left out.
 Demands measure_demands(const RecordCache& cache);
 
 }  // namespace damsonport::quotas
--- a/src/coordination/quotas/team_quotas.cpp
+++ b/src/coordination/quotas/team_quotas.cpp
@@ -10,16 +10,18 @@
 
 namespace {
 
-// What was heard of a region longer ago, in report periods, no longer says what it wants or spares.
-constexpr double fresh_reports = 8;
-// Budget that was needed within so many leases is kept from work elsewhere that isn't urgent.
+/// Age of a region's last message, in heartbeat intervals, from which on its hints of surplus and
+/// requests are ignored.
+constexpr double hint_lifetime_intervals = 8;
+/// Quota that was needed within so many leases is kept from work elsewhere that isn't urgent.
 constexpr double kept_leases = 2;
-// A limit of 0 stands for none, so where nothing may be used the limit is the least there is.
-constexpr double nothing = 1e-9;
+/// A limit of 0 stands for none, so where nothing may be used the limit is this, in CPUs or
+/// accelerators.
+constexpr double smallest_limit = 1e-9;
 
 }  // namespace
 
-const std::vector<TeamQuotas::Resource> TeamQuotas::resources = {
+const std::vector<TeamQuotas::QuotaResource> TeamQuotas::quota_resources = {
     {&QuotaUnits::cpus, &scheduling::Resources::cpus, &TeamSettings::cpus_max},
     {&QuotaUnits::gpus, &scheduling::Resources::gpus, &TeamSettings::gpus_max}};
 
@@ -38,7 +40,7 @@
 
 QuotaRecord TeamQuotas::first_record() const {
   QuotaRecord record;
-  // Without a file there is no telling what other regions have: nothing, until one is given.
+  // Without a regions file the quotas of other regions are unknown: none here, until one is given.
   if (regions_) record.initial = initial_;
   return record;
 }
@@ -52,9 +54,9 @@
   if (!divided()) return {team.cpus_max, team.gpus_max, 0};
   scheduling::Resources out;
   const auto units = record_of(team).units();
-  for (auto& r : resources)
+  for (const auto& r : quota_resources)
     if (team.*r.limit > 0)
-      out.*r.amount = std::max(amount_of(units.*r.units, team.*r.limit), nothing);
+      out.*r.amount = std::max(amount_of(units.*r.units, team.*r.limit), smallest_limit);
   return out;
 }
 
@@ -66,7 +68,7 @@
 void TeamQuotas::begin_lease() {
   peaks_.clear();
   demands_.clear();
-  measured_at_ = never;
+  measured_at_.reset();
 }
 
 void TeamQuotas::measure(double now) {
@@ -75,10 +77,10 @@
   for (auto& team : settings_.teams) {
     if (!limited(team)) continue;
     auto& peaks = peaks_[team.name];
-    peaks.resize(resources.size());
+    peaks.resize(quota_resources.size());
     auto& demand = demands_[team.name];
-    for (size_t i = 0; i < resources.size(); ++i) {
-      auto& r = resources[i];
+    for (size_t i = 0; i < quota_resources.size(); ++i) {
+      auto& r = quota_resources[i];
       const double wanted = demand.used.*r.amount + demand.need.*r.amount;
       peaks[i].note(units_covering(wanted, team.*r.limit), now, settings_.lease_s * kept_leases);
     }
@@ -86,7 +88,7 @@
 }
 
 Standing TeamQuotas::standing(const TeamSettings& team, const QuotaRecord& record,
-                              const Resource& r) const {
+                              const QuotaResource& r) const {
   Standing s;
   const double limit = team.*r.limit;
   s.quota = record.units().*r.units;
@@ -95,10 +97,11 @@
     s.used = units_covering(it->second.used.*r.amount, limit);
     s.urgent_need = units_covering(it->second.urgent_need.*r.amount, limit);
     s.need = units_covering(it->second.need.*r.amount, limit);
-    s.smallest = units_covering(it->second.smallest.*r.amount, limit);
+    const double smallest = it->second.smallest_need.*r.amount;
+    if (smallest > 0) s.smallest_need = units_covering(smallest, limit);
   }
   if (auto it = peaks_.find(team.name); it != peaks_.end())
-    s.recent_peak = it->second[static_cast<size_t>(&r - resources.data())].value();
+    s.recent_peak = it->second[static_cast<size_t>(&r - quota_resources.data())].value();
   return s;
 }
 
@@ -109,27 +112,28 @@
   return exchange == it->second.teams.end() ? nullptr : &exchange->second;
 }
 
-bool TeamQuotas::fresh(size_t region, double now) const {
+bool TeamQuotas::has_recent_message(size_t region, double now) const {
   auto it = received_.find(regions_->regions[region].name);
-  return it != received_.end() &&
-         now - it->second.at < settings_.heartbeat_interval_s * fresh_reports;
+  if (it == received_.end() || !it->second.received_at) return false;
+  return now - *it->second.received_at < settings_.heartbeat_interval_s * hint_lifetime_intervals;
 }
 
 // --- changes of records
 
-// More than all parts can't be: only a peer that doesn't speak the truth brings it.
-bool TeamQuotas::plausible(const QuotaRecord& record, const std::string& region,
-                           const QuotaUnits& sent) {
+// More than all units of a limit can't exist: only a faulty or false peer claims them.
+bool TeamQuotas::is_plausible(const QuotaRecord& record, const std::string& region,
+                              const QuotaUnits& sent) {
   const auto units = record.units(), counted = record.received_from(region);
   return units.cpus + excess(sent.cpus, counted.cpus) <= all_quota_units &&
          units.gpus + excess(sent.gpus, counted.gpus) <= all_quota_units;
 }
 
-void TeamQuotas::receive(const TeamSettings& team, QuotaRecord& record) const {
+// What other regions have sent to this one, by their messages.
+void TeamQuotas::add_received_transfers(const TeamSettings& team, QuotaRecord& record) const {
   for (size_t i = 0; i < regions_->regions.size(); ++i) {
     auto* exchange = received_from(i, team.name);
     const auto& region = regions_->regions[i].name;
-    if (!exchange || !plausible(record, region, exchange->sent)) continue;
+    if (!exchange || !is_plausible(record, region, exchange->sent)) continue;
     const auto before = record.received_from(region);
     const auto total = larger(before, exchange->sent);
     if (total == before) continue;
@@ -137,36 +141,37 @@
   }
 }
 
-void TeamQuotas::give(const TeamSettings& team, QuotaRecord& record) const {
+// New transfers to the regions that request quota, each resource apart.
+void TeamQuotas::add_sent_transfers(const TeamSettings& team, QuotaRecord& record) const {
   for (size_t i = 0; i < regions_->regions.size(); ++i) {
     auto* exchange = received_from(i, team.name);
-    if (i == regions_->own_index || !exchange || !fresh(i, measured_at_)) continue;
+    if (i == regions_->own_index || !exchange || !is_reachable(i)) continue;
     const auto& region = regions_->regions[i].name;
-    for (auto& r : resources) {
+    for (const auto& r : quota_resources) {
       const QuotaRequest request{exchange->urgent_request.*r.units, exchange->request.*r.units};
       const uint64_t sent = record.sent_to(region).*r.units;
-      const uint64_t on_the_way = excess(sent, exchange->received.*r.units);
+      const uint64_t unacknowledged = excess(sent, exchange->received.*r.units);
       const auto can = surplus(standing(team, record, r), defers_to(i));
-      const uint64_t transfer = decide_transfer(can, request, on_the_way);
+      const uint64_t transfer = decide_transfer(can, request, unacknowledged);
       if (transfer == 0) continue;
       record.sent[region].*r.units += transfer;
     }
   }
 }
 
-Transaction TeamQuotas::next_changes(int most) const {
+Transaction TeamQuotas::next_changes(int max_writes) const {
   Transaction transaction;
   if (!regions_) return transaction;
   for (auto& team : settings_.teams) {
-    if (static_cast<int>(transaction.writes.size()) >= most) break;
+    if (static_cast<int>(transaction.writes.size()) >= max_writes) break;
     if (!limited(team)) continue;
     auto known = cache_.quotas().find(team.name);
     const bool first = known == cache_.quotas().end();
     auto record = record_of(team);
     const auto before = record;
-    receive(team, record);
-    // Nothing is given from a record that isn't there yet.
-    if (!first && exchanging()) give(team, record);
+    add_received_transfers(team, record);
+    // Nothing is transferred from a record that isn't committed yet.
+    if (!first && exchanging()) add_sent_transfers(team, record);
     if (!first && record == before) continue;
     transaction.preconditions[keys::quota(team.name)] = first ? 0 : known->second.version;
     transaction.writes.push_back({keys::quota(team.name), encode_quota(record), 0});
@@ -174,11 +179,15 @@
   return transaction;
 }
 
+bool TeamQuotas::is_reachable(size_t region) const {
+  return measured_at_ && has_recent_message(region, *measured_at_);
+}
+
 // --- messages
 
 void TeamQuotas::add_surplus(const TeamSettings& team, const QuotaRecord& record, size_t region,
                              TeamExchange& out) const {
-  for (auto& r : resources) {
+  for (const auto& r : quota_resources) {
     const auto can = surplus(standing(team, record, r), defers_to(region));
     out.urgent_surplus.*r.units = can.urgent;
     out.surplus.*r.units = can.any;
@@ -187,12 +196,12 @@
 
 void TeamQuotas::add_requests(const TeamSettings& team, const QuotaRecord& record, size_t region,
                               TeamExchange& out) const {
-  for (auto& r : resources) {
-    std::vector<Surplus> told(regions_->regions.size());
-    for (size_t i = 0; i < told.size(); ++i)
-      if (auto* exchange = received_from(i, team.name); exchange && fresh(i, measured_at_))
-        told[i] = {exchange->urgent_surplus.*r.units, exchange->surplus.*r.units};
-    const auto request = divide_requests(deficit(standing(team, record, r)), told)[region];
+  for (const auto& r : quota_resources) {
+    std::vector<Surplus> surpluses(regions_->regions.size());
+    for (size_t i = 0; i < surpluses.size(); ++i)
+      if (auto* exchange = received_from(i, team.name); exchange && is_reachable(i))
+        surpluses[i] = {exchange->urgent_surplus.*r.units, exchange->surplus.*r.units};
+    const auto request = divide_requests(deficit(standing(team, record, r)), surpluses)[region];
     out.urgent_request.*r.units = request.urgent;
     out.request.*r.units = request.any;
   }
@@ -202,7 +211,7 @@
   return std::any_of(settings_.teams.begin(), settings_.teams.end(), [&](auto& team) {
     if (!limited(team)) return false;
     const auto record = record_of(team);
-    return std::any_of(resources.begin(), resources.end(), [&](auto& r) {
+    return std::any_of(quota_resources.begin(), quota_resources.end(), [&](auto& r) {
       return team.*r.limit > 0 && deficit(standing(team, record, r)).any > 0;
     });
   });
@@ -234,24 +243,23 @@
   const auto region = regions_->index_of(message.region);
   if (!region || *region == regions_->own_index) return false;
   auto& received = received_[message.region];
-  const bool newer = std::pair(message.fencing_token, message.number) >
-                     std::pair(received.fencing_token, received.number);
+  const MessageOrder order{message.fencing_token, message.number};
+  const bool newer = order > received.order;
   if (newer) {
-    received.fencing_token = message.fencing_token;
-    received.number = message.number;
-    received.at = now;
+    received.order = order;
+    received.received_at = now;
   }
   bool calls_for_change = false;
   for (auto& exchange : message.teams) {
     auto* team = settings_.team(exchange.team);
     if (!team) continue;
-    if (!plausible(record_of(*team), message.region, exchange.sent)) {
-      spdlog::error("{} claims to have sent more of the limit of {} than there is", message.region,
+    if (!is_plausible(record_of(*team), message.region, exchange.sent)) {
+      spdlog::error("region {} claims transfers beyond the quota limit of team {}", message.region,
                     team->name);
       continue;
     }
     auto& known = received.teams[exchange.team];
-    // Totals only grow: the largest that was ever heard is true, whenever it comes.
+    // Totals only grow: the largest ever received is the true one, in whatever order they come.
     const auto sent = larger(known.sent, exchange.sent);
     calls_for_change |= !(sent == known.sent);
     if (newer) {
--- a/src/coordination/quotas/team_quotas.hpp
+++ b/src/coordination/quotas/team_quotas.hpp
@@ -1,9 +1,9 @@
-// This region's budgets of the teams' limits: what placement may use, what is moved between
-// regions, and what is said to them about it.
-//
-// The records are the only truth. A gift is committed here before it is told, and counted there
-// after it was committed, so the budgets of all regions together never exceed the limit, whoever
-// ends or is cut off in between (docs/regions.md).
+/// This region's quotas of the teams' limits: what scheduling may use, what is transferred between
+/// regions, and the messages about it.
+///
+/// The records are the only truth. A transfer is committed by its sender before it is announced,
+/// and counted by its receiver after that, so the quotas of all regions together never exceed the
+/// limit, whichever controller ends or is cut off in between (docs/regions.md).
 #pragma once
 #include <map>
 #include <optional>
@@ -17,68 +17,80 @@
 
 namespace damsonport::quotas {
 
+/// One of each controller. The shard leader measures and changes records; the coroutine and the
+/// streams of RegionNetwork read messages into it and make messages from it, on the same loop.
 class TeamQuotas {
  public:
-  // `regions`: null where limits are not divided.
+  /// `regions`: null where limits are not divided.
   TeamQuotas(const Settings& settings, const RegionSettings* regions, const RecordCache& cache);
 
-  // The limits are divided: by the regions file, or by an earlier holder according to the records.
+  /// The limits are divided: by the regions file, or by an earlier leader according to the records.
   bool divided() const { return regions_ || !cache_.quotas().empty(); }
-  // Budgets can be moved from here.
+  /// Units can be transferred from here.
   bool exchanging() const { return regions_ && regions_->regions.size() > 1; }
 
-  // What the team's tasks in this region may use at once; 0: no limit.
+  /// What the team's tasks in this region may use at once; 0: no limit.
   scheduling::Resources limit(const TeamSettings& team) const;
-  // Of the guarantee, what work in this region has.
+  /// This region's share of the guaranteed quota.
   scheduling::Resources guarantee(const TeamSettings& team) const;
 
-  // A new term begins: what was heard before still counts, what was measured doesn't.
+  /// A shard lease begins: messages received before still count, what was measured doesn't.
   void begin_lease();
-  // What the records say now; to be called before the two below.
+  /// Measures use and need from the records; to be called before the next two.
   void measure(double now);
-  // The changes of records that are due: first records, what came, what is given. Empty: none.
-  // Every record is named by a condition, and nothing else may be written until the outcome is
-  // known. `most`: puts in one transaction.
-  Transaction next_changes(int most) const;
-  // What to tell this region.
-  RegionMessage message_to(size_t region, uint64_t fencing_token);
-  // Some team's work waits for budget.
+  /// The changes of records that are due: first records, transfers received and sent; without any
+  /// write if none is. Every record is named by a precondition, and nothing else may be written
+  /// until the outcome is known. `max_writes`: of one transaction.
+  [[nodiscard]] Transaction next_changes(int max_writes) const;
+  /// Some team's pending work needs more than its quota.
   bool any_deficit() const;
+  /// The next message to this region, by its place in the regions file.
+  RegionMessage message_to(size_t region, uint64_t fencing_token);
 
-  // The region was heard lately; its hints are heeded only then.
-  bool fresh(size_t region, double now) const;
-  // True if something in it calls for a change of records.
-  bool receive_message(const RegionMessage& message, double now);
+  /// A message of the region was received lately; its surplus and requests count only then.
+  bool has_recent_message(size_t region, double now) const;
+  /// True if something in it calls for a change of records.
+  [[nodiscard]] bool receive_message(const RegionMessage& message, double now);
 
  private:
+  // Later messages of a region supersede earlier ones, also those of an earlier leader.
+  struct MessageOrder {
+    uint64_t fencing_token = 0;
+    uint64_t number = 0;
+    auto operator<=>(const MessageOrder&) const = default;
+  };
+  // Of one region.
   struct Received {
-    uint64_t fencing_token = 0, number = 0;
-    double at = never;
+    MessageOrder order;
+    std::optional<double> received_at;
     std::map<std::string, TeamExchange> teams;
   };
-  static constexpr double never = -1e9;
 
-  // One resource of a team: where its figures are in the records of several kinds.
-  struct Resource {
-    uint64_t QuotaUnits::*units;
-    double scheduling::Resources::*amount;
-    double TeamSettings::*limit;
+  // Where the figures of one resource are: the rules are the same for each of them.
+  struct QuotaResource {
+    uint64_t QuotaUnits::*units;            // in records and messages
+    double scheduling::Resources::*amount;  // in what is used and needed
+    double TeamSettings::*limit;            // the team's limit in all regions; 0: none
   };
-  static const std::vector<Resource> resources;
+  // CPUs and accelerators: memory has no quota.
+  static const std::vector<QuotaResource> quota_resources;
 
   static bool limited(const TeamSettings& team) { return team.cpus_max > 0 || team.gpus_max > 0; }
   QuotaRecord first_record() const;
   QuotaRecord record_of(const TeamSettings& team) const;
+  // `resource`: an element of quota_resources.
   Standing standing(const TeamSettings& team, const QuotaRecord& record,
-                    const Resource& resource) const;
+                    const QuotaResource& resource) const;
   const TeamExchange* received_from(size_t region, const std::string& team) const;
-  // Of two regions with too little each, the later one in the file gives way.
+  // As of the last measurement.
+  bool is_reachable(size_t region) const;
+  // Of two regions with too little each, the later one in the file defers.
   bool defers_to(size_t region) const { return regions_->own_index > region; }
 
-  static bool plausible(const QuotaRecord& record, const std::string& region,
-                        const QuotaUnits& sent);
-  void receive(const TeamSettings& team, QuotaRecord& record) const;
-  void give(const TeamSettings& team, QuotaRecord& record) const;
+  static bool is_plausible(const QuotaRecord& record, const std::string& region,
+                           const QuotaUnits& sent);
+  void add_received_transfers(const TeamSettings& team, QuotaRecord& record) const;
+  void add_sent_transfers(const TeamSettings& team, QuotaRecord& record) const;
   void add_surplus(const TeamSettings& team, const QuotaRecord& record, size_t region,
                    TeamExchange& out) const;
   void add_requests(const TeamSettings& team, const QuotaRecord& record, size_t region,
@@ -91,8 +103,8 @@
   std::map<std::string, scheduling::Resources> guarantees_;  // its shares, by team
   std::map<std::string, Received> received_;                 // by region
   Demands demands_;
-  std::map<std::string, std::vector<RecentPeak>> peaks_;  // by team, one a resource
-  double measured_at_ = never;
+  std::map<std::string, std::vector<RecentPeak>> peaks_;  // by team, as quota_resources
+  std::optional<double> measured_at_;
   uint64_t next_number_ = 1;
 };
 
--- a/tests/regions/budgets_test.cpp
+++ b/tests/regions/budgets_test.cpp
@@ -153,7 +153,7 @@
 }
 
 TEST(BudgetPolicy, OfTwoWithTooLittleOneGivesWay) {
-  Standing s{.quota = 10, .used = 8, .need = 40, .smallest = 4};
+  Standing s{.quota = 10, .used = 8, .need = 40, .smallest_need = 4};
   EXPECT_EQ(surplus(s, false).any, 0u);
   EXPECT_EQ(surplus(s, true).any, 2u);
   s.quota = 12;
