--- a/src/coordination/replicas/repair_policy.cpp
+++ b/src/coordination/replicas/repair_policy.cpp
@@ -6,31 +6,37 @@
 namespace damsonport::replicas {
 
 namespace {
-constexpr double least_jitter_share = 0.5;
-constexpr int most_doublings = 30;
+/// The part of a pause that isn't drawn at random.
+constexpr double min_jitter_share = 0.5;
+/// Beyond it any policy's longest pause is reached; keeps ldexp finite.
+constexpr int max_doublings = 30;
 }  // namespace
 
 double backoff_s(const ReplicaPolicy& policy, int failures, double lease_s, double jitter) {
   if (failures <= 0) return 0;
-  const int doublings = std::min(failures - 1, most_doublings);
+  const int doublings = std::min(failures - 1, max_doublings);
   const double leases =
       std::min(std::ldexp(policy.first_backoff_leases, doublings), policy.longest_backoff_leases);
-  return leases * lease_s * (least_jitter_share + (1 - least_jitter_share) * jitter);
+  return leases * lease_s * (min_jitter_share + (1 - min_jitter_share) * jitter);
+}
+
+bool has_turn(const RepairCandidate& candidate, double now, double turn_s) {
+  return candidate.offered && candidate.offered_at && now - *candidate.offered_at < turn_s;
 }
 
 std::vector<size_t> choose_repairs(const std::vector<RepairCandidate>& candidates,
-                                   size_t under_repair, size_t most, double now, double turn_s) {
+                                   size_t under_repair, size_t max_repairs, double now,
+                                   double turn_s) {
   std::vector<size_t> order;
   for (size_t i = 0; i < candidates.size(); ++i)
     if (now >= candidates[i].backoff_until) order.push_back(i);
-  auto has_turn = [&](size_t i) {
-    return candidates[i].offered && now - candidates[i].offered_at < turn_s;
-  };
+  // Those with a turn keep it; then those that waited longest since their last one.
   std::stable_sort(order.begin(), order.end(), [&](size_t a, size_t b) {
-    if (has_turn(a) != has_turn(b)) return has_turn(a);
+    const bool a_has_turn = has_turn(candidates[a], now, turn_s);
+    if (a_has_turn != has_turn(candidates[b], now, turn_s)) return a_has_turn;
     return candidates[a].offered_at < candidates[b].offered_at;
   });
-  const size_t free = most > under_repair ? most - under_repair : 0;
+  const size_t free = max_repairs > under_repair ? max_repairs - under_repair : 0;
   if (order.size() > free) order.resize(free);
   return order;
 }
--- a/src/coordination/replicas/repair_policy.hpp
+++ b/src/coordination/replicas/repair_policy.hpp
@@ -1,27 +1,34 @@
-// How many replicas are repaired at a time, which ones, and when one that failed is tried again.
-// Pure.
+/// How many replicas are repaired at a time, which ones, and when one that failed is tried again.
+/// Pure; all times in seconds.
 #pragma once
 #include <cstddef>
+#include <optional>
 #include <vector>
 
 #include "config/replica_settings.hpp"
 
 namespace damsonport::replicas {
 
-// Seconds to the next try after so many failed attempts in a row; doubles with each, up to a limit.
-// `jitter`: from 0 to 1, so that replicas that failed together aren't all tried together again.
+/// Pause before the next try after so many failed attempts in a row; doubles with each, up to the
+/// policy's limit. `jitter`: from 0 to 1, drawn by the caller, so that replicas that failed
+/// together aren't all tried together again.
 double backoff_s(const ReplicaPolicy& policy, int failures, double lease_s, double jitter);
 
-// A replica whose attempt is over and gone.
+/// A replica whose attempt is over, with no task left of it.
 struct RepairCandidate {
-  double backoff_until = 0;
-  double offered_at = 0;  // when it was last given its turn
-  bool offered = false;   // it has its turn now
+  double backoff_until = 0;          ///< No start before this time.
+  std::optional<double> offered_at;  ///< When its last turn began; empty: it had none yet.
+  bool offered = false;              ///< Its last turn has not been taken back.
 };
 
-// The places in `candidates` of those that may be started now. A turn lasts `turn_s`; after it
-// others have theirs, so that one for which there is no room doesn't keep the rest waiting.
+/// The candidate has its turn at this time.
+bool has_turn(const RepairCandidate& candidate, double now, double turn_s);
+
+/// Indices in `candidates` of those that may be started now: `max_repairs` less those under repair.
+/// A turn lasts `turn_s`; after it others have theirs, so that one for which there is no capacity
+/// doesn't keep the rest waiting.
 std::vector<size_t> choose_repairs(const std::vector<RepairCandidate>& candidates,
-                                   size_t under_repair, size_t most, double now, double turn_s);
+                                   size_t under_repair, size_t max_repairs, double now,
+                                   double turn_s);
 
 }  // namespace damsonport::replicas
--- a/src/coordination/replicas/replica_manager.cpp
+++ b/src/coordination/replicas/replica_manager.cpp
@@ -7,18 +7,20 @@
 namespace damsonport::replicas {
 
 namespace {
-// A report says what was so at the answer to the one before, so that is up to two periods old when
-// the next one is due; each is up to a quarter longer.
-constexpr double readiness_reports = 4;
-constexpr double asked_after_reports = 2.6;
-// A replica that was ready for so long has not failed.
+/// Age of a heartbeat, in heartbeat intervals, up to which it proves readiness. A heartbeat says
+/// what was so at the answer to the one before, so that is up to two intervals old when the next
+/// one is due; each is up to a quarter longer.
+constexpr double readiness_intervals = 4;
+/// Age of a machine's state, in heartbeat intervals, from which on the machine is probed.
+constexpr double probe_after_intervals = 2.6;
+/// After being ready for so long a replica's failures are forgotten.
 constexpr double stable_leases = 1;
-// How long a replica that waits for its repair has its turn.
-constexpr double turn_reports = 2;
+/// How long a replica that waits for its repair has its turn, in heartbeat intervals.
+constexpr double turn_intervals = 2;
 }  // namespace
 
 double ReplicaManager::max_heartbeat_age_s() const {
-  return readiness_reports * settings_.heartbeat_interval_s;
+  return readiness_intervals * settings_.heartbeat_interval_s;
 }
 
 void ReplicaManager::clear() {
@@ -37,7 +39,7 @@
 
 void ReplicaManager::forget_job(const std::string& job) {
   auto it = replicas_.lower_bound({job, 0});
-  while (it != replicas_.end() && it->first.first == job) {
+  while (it != replicas_.end() && it->first.job == job) {
     unready_.erase(it->first);
     it = replicas_.erase(it);
   }
@@ -48,8 +50,8 @@
   for (auto& task : job.live_tasks(replica)) {
     PartStatus part{true, task.attempt, false, 0};
     const Machine* machine = facts_.find_machine(task.machine);
-    const bool received = machine && machine->agent_epoch != 0 && !facts_.has_ended(task);
-    if (received) {
+    const bool has_heartbeat = machine && machine->agent_epoch != 0 && !facts_.has_ended(task);
+    if (has_heartbeat) {
       auto reported = machine->tasks.find(task.name);
       part.running = reported != machine->tasks.end() && reported->second.attempt == task.attempt &&
                      reported->second.state == TaskState::running;
@@ -61,7 +63,7 @@
   return judge_readiness(parts, loop_.now(), max_heartbeat_age_s());
 }
 
-ReplicaStatus ReplicaManager::judge(const Job& job, uint32_t number) {
+ReplicaStatus ReplicaManager::status_of(const Job& job, uint32_t number) {
   const TaskRange replica = gang_range(job.spec, number);
   ReplicaStatus status{job.spec.id, number, ReplicaState::queued, {}, job.record_of(replica)};
   ReplicaStanding standing;
@@ -78,34 +80,35 @@
 
 std::vector<ReplicaStatus> ReplicaManager::statuses() {
   std::vector<ReplicaStatus> out;
-  for (auto& [key, history] : replicas_)
-    if (const Job* job = cache_.job(key.first)) out.push_back(judge(*job, key.second));
+  for (auto& [replica_id, history] : replicas_)
+    if (const Job* job = cache_.job(replica_id.job))
+      out.push_back(status_of(*job, replica_id.number));
   return out;
 }
 
 bool ReplicaManager::review() {
-  bool any_waits = false;
-  for (auto& [key, history] : replicas_) {
-    const Job* job = cache_.job(key.first);
-    if (job && update(*job, key.second, history)) any_waits = true;
+  bool any_pending = false;
+  for (auto& [replica_id, history] : replicas_) {
+    const Job* job = cache_.job(replica_id.job);
+    if (job && update(*job, replica_id.number, history)) any_pending = true;
   }
-  return any_waits;
+  return any_pending;
 }
 
 bool ReplicaManager::update(const Job& job, uint32_t number, History& history) {
-  const Key key{job.spec.id, number};
-  const ReplicaStatus status = judge(job, number);
+  const ReplicaId replica_id{job.spec.id, number};
+  const ReplicaStatus status = status_of(job, number);
   const RangeRecord& record = status.record;
   const double now = loop_.now();
   const bool next_attempt =
       record.last_attempt > std::exchange(history.attempt, record.last_attempt);
   auto& repair = history.repair;
-  if (repair.not_ready > 0) {
-    // Between two looks it may be gone and started anew.
-    if ((record.live == 0 || next_attempt) && repair.gone == 0) repair.gone = now;
-    if (record.live > 0 && repair.gone > 0 && repair.started == 0) repair.started = now;
+  if (repair.not_ready) {
+    // Between two reviews it may be gone and started anew.
+    if ((record.live == 0 || next_attempt) && !repair.gone) repair.gone = now;
+    if (record.live > 0 && repair.gone && !repair.started) repair.started = now;
   }
-  if (history.state != status.state) note_state(key, history, status);
+  if (history.state != status.state) note_state(replica_id, history, status);
   if (status.state != ReplicaState::ready)
     return status.state == ReplicaState::repairing && record.live == 0;
   history.ready_as_of = status.readiness.as_of;
@@ -113,7 +116,8 @@
   return false;
 }
 
-void ReplicaManager::note_state(const Key& key, History& history, const ReplicaStatus& status) {
+void ReplicaManager::note_state(const ReplicaId& replica_id, History& history,
+                                const ReplicaStatus& status) {
   const double now = loop_.now();
   const ReplicaState before = std::exchange(history.state, status.state);
   if (before == ReplicaState::ready) {
@@ -121,36 +125,34 @@
     history.repair.last_ready_as_of = history.ready_as_of;
     history.repair.not_ready = now;
   }
-  if (status.state == ReplicaState::stopping && history.repair.stopping == 0)
-    history.repair.stopping = now;
   if (status.state == ReplicaState::ready) {
-    log_ready(key, history, status.readiness);
+    log_ready(replica_id, history, status.readiness);
     history.ready_since = now;
     history.moving = false;
     history.turn.offered = false;
     history.repair = {};
-    unready_.erase(key);
+    unready_.erase(replica_id);
     return;
   }
-  unready_.insert(key);
-  spdlog::info("replica {}:{} is {} (was {}), attempt {}", key.first, key.second,
+  unready_.insert(replica_id);
+  spdlog::info("replica {}:{} is {} (was {}), attempt {}", replica_id.job, replica_id.number,
                name_of(status.state), name_of(before), history.attempt);
 }
 
-void ReplicaManager::log_ready(const Key& key, const History& history,
+void ReplicaManager::log_ready(const ReplicaId& replica_id, const History& history,
                                const Readiness& readiness) const {
   const double now = loop_.now();
   const auto& repair = history.repair;
-  spdlog::info("replica {}:{} is ready under attempt {}, as of {:.2f} s ago", key.first, key.second,
-               readiness.attempt, now - readiness.as_of);
-  if (repair.not_ready == 0 || repair.gone == 0) return;
-  const double started = repair.started > 0 ? repair.started : now;
+  spdlog::info("replica {}:{} is ready under attempt {}, as of {:.2f} s ago", replica_id.job,
+               replica_id.number, readiness.attempt, now - readiness.as_of);
+  if (!repair.not_ready || !repair.gone) return;
+  const double started = repair.started.value_or(now);
   spdlog::info(
-      "replica {}:{} repaired in {:.2f} s: detection {:.2f}, stop and proof {:.2f}, placement "
+      "replica {}:{} repaired in {:.2f} s: detection {:.2f}, termination {:.2f}, placement "
       "{:.2f}, load {:.2f}",
-      key.first, key.second, now - repair.last_ready_as_of,
-      repair.not_ready - repair.last_ready_as_of, repair.gone - repair.not_ready,
-      started - repair.gone, now - started);
+      replica_id.job, replica_id.number, now - repair.last_ready_as_of,
+      *repair.not_ready - repair.last_ready_as_of, *repair.gone - *repair.not_ready,
+      started - *repair.gone, now - started);
 }
 
 void ReplicaManager::note_exit(const Job& job, TaskRange replica, uint64_t attempt,
@@ -166,7 +168,7 @@
   history.turn.backoff_until = loop_.now() + pause_s;
 }
 
-bool ReplicaManager::on_leaving_machine(const Job& job, TaskRange replica) const {
+bool ReplicaManager::on_draining_machine(const Job& job, TaskRange replica) const {
   const auto parts = job.live_tasks(replica);
   return std::any_of(parts.begin(), parts.end(), [&](const PlacedTask& part) {
     const Machine* machine = facts_.find_machine(part.machine);
@@ -176,31 +178,33 @@
 
 std::vector<ReplicaManager::Replica> ReplicaManager::take_moves() {
   std::map<std::string, uint32_t> down;  // by class
-  for (auto& [key, history] : replicas_)
-    if (const Job* job = cache_.job(key.first); job && history.moving) ++down[job->spec.job_class];
+  for (auto& [replica_id, history] : replicas_)
+    if (const Job* job = cache_.job(replica_id.job); job && history.moving)
+      ++down[job->spec.job_class];
   std::vector<Replica> moves;
-  for (auto& [key, history] : replicas_) {
-    const Job* job = cache_.job(key.first);
+  for (auto& [replica_id, history] : replicas_) {
+    const Job* job = cache_.job(replica_id.job);
     if (!job || job->cancelled || history.state != ReplicaState::ready) continue;
-    const TaskRange replica = gang_range(job->spec, key.second);
-    if (!on_leaving_machine(*job, replica)) continue;
+    const TaskRange replica = gang_range(job->spec, replica_id.number);
+    if (!on_draining_machine(*job, replica)) continue;
     uint32_t& of_class = down[job->spec.job_class];
     if (of_class >= settings_.replicas.policy(job->spec.job_class).moves) continue;
     ++of_class;
     history.moving = true;
-    spdlog::info("replica {}:{} is moved off a machine that is going", key.first, key.second);
+    spdlog::info("replica {}:{} is moved off a draining machine", replica_id.job,
+                 replica_id.number);
     moves.push_back({job, replica});
   }
   return moves;
 }
 
 std::set<std::string> ReplicaManager::machines_to_ask() const {
-  const double before = loop_.now() - asked_after_reports * settings_.heartbeat_interval_s;
+  const double before = loop_.now() - probe_after_intervals * settings_.heartbeat_interval_s;
   std::set<std::string> out;
-  for (auto& [key, history] : replicas_) {
-    const Job* job = cache_.job(key.first);
+  for (auto& [replica_id, history] : replicas_) {
+    const Job* job = cache_.job(replica_id.job);
     if (!job || job->cancelled) continue;
-    for (auto& part : job->live_tasks(gang_range(job->spec, key.second))) {
+    for (auto& part : job->live_tasks(gang_range(job->spec, replica_id.number))) {
       const Machine* machine = facts_.find_machine(part.machine);
       if (machine && machine->agent_epoch != 0 && machine->state_as_of < before)
         out.insert(part.machine);
@@ -210,44 +214,42 @@
 }
 
 std::set<std::string> ReplicaManager::offer_repairs() {
-  struct OfClass {
-    const ReplicaPolicy* policy = nullptr;
-    size_t under_repair = 0;
-    std::vector<History*> waiting;
-  };
-  std::map<std::string, OfClass> classes;
-  std::set<std::string> concerned;
-  for (auto& key : unready_) {
-    const Job* job = cache_.job(key.first);
+  std::set<std::string> jobs;
+  std::map<std::string, ClassRepairs> classes;
+  for (const auto& replica_id : unready_) {
+    const Job* job = cache_.job(replica_id.job);
     if (!job || job->cancelled) continue;
-    History& history = replicas_.at(key);
-    const RangeRecord record = job->record_of(gang_range(job->spec, key.second));
+    History& history = replicas_.at(replica_id);
+    const RangeRecord record = job->record_of(gang_range(job->spec, replica_id.number));
+    // One that was never started is no repair.
     if (record.last_attempt == 0) continue;
-    OfClass& own = classes[job->spec.job_class];
-    own.policy = &settings_.replicas.policy(job->spec.job_class);
+    ClassRepairs& repairs = classes[job->spec.job_class];
+    repairs.policy = &settings_.replicas.policy(job->spec.job_class);
     if (record.live == 0) {
-      own.waiting.push_back(&history);
-      concerned.insert(key.first);
+      repairs.pending.push_back(&history);
+      jobs.insert(replica_id.job);
     } else if (history.state == ReplicaState::repairing) {
-      ++own.under_repair;
+      ++repairs.under_repair;
     }
   }
+  for (auto& [job_class, repairs] : classes) assign_turns(repairs);
+  return jobs;
+}
+
+void ReplicaManager::assign_turns(const ClassRepairs& repairs) {
   const double now = loop_.now();
-  const double turn_s = turn_reports * settings_.heartbeat_interval_s;
-  for (auto& [job_class, own] : classes) {
-    std::vector<RepairCandidate> candidates;
-    for (const History* history : own.waiting) candidates.push_back(history->turn);
-    const auto chosen =
-        choose_repairs(candidates, own.under_repair, own.policy->repairs, now, turn_s);
-    for (History* history : own.waiting) history->turn.offered = false;
-    for (size_t place : chosen) {
-      RepairCandidate& turn = own.waiting[place]->turn;
-      const bool goes_on = candidates[place].offered && now - turn.offered_at < turn_s;
-      turn.offered = true;
-      if (!goes_on) turn.offered_at = now;
-    }
+  const double turn_s = turn_intervals * settings_.heartbeat_interval_s;
+  std::vector<RepairCandidate> candidates;
+  for (const History* history : repairs.pending) candidates.push_back(history->turn);
+  const auto chosen =
+      choose_repairs(candidates, repairs.under_repair, repairs.policy->repairs, now, turn_s);
+  for (History* history : repairs.pending) history->turn.offered = false;
+  for (const size_t index : chosen) {
+    RepairCandidate& turn = repairs.pending[index]->turn;
+    turn.offered = true;
+    // A turn that goes on keeps its beginning.
+    if (!has_turn(candidates[index], now, turn_s)) turn.offered_at = now;
   }
-  return concerned;
 }
 
 bool ReplicaManager::may_start(const Job& job, TaskRange replica) const {
--- a/src/coordination/replicas/replica_manager.hpp
+++ b/src/coordination/replicas/replica_manager.hpp
@@ -1,11 +1,11 @@
-// The holder's care for replicas of several parts: their states, which are repaired now, and which
-// are moved off machines that are about to go. States follow from the records and reports; what is
-// kept here beside them is lost with the process and only delays things.
+/// The shard leader's management of replicas of several parts: their states, which are repaired
+/// now, and which are moved off draining machines. States follow from the records and heartbeats;
+/// what is kept here beside them is lost with the process, which only delays repairs and moves.
 #pragma once
 #include <map>
+#include <optional>
 #include <set>
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "coordination/replicas/repair_policy.hpp"
@@ -14,16 +14,20 @@
 
 namespace damsonport::replicas {
 
+/// One replica as the status interface shows it.
 struct ReplicaStatus {
   std::string job;
-  uint32_t number = 0;
+  uint32_t number = 0;  ///< Within the job, from 0.
   ReplicaState state = ReplicaState::queued;
   Readiness readiness;
   RangeRecord record;
 };
 
+/// Owned by the shard leader and used between its suspension points; starts no coroutine of its
+/// own.
 class ReplicaManager {
  public:
+  /// A replica of a job in the record cache; not to be kept over a change of the records.
   struct Replica {
     const Job* job;
     TaskRange parts;
@@ -33,68 +37,83 @@
                  GangTracker& gangs)
       : loop_(loop), settings_(settings), cache_(cache), facts_(facts), gangs_(gangs) {}
 
-  // A new term begins.
+  /// A shard lease begins: forgets all replicas.
   void clear();
-  // The job is there; nothing happens unless its replicas have several parts.
+  /// Manages the job's replicas from now on; ignored unless they have several parts.
   void add_job(const Job& job);
   void forget_job(const std::string& job);
 
-  // A part is proven gone.
+  /// A part of the attempt has ended. Failures delay the next attempt.
   void note_exit(const Job& job, TaskRange replica, uint64_t attempt, ExitCause cause);
-  // Looks at every replica, and logs what has changed. True: some wait for their repair, whose turn
-  // may come with time alone.
-  bool review();
-  // Ready replicas that are to be stopped now, to be started elsewhere: as many as the class's
-  // policy allows to be down for it.
-  std::vector<Replica> take_moves();
-  // Some job has replicas of several parts.
+  /// Updates the state of every replica, and logs what has changed. True: some wait for their
+  /// repair, whose turn may come with time alone.
+  [[nodiscard]] bool review();
+  /// Ready replicas that the caller has to stop now, to be started elsewhere: as many as the
+  /// class's policy allows to be down for it. They count as down until they are ready again.
+  [[nodiscard]] std::vector<Replica> take_moves();
+  /// Some job has replicas of several parts.
   bool any() const { return !replicas_.empty(); }
-  // Machines with parts of which too little is known for readiness: their reports come on ever new
-  // connections, so that they may be old.
+  /// Machines with parts whose state is too old to prove readiness: heartbeats that come on ever
+  /// new connections may be old. They are to be probed.
   std::set<std::string> machines_to_ask() const;
-  // Gives turns to replicas that wait for their repair; yields the jobs concerned.
+  /// Gives turns to replicas that wait for their repair; returns the jobs concerned.
   std::set<std::string> offer_repairs();
-  // The replica may be started now, or its missing parts.
+  /// The replica, or its missing parts, may be started now: always, except for a repair without a
+  /// turn.
   bool may_start(const Job& job, TaskRange replica) const;
 
-  // As things stand at this moment.
+  /// Of all replicas, as of now.
   std::vector<ReplicaStatus> statuses();
-  // Messages older than this prove nothing about readiness.
+  /// Heartbeats older than this, in seconds, prove nothing about readiness.
   double max_heartbeat_age_s() const;
 
  private:
-  using Key = std::pair<std::string, uint32_t>;  // job, number
-  // When the stages of a repair began, on the steady clock; 0: not yet.
+  struct ReplicaId {
+    std::string job;
+    uint32_t number;
+    auto operator<=>(const ReplicaId&) const = default;
+  };
+  // When the stages of a repair began, on the steady clock; empty: not yet.
   struct RepairTimes {
-    double last_ready_as_of = 0, not_ready = 0, stopping = 0, gone = 0, started = 0;
+    double last_ready_as_of = 0;  // counts only with not_ready
+    std::optional<double> not_ready, gone, started;
   };
   struct History {
     ReplicaState state = ReplicaState::queued;
     uint64_t attempt = 0;
-    double ready_since = 0;
-    double ready_as_of = 0;
+    double ready_since = 0;  // the last time that it became ready
+    double ready_as_of = 0;  // the last time at which it was known to be ready
     RepairTimes repair;
-    int failures = 0;  // attempts in a row that ended in errors
-    uint64_t failed_attempt = 0;
-    bool moving = false;  // it was stopped to be moved, and is not ready again yet
+    int failures = 0;             // attempts in a row that ended in errors
+    uint64_t failed_attempt = 0;  // the last of them; attempts count from 1
+    bool moving = false;          // it was stopped to be moved, and is not ready again yet
     RepairCandidate turn;
   };
 
+  // The replicas of one class that need repair.
+  struct ClassRepairs {
+    const ReplicaPolicy* policy = nullptr;
+    size_t under_repair = 0;
+    std::vector<History*> pending;
+  };
+
+  void assign_turns(const ClassRepairs& repairs);
   Readiness readiness_of(const Job& job, TaskRange replica) const;
-  ReplicaStatus judge(const Job& job, uint32_t number);
+  ReplicaStatus status_of(const Job& job, uint32_t number);
   // True: it waits for its repair.
   bool update(const Job& job, uint32_t number, History& history);
-  void note_state(const Key& key, History& history, const ReplicaStatus& status);
-  void log_ready(const Key& key, const History& history, const Readiness& readiness) const;
-  bool on_leaving_machine(const Job& job, TaskRange replica) const;
+  void note_state(const ReplicaId& replica_id, History& history, const ReplicaStatus& status);
+  void log_ready(const ReplicaId& replica_id, const History& history,
+                 const Readiness& readiness) const;
+  bool on_draining_machine(const Job& job, TaskRange replica) const;
 
   Loop& loop_;
   const Settings& settings_;
   RecordCache& cache_;
   const TaskFacts& facts_;
   GangTracker& gangs_;
-  std::map<Key, History> replicas_;
-  std::set<Key> unready_;
+  std::map<ReplicaId, History> replicas_;
+  std::set<ReplicaId> unready_;  // of replicas_, those that are not ready
 };
 
 }  // namespace damsonport::replicas
--- a/src/coordination/replicas/replica_state.cpp
+++ b/src/coordination/replicas/replica_state.cpp
@@ -11,12 +11,12 @@
   return names[static_cast<size_t>(state)];
 }
 
-Readiness judge_readiness(const std::vector<PartStatus>& parts, double now, double most_age_s) {
+Readiness judge_readiness(const std::vector<PartStatus>& parts, double now, double max_age_s) {
   if (parts.empty()) return {};
   Readiness readiness{true, parts.front().attempt, now};
-  for (auto& part : parts) {
+  for (const auto& part : parts) {
     const bool counts = part.placed && part.running && part.attempt == readiness.attempt;
-    if (!counts || now - part.as_of > most_age_s) return {};
+    if (!counts || now - part.as_of > max_age_s) return {};
     readiness.as_of = std::min(readiness.as_of, part.as_of);
   }
   return readiness;
