--- a/tests/regions/budgets_test.cpp
+++ b/tests/regions/budgets_test.cpp
@@ -47,7 +47,7 @@
   }
 }
 
-TEST(InitialParts, AreAllPartsExactlyAndByShare) {
+TEST(InitialUnits, SumToAllUnitsAndFollowShares) {
   auto regions = parse_regions(two_regions, "a")->regions;
   regions.push_back({"later", 0, {"d"}, {}});
   for (uint64_t share : {1, 2, 3, 7, 999983, 1000000}) {
@@ -64,7 +64,7 @@
   EXPECT_EQ(sum, all_quota_units);
 }
 
-TEST(InitialParts, SharesOfAGuaranteeAreTheGuarantee) {
+TEST(InitialUnits, GuaranteeSharesSumToTheGuarantee) {
   auto regions = parse_regions(two_regions, "a")->regions;
   for (double guarantee : {0.0, 1.0, 2.0, 16.0, 49.5}) {
     const auto shares = guarantee_shares(guarantee, regions);
@@ -73,7 +73,7 @@
   }
 }
 
-TEST(RegionMessage, IsReadAsItWasWritten) {
+TEST(RegionMessage, RoundTrips) {
   RegionMessage message{"north", "south", "quay-0", 41, 7, {}};
   message.teams.push_back({"t", {1, 2}, {3, 4}, {5, 6}, {7, 8}, {9, 10}, {11, all_quota_units}});
   const auto bytes = encode_region_message(message);
@@ -92,7 +92,7 @@
   EXPECT_EQ(read.teams[0].received, (QuotaUnits{3, 4}));
 }
 
-TEST(RegionMessage, AnotherVersionIsPassedOver) {
+TEST(RegionMessage, UnknownVersionIsSkipped) {
   const std::string later = encode_frame(std::string("\x02whatever", 9));
   RegionMessage read;
   size_t used = 0;
@@ -101,7 +101,7 @@
   EXPECT_TRUE(read.region.empty());
 }
 
-TEST(RegionMessage, ATruncatedBodyIsBad) {
+TEST(RegionMessage, TruncatedBodyIsRejected) {
   RegionMessage message{"north", "south", "quay-0", 41, 7, {}};
   message.teams.push_back({"t", {1, 2}, {3, 4}, {5, 6}, {7, 8}, {9, 10}, {11, 12}});
   const auto whole = encode_region_message(message);
@@ -112,13 +112,13 @@
     EXPECT_EQ(decode_region_message(encode_frame(body.substr(0, size)), read, used), Framed::bad);
 }
 
-TEST(QuotaRecord, IsReadAsItWasWritten) {
+TEST(QuotaRecord, RoundTrips) {
   QuotaRecord record{{10, 20}, {{"south", {1, 2}}}, {{"south", {3, 4}}, {"west", {5, 6}}}};
   EXPECT_EQ(decode_quota(encode_quota(record)), record);
   EXPECT_EQ(record.units(), (QuotaUnits{17, 28}));
 }
 
-TEST(BudgetPolicy, KeepsWhatItUsesNeedsAndHasGuaranteed) {
+TEST(QuotaPolicy, SurplusExcludesUseNeedAndGuarantee) {
   Standing s{.quota = 100, .used = 30, .guaranteed = 20, .urgent_need = 5, .need = 25};
   EXPECT_EQ(surplus(s, false).urgent, 65u);
   EXPECT_EQ(surplus(s, false).any, 45u);
@@ -131,7 +131,7 @@
   EXPECT_EQ(surplus(s, false).urgent, 0u) << "more in use than the budget: nothing to give";
 }
 
-TEST(BudgetPolicy, GivesWhatWasAskedAndNotYetGiven) {
+TEST(QuotaPolicy, TransfersRequestedUnitsNotYetSent) {
   const Surplus can{50, 10};
   EXPECT_EQ(decide_transfer(can, {0, 30}, 0), 10u);
   EXPECT_EQ(decide_transfer(can, {30, 30}, 0), 30u);
@@ -140,7 +140,7 @@
   EXPECT_EQ(decide_transfer(can, {30, 30}, 40), 0u);
 }
 
-TEST(BudgetPolicy, AsksNobodyForMoreThanItToldAndNothingTwice) {
+TEST(QuotaPolicy, RequestsNoMoreThanSurplusAndNothingTwice) {
   const auto requests = divide_requests({20, 50}, {{0, 0}, {15, 10}, {40, 30}});
   uint64_t urgent = 0, any = 0;
   for (auto& request : requests) urgent += request.urgent, any += request.any;
@@ -152,7 +152,7 @@
   EXPECT_GE(any, 40u);
 }
 
-TEST(BudgetPolicy, OfTwoWithTooLittleOneGivesWay) {
+TEST(QuotaPolicy, OneOfTwoRegionsWithTooLittleDefers) {
   Standing s{.quota = 10, .used = 8, .need = 40, .smallest_need = 4};
   EXPECT_EQ(surplus(s, false).any, 0u);
   EXPECT_EQ(surplus(s, true).any, 2u);
@@ -160,7 +160,7 @@
   EXPECT_EQ(surplus(s, true).any, 0u) << "a task fits";
 }
 
-TEST(BudgetPolicy, ThePeakIsForgotten) {
+TEST(QuotaPolicy, RecentPeakExpires) {
   RecentPeak peak;
   peak.note(10, 100, 20);
   peak.note(3, 109, 20);
--- a/tests/regions/regions_test.cpp
+++ b/tests/regions/regions_test.cpp
@@ -31,7 +31,7 @@
 }
 
 // The limits of two regions' settings differ for a while; first records are written meanwhile.
-TEST(Regions, FirstRecordsUnderDifferentLimitsAreStillAllParts) {
+TEST(Regions, FirstRecordsUnderDifferentLimitsSumToAllUnits) {
   RegionCluster cluster({.regions = 3, .team = {"t", 0, 0, 0, 17}});
   for (auto& controller : cluster.controllers(0)) {
     controller->settings().teams[0].gpus_max = 16;
@@ -46,7 +46,7 @@
   expect_no_rule_broken(cluster);
 }
 
-TEST(Regions, BudgetGoesWhereWorkWaits) {
+TEST(Regions, QuotaIsTransferredToPendingWork) {
   RegionCluster cluster({});
   cluster.at(acknowledged, [&] { cluster.submit(0, "run-1", 14, 1, 0); });
   cluster.run_until(acknowledged + 12);
@@ -56,7 +56,7 @@
 }
 
 // The operators' bound for urgent work, with the budget elsewhere (the fetch takes 0.15 s).
-TEST(Regions, UrgentWorkThatNeedsAnotherRegionsBudgetStartsInTime) {
+TEST(Regions, UrgentWorkThatNeedsAnotherRegionsQuotaStartsInTime) {
   RegionCluster cluster({});
   cluster.at(acknowledged, [&] { cluster.submit(0, "run-1", 8, 1, 0); });
   cluster.at(40, [&] { cluster.submit(0, "run-2", 4, 1, 0, Priority::production); });
@@ -81,7 +81,7 @@
   expect_no_rule_broken(cluster);
 }
 
-TEST(Regions, AShareOfTheGuaranteeIsNeverGiven) {
+TEST(Regions, GuaranteeShareIsNeverTransferred) {
   RegionCluster cluster({.team = {"t", 0, 0, 8, 16}});
   cluster.at(acknowledged, [&] { cluster.submit(0, "run-1", 40, 1, 600, Priority::production); });
   cluster.at(60, [&] { cluster.submit(1, "run-2", 4, 1, 0); });
@@ -101,7 +101,7 @@
 }
 
 // Each of two regions has room for half a task: one gives way.
-TEST(Regions, BudgetTooSmallForAnyTaskIsNotHeldOnTo) {
+TEST(Regions, QuotaTooSmallForAnyTaskIsTransferred) {
   RegionCluster cluster({.team = {"t", 0, 0, 0, 12}});
   for (size_t region : {0, 1})
     cluster.at(acknowledged, [&cluster, region] {
@@ -112,7 +112,7 @@
   expect_no_rule_broken(cluster);
 }
 
-TEST(Regions, BudgetDoesNotGoToAndFro) {
+TEST(Regions, QuotaDoesNotOscillate) {
   RegionCluster cluster({});
   int gifts = 0;
   cluster.on_budget = [&](size_t, auto& before, auto& after) { gifts += gave(before, after); };
@@ -163,7 +163,7 @@
                                          Step{"giver_after_the_takers_commit", true, false}),
                          [](auto& test) { return std::string(test.param.name); });
 
-TEST(Regions, HoldersChangeOnBothSidesAtOnce) {
+TEST(Regions, LeadersFailOverInBothRegionsAtOnce) {
   for (uint64_t seed : {1, 2, 3}) {
     RegionCluster cluster({.controllers = 3, .seed = seed});
     bool struck = false;
@@ -182,7 +182,7 @@
 }
 
 // A holder that stands still in the middle of a gift is deposed; on going on it can't give.
-TEST(Regions, ADeposedHolderCantGive) {
+TEST(Regions, DeposedLeaderCannotTransfer) {
   for (uint64_t seed : {1, 2, 3, 4}) {
     RegionCluster cluster({.controllers = 3, .seed = seed});
     for (int i = 0; i < 6; ++i)
@@ -199,7 +199,7 @@
 
 // The gift of a holder that has ended is carried out while its successor uses what was to be given:
 // it has to fail on `blocks`, since the record itself has not changed.
-TEST(Regions, AGiftThatArrivesAfterItsHolderIsReplacedFails) {
+TEST(Regions, TransferCommittedAfterFailoverFails) {
   int kept = 0;  // what the successor used
   for (uint64_t seed = 1; seed <= 8; ++seed) {
     RegionCluster cluster({.seed = seed});
@@ -224,7 +224,7 @@
 }
 
 // A copy of a gift comes after the next gift of the same holder: it must not put the total back.
-TEST(Regions, AnOlderTotalIsNotWrittenOverANewerOne) {
+TEST(Regions, StaleTotalDoesNotOverwriteANewerOne) {
   for (uint64_t seed = 1; seed <= 16; ++seed) {
     RegionCluster cluster({.seed = seed});
     // Between two renewals of the grant.
@@ -242,10 +242,10 @@
 
 enum class StateTrouble : uint8_t { refuses, outage, applies_late, loses_answers, slow };
 
-class StateServiceInTrouble
+class KeyValueStoreFaults
     : public testing::TestWithParam<std::tuple<StateTrouble, size_t, uint64_t>> {};
 
-TEST_P(StateServiceInTrouble, BudgetsStayExactAndArrive) {
+TEST_P(KeyValueStoreFaults, QuotasStayExactAndArrive) {
   const StateTrouble trouble = std::get<0>(GetParam());
   const size_t where = std::get<1>(GetParam());
   const uint64_t seed = std::get<2>(GetParam());
@@ -282,16 +282,17 @@
   expect_no_rule_broken(cluster);
 }
 INSTANTIATE_TEST_SUITE_P(
-    Suite, StateServiceInTrouble,
+    Suite, KeyValueStoreFaults,
     testing::Combine(testing::Values(StateTrouble::refuses, StateTrouble::outage,
                                      StateTrouble::applies_late, StateTrouble::loses_answers,
                                      StateTrouble::slow),
                      testing::Values(size_t{0}, size_t{1}), testing::Values(1, 2)));
 
 // An hour without each other, both ways or one way only, with demand on both sides.
-class CutForAnHour : public testing::TestWithParam<std::tuple<RegionCluster::Way, World::Cut>> {};
+class PartitionedForAnHour
+    : public testing::TestWithParam<std::tuple<RegionCluster::Way, World::Cut>> {};
 
-TEST_P(CutForAnHour, BothSidesGoOnWithWhatTheyHave) {
+TEST_P(PartitionedForAnHour, BothSidesKeepTheirQuotas) {
   RegionCluster cluster({});
   const auto way = std::get<0>(GetParam());
   const auto how = std::get<1>(GetParam());
@@ -315,13 +316,13 @@
   EXPECT_EQ(cluster.gpu_parts_on_the_way(), 0u);
   expect_no_rule_broken(cluster);
 }
-INSTANTIATE_TEST_SUITE_P(Suite, CutForAnHour,
+INSTANTIATE_TEST_SUITE_P(Suite, PartitionedForAnHour,
                          testing::Values(std::tuple{RegionCluster::Way::both, World::Cut::drop},
                                          std::tuple{RegionCluster::Way::from_first,
                                                     World::Cut::drop},
                                          std::tuple{RegionCluster::Way::both, World::Cut::hold}));
 
-TEST(Regions, ARegionWithoutControllersKeepsItsBudgetAndItsTasks) {
+TEST(Regions, RegionWithoutControllersKeepsItsQuotaAndTasks) {
   RegionCluster cluster({});
   cluster.at(acknowledged, [&] { cluster.submit(1, "run-1", 8, 1, 0); });
   cluster.at(30, [&] {
@@ -334,7 +335,7 @@
   expect_no_rule_broken(cluster);
 }
 
-TEST(Regions, MessagesThatComeAgainMinutesLaterChangeNothing) {
+TEST(Regions, RepeatedMessagesChangeNothing) {
   for (uint64_t seed : {1, 2}) {
     RegionCluster cluster({.seed = seed});
     cluster.at(1, [&] { cluster.repeat_messages_within(240); });
@@ -349,7 +350,7 @@
 }
 
 // A limit that is lowered below what is in use: nothing starts before use has fallen under it.
-TEST(Regions, ALoweredLimitHoldsForWhatStartsThen) {
+TEST(Regions, LoweredLimitHoldsForNewStarts) {
   RegionCluster cluster({});
   cluster.at(acknowledged, [&] { cluster.submit(0, "run-1", 14, 1, 100); });
   cluster.at(20, [&] { cluster.submit(1, "run-2", 40, 1, 10); });
@@ -368,7 +369,7 @@
 }
 
 // Some controllers of a region were started without the file: the records bind them all the same.
-TEST(Regions, AControllerWithoutTheFileKeepsToTheRecords) {
+TEST(Regions, ControllerWithoutRegionsFileFollowsTheRecords) {
   RegionCluster cluster({});
   cluster.at(30, [&] {
     for (auto& controller : cluster.controllers(0)) {
@@ -385,7 +386,7 @@
 }
 
 // A budget of nothing is a limit, where a limit of nothing is none.
-TEST(Regions, ARegionWithoutAnyBudgetStartsNothing) {
+TEST(Regions, RegionWithoutQuotaStartsNothing) {
   RegionCluster cluster({.share = {1, 0}});
   cluster.at(acknowledged, [&] { cluster.submit(0, "run-1", 16, 1, 60, Priority::production); });
   cluster.at(20, [&] { cluster.submit(1, "run-2", 4, 1, 0); });
@@ -398,7 +399,7 @@
 }
 
 // An older version that takes over would count the whole limit as its own.
-TEST(Regions, NothingIsGivenBeforeAllControllersHaveTheVersion) {
+TEST(Regions, NoTransferBeforeAllControllersHaveTheVersion) {
   RegionCluster cluster({.controllers = 3});
   cluster.controllers(0)[2]->crash(100);  // from the beginning
   cluster.at(acknowledged, [&] { cluster.submit(1, "run-1", 14, 1, 0); });
@@ -410,7 +411,7 @@
 }
 
 // Somebody on the link claims to have sent all there is, or says what is meant for others.
-TEST(Regions, AFalseClaimIsNotCounted) {
+TEST(Regions, ImplausibleTransferIsNotCounted) {
   RegionCluster cluster({.regions = 3});
   const QuotaUnits all{all_quota_units, all_quota_units};
   auto claim = [&](const std::string& from, const std::string& to) {
@@ -431,7 +432,7 @@
   expect_no_rule_broken(cluster);
 }
 
-TEST(Regions, AMessageMeantForAnotherRegionIsNotCounted) {
+TEST(Regions, MessageForAnotherRegionIsNotCounted) {
   RegionCluster cluster({.regions = 3});
   RegionMessage message{cluster.region_name(2), cluster.region_name(1), "r2n0", 1000000, 1, {}};
   message.teams.push_back({"t", {all_quota_units / 16, all_quota_units / 16}, {}, {}, {}, {}, {}});
@@ -442,7 +443,7 @@
 }
 
 // What was wanted some time ago is not wanted now.
-TEST(Regions, AnOlderMessageAsksForNothing) {
+TEST(Regions, StaleMessageRequestsNothing) {
   RegionCluster cluster({});
   RegionMessage message{cluster.region_name(1), cluster.region_name(0), "r1n0", 1, 1, {}};
   message.teams.push_back({"t", {}, {}, {}, {}, {0, all_quota_units}, {0, all_quota_units}});
@@ -453,7 +454,7 @@
 }
 
 // Drawn troubles in three regions, and afterwards everything that was submitted gets done.
-class DrawnRegions : public testing::TestWithParam<uint64_t> {};
+class RandomRegionScenarios : public testing::TestWithParam<uint64_t> {};
 
 void strike(RegionCluster& cluster, std::mt19937_64& draw) {
   auto below = [&](uint64_t n) { return draw() % n; };
@@ -488,7 +489,7 @@
   }
 }
 
-TEST_P(DrawnRegions, BreakNoRule) {
+TEST_P(RandomRegionScenarios, BreakNoRule) {
   RegionCluster cluster(
       {.regions = 3, .controllers = 2, .team = {"t", 0, 0, 3, 16}, .seed = GetParam()});
   std::mt19937_64 draw(GetParam());
@@ -512,7 +513,7 @@
   EXPECT_EQ(cluster.gpu_parts_on_the_way(), 0u);
   expect_no_rule_broken(cluster);
 }
-INSTANTIATE_TEST_SUITE_P(Suite, DrawnRegions, testing::Range(uint64_t{1}, uint64_t{25}));
+INSTANTIATE_TEST_SUITE_P(Suite, RandomRegionScenarios, testing::Range(uint64_t{1}, uint64_t{25}));
 
 }  // namespace
 }  // namespace damsonport::simulation
--- a/tests/replicas/replicas_test.cpp
+++ b/tests/replicas/replicas_test.cpp
@@ -103,7 +103,7 @@
   EXPECT_TRUE(decode_submission(message));
 }
 
-TEST(ReplicaRecord, TasksThatDoNotDivideAreRefused) {
+TEST(ReplicaRecord, IndivisibleTasksAreRefused) {
   Settings settings;
   settings.teams.push_back({"t", 0, 0, 0, 0});
   MachineType type;
@@ -141,7 +141,7 @@
   EXPECT_EQ(next_attempt(job, {2, 2}), 6u);
 }
 
-TEST(Readiness, IsAllPartsUnderOneAttemptByRecentReports) {
+TEST(Readiness, RequiresAllPartsUnderOneAttemptByRecentHeartbeats) {
   constexpr double now = 100, most_age = 6;
   const PartStatus first{true, 3, true, 97}, second{true, 3, true, 99};
   const auto ready = judge_readiness({first, second}, now, most_age);
@@ -161,7 +161,7 @@
   EXPECT_FALSE(judge_readiness({}, now, most_age).ready);
 }
 
-TEST(ReplicaState, FollowsFromRecordsAndReports) {
+TEST(ReplicaState, FollowsFromRecordsAndHeartbeats) {
   ReplicaStanding s;
   s.gang.tasks = 2;
   EXPECT_EQ(replica_state(s), ReplicaState::queued);
--- a/tests/spending_and_headroom_test.cpp
+++ b/tests/spending_and_headroom_test.cpp
@@ -23,7 +23,7 @@
   return m;
 }
 
-TEST(Spending, IsDividedByWhatMachinesDoAndAddsUp) {
+TEST(CostAccount, SplitsCostByMachineUse) {
   CostAccount account;
   account.begin_lease(100);
   auto booting = machine("g", false, 8);
@@ -42,7 +42,7 @@
   EXPECT_EQ(account.kinds().at("g in a").machines, 0U);
 }
 
-TEST(Spending, ANewTermBeginsAtNothing) {
+TEST(CostAccount, NewLeaseStartsAtZero) {
   CostAccount account;
   account.begin_lease(0);
   account.charge({machine("g", false, 8)}, {type("g", 20, 8)}, 3600);
@@ -51,7 +51,7 @@
   EXPECT_DOUBLE_EQ(account.spent().total(), 2);
 }
 
-TEST(Spending, IsReportedAtIntervals) {
+TEST(CostAccount, ReportsAtIntervals) {
   CostAccount account;
   account.begin_lease(0);
   account.charge({machine("g", false, 2)}, {type("g", 20, 8)}, 3600);
@@ -63,7 +63,7 @@
   EXPECT_TRUE(account.report(3622, 22));
 }
 
-TEST(Headroom, CoversTheArrivalsOfABootAndTheirSpread) {
+TEST(Headroom, CoversArrivalsDuringABootAndTheirSpread) {
   // One job of 4 in each of five boot times; a boot is taken to last half as long again.
   std::vector<headroom::Arrival> arrivals;
   arrivals.reserve(6);
@@ -74,7 +74,7 @@
   EXPECT_DOUBLE_EQ(headroom::expected_arrivals({}, 60, 2), 0);
 }
 
-TEST(Headroom, IsBoundedByWhatIsInUseAndByWhatItCosts) {
+TEST(Headroom, IsBoundedByUseAndPrice) {
   headroom::Pool pool;
   pool.in_use = 100, pool.unit_price = 2, pool.fleet_price = 200;
   pool.expected = 15;
