--- a/src/config/region_settings.cpp
+++ b/src/config/region_settings.cpp
@@ -1,7 +1,6 @@
 #include "config/region_settings.hpp"
 
 #include <algorithm>
-#include <charconv>
 #include <numeric>
 #include <set>
 
@@ -12,25 +11,25 @@
 
 namespace {
 
-constexpr uint64_t most_share = 1000000;
+constexpr uint64_t max_share = 1000000;
 
-// Reads one region; all its problems are kept, one a line.
+// Reads one (region ...) entry, and collects all its problems.
 class RegionReader {
  public:
   explicit RegionReader(const SexpDocument& document) : document_(document) {}
 
   Result<Region> read(const sexp_t* entry) {
-    if (!SexpDocument::is_list(entry) || SexpDocument::atom(entry->list) != "region")
+    if (SexpDocument::list_name(entry) != "region")
       return Error{document_.at_line(SexpDocument::atom(entry)) + "expected (region NAME ...)"};
     const sexp_t* name = entry->list->next;
     region_.name = SexpDocument::atom(name);
     if (region_.name.empty()) return Error{document_.at_line("region") + "a region needs a name"};
     bool has_share = false;
     for (const sexp_t* part = name->next; part; part = part->next) {
-      const std::string what =
-          SexpDocument::is_list(part) ? SexpDocument::atom(part->list) : std::string();
+      const std::string what = SexpDocument::list_name(part);
       if (what == "share") {
-        has_share = read_share(part->list->next);
+        has_share = true;
+        read_share(part->list->next);
       } else if (what == "zones") {
         read_zones(part->list->next);
       } else if (what == "controller") {
@@ -41,7 +40,7 @@
     }
     if (!has_share) fail(region_.name, "region " + region_.name + ": share is missing");
     if (region_.zones.empty()) fail(region_.name, "region " + region_.name + ": zones is missing");
-    if (!problems_.text.empty()) return problems_;
+    if (!problems_.empty()) return problems_;
     return region_;
   }
 
@@ -49,14 +48,12 @@
   void fail(const std::string& word, const std::string& what) {
     problems_.add(document_.at_line(word) + what);
   }
-  bool read_share(const sexp_t* value) {
-    const std::string word = SexpDocument::atom(value);
-    auto [end, error] = std::from_chars(word.data(), word.data() + word.size(), region_.share);
-    if (word.empty() || error != std::errc{} || end != word.data() + word.size() ||
-        region_.share > most_share)
-      fail(region_.name, "region " + region_.name + ": share must be a whole number up to " +
-                             std::to_string(most_share));
-    return true;
+  void read_share(const sexp_t* value) {
+    const auto share = SexpDocument::number<uint64_t>(value);
+    if (!share || *share > max_share)
+      return fail(region_.name, "region " + region_.name + ": share must be a whole number up to " +
+                                    std::to_string(max_share));
+    region_.share = *share;
   }
   void read_zones(const sexp_t* zone) {
     for (; zone; zone = zone->next) region_.zones.push_back(SexpDocument::atom(zone));
@@ -76,17 +73,20 @@
   Error problems_;
 };
 
-// What the regions have to be together.
-std::string inconsistency(const RegionSettings& settings) {
-  std::set<std::string> names, zones;
+// What the regions contradict one another in; nothing where they are consistent.
+std::optional<Error> find_inconsistency(const RegionSettings& settings) {
+  std::set<std::string> names;
+  std::set<std::string> zones;
   uint64_t shares = 0;
   for (auto& region : settings.regions) {
-    if (!names.insert(region.name).second) return "region " + region.name + " is named twice";
+    if (!names.insert(region.name).second)
+      return Error{"region " + region.name + " is named twice"};
     for (auto& zone : region.zones)
-      if (!zones.insert(zone).second) return "zone " + zone + " is in two regions";
+      if (!zones.insert(zone).second) return Error{"zone " + zone + " is in two regions"};
     shares += region.share;
   }
-  return shares == 0 ? "every region has the share 0" : "";
+  if (shares == 0) return Error{"every region has the share 0"};
+  return std::nullopt;
 }
 
 }  // namespace
@@ -116,8 +116,8 @@
       problems.add(region.error());
     }
   }
-  if (!problems.text.empty()) return problems;
-  if (auto problem = inconsistency(settings); !problem.empty()) return Error{problem};
+  if (!problems.empty()) return problems;
+  if (auto problem = find_inconsistency(settings)) return *problem;
   for (size_t i = 0; i < settings.regions.size(); ++i) {
     auto& zones = settings.regions[i].zones;
     if (std::find(zones.begin(), zones.end(), zone) == zones.end()) continue;
@@ -132,25 +132,29 @@
 }
 
 std::vector<uint64_t> divide_by_share(uint64_t units, const std::vector<Region>& regions) {
-  uint64_t all = 0;
-  for (auto& region : regions) all += region.share;
-  std::vector<uint64_t> parts;
+  uint64_t total_share = 0;
+  for (auto& region : regions) total_share += region.share;
+  std::vector<uint64_t> quotas;
   std::vector<double> remainders;
-  uint64_t given = 0;
+  uint64_t assigned = 0;
   for (auto& region : regions) {
-    const double exact =
-        static_cast<double>(units) * static_cast<double>(region.share) / static_cast<double>(all);
-    parts.push_back(static_cast<uint64_t>(exact));
-    remainders.push_back(exact - static_cast<double>(parts.back()));
-    given += parts.back();
+    const double exact = static_cast<double>(units) * static_cast<double>(region.share) /
+                         static_cast<double>(total_share);
+    quotas.push_back(static_cast<uint64_t>(exact));
+    remainders.push_back(exact - static_cast<double>(quotas.back()));
+    assigned += quotas.back();
   }
-  std::vector<size_t> order(regions.size());
-  std::iota(order.begin(), order.end(), 0);
-  std::stable_sort(order.begin(), order.end(),
+  // The units left over by rounding down, fewer than the regions with a remainder, go to the
+  // largest remainders.
+  std::vector<size_t> by_remainder(regions.size());
+  std::iota(by_remainder.begin(), by_remainder.end(), 0);
+  std::stable_sort(by_remainder.begin(), by_remainder.end(),
                    [&](size_t a, size_t b) { return remainders[a] > remainders[b]; });
-  // Fewer are left than there are regions with a remainder.
-  for (size_t i = 0; given < units; ++i, ++given) ++parts[order[i % order.size()]];
-  return parts;
+  for (size_t i = 0; assigned < units; ++i) {
+    ++quotas[by_remainder[i % by_remainder.size()]];
+    ++assigned;
+  }
+  return quotas;
 }
 
 }  // namespace damsonport
--- a/src/config/replica_settings.cpp
+++ b/src/config/replica_settings.cpp
@@ -1,6 +1,5 @@
 #include "config/replica_settings.hpp"
 
-#include <charconv>
 #include <optional>
 #include <set>
 
@@ -11,19 +10,12 @@
 
 namespace {
 
-constexpr uint32_t least_parts = 2, most_parts = 1024, most_at_once = 100000;
-constexpr double most_leases = 1000;
+constexpr uint32_t min_parts = 2;
+constexpr uint32_t max_parts = 1024;
+constexpr uint32_t max_at_once = 100000;
+constexpr double max_backoff_leases = 1000;
 
-template <class Number>
-std::optional<Number> read_number(const sexp_t* entry) {
-  const std::string word = SexpDocument::atom(entry);
-  Number value{};
-  auto [end, error] = std::from_chars(word.data(), word.data() + word.size(), value);
-  if (word.empty() || error != std::errc{} || end != word.data() + word.size()) return std::nullopt;
-  return value;
-}
-
-// Reads one class; all its problems are kept, one a line.
+// Reads one (class ...) entry, and collects all its problems.
 class ClassReader {
  public:
   explicit ClassReader(const SexpDocument& document) : document_(document) {}
@@ -43,7 +35,7 @@
     if (!seen_.contains("parts")) fail(policy_.job_class, "parts is missing");
     if (policy_.first_backoff_leases > policy_.longest_backoff_leases)
       fail(policy_.job_class, "the first backoff is longer than the longest");
-    if (!problems_.text.empty()) return problems_;
+    if (!problems_.empty()) return problems_;
     return policy_;
   }
 
@@ -54,16 +46,15 @@
   }
 
   void read_entry(const sexp_t* entry) {
-    const std::string what =
-        SexpDocument::is_list(entry) ? SexpDocument::atom(entry->list) : std::string();
+    const std::string what = SexpDocument::list_name(entry);
     const sexp_t* value = what.empty() ? nullptr : entry->list->next;
     if (!what.empty() && !seen_.insert(what).second) return fail(what, what + " stands twice");
     if (what == "parts") {
-      read_count(what, value, least_parts, most_parts, policy_.parts);
+      read_count(what, value, min_parts, max_parts, policy_.parts);
     } else if (what == "repairs") {
-      read_count(what, value, 1, most_at_once, policy_.repairs);
+      read_count(what, value, 1, max_at_once, policy_.repairs);
     } else if (what == "moves") {
-      read_count(what, value, 0, most_at_once, policy_.moves);
+      read_count(what, value, 0, max_at_once, policy_.moves);
     } else if (what == "distinct-machines") {
       read_flag(what, value, policy_.distinct_machines);
     } else if (what == "backoff-leases") {
@@ -73,12 +64,12 @@
     }
   }
 
-  void read_count(const std::string& name, const sexp_t* value, uint32_t least, uint32_t most,
+  void read_count(const std::string& name, const sexp_t* value, uint32_t min, uint32_t max,
                   uint32_t& out) {
-    const auto count = read_number<uint32_t>(value);
-    if (!count || *count < least || *count > most || value->next)
-      return fail(name, name + " must be a whole number from " + std::to_string(least) + " to " +
-                            std::to_string(most));
+    const auto count = SexpDocument::number<uint32_t>(value);
+    if (!count || *count < min || *count > max || value->next)
+      return fail(name, name + " must be a whole number from " + std::to_string(min) + " to " +
+                            std::to_string(max));
     out = *count;
   }
 
@@ -90,14 +81,14 @@
   }
 
   void read_backoff(const std::string& name, const sexp_t* value) {
-    const auto first = read_number<double>(value);
-    const auto longest = read_number<double>(value ? value->next : nullptr);
+    const auto first = SexpDocument::number<double>(value);
+    const auto longest = SexpDocument::number<double>(value ? value->next : nullptr);
     auto valid = [](std::optional<double> leases) {
-      return leases && *leases > 0 && *leases <= most_leases;
+      return leases && *leases > 0 && *leases <= max_backoff_leases;
     };
     if (!valid(first) || !valid(longest) || value->next->next)
       return fail(name, name + " must be two numbers of leases, above 0 and up to " +
-                            std::to_string(static_cast<int>(most_leases)));
+                            std::to_string(static_cast<int>(max_backoff_leases)));
     policy_.first_backoff_leases = *first;
     policy_.longest_backoff_leases = *longest;
   }
@@ -143,7 +134,7 @@
       problems.add(document->at_line(reader.name()) + "class " + reader.name() + " is named twice");
     if (policy) settings.classes.push_back(std::move(*policy));
   }
-  if (!problems.text.empty()) return problems;
+  if (!problems.empty()) return problems;
   return settings;
 }
 
--- a/src/config/sexp_document.cpp
+++ b/src/config/sexp_document.cpp
@@ -3,12 +3,15 @@
 #include <sfsexp/sexp_memory.h>
 #include <sfsexp/sexp_ops.h>
 
+#include <algorithm>
 #include <vector>
 
 namespace damsonport {
 
 namespace {
 
+std::string line_prefix(int line) { return "line " + std::to_string(line) + ": "; }
+
 // The library reads only one expression at a time, and no comments.
 std::string without_comments(const std::string& text) {
   std::string out;
@@ -21,15 +24,18 @@
   return out;
 }
 
-// A complaint about parentheses that don't match, or nothing.
-std::string unbalanced(const std::string& text) {
-  int depth = 0, line = 1;
+// The first parenthesis that has no counterpart; nothing where all match.
+std::optional<Error> find_unbalanced(const std::string& text) {
+  int depth = 0;
+  int line = 1;
   for (char c : text) {
-    line += c == '\n';
-    depth += c == '(' ? 1 : c == ')' ? -1 : 0;
-    if (depth < 0) return "line " + std::to_string(line) + ": ')' without '('";
+    if (c == '\n') ++line;
+    if (c == '(') ++depth;
+    if (c == ')') --depth;
+    if (depth < 0) return Error{line_prefix(line) + "')' without '('"};
   }
-  return depth == 0 ? "" : "line " + std::to_string(line) + ": a '(' is not closed";
+  if (depth != 0) return Error{line_prefix(line) + "a '(' is not closed"};
+  return std::nullopt;
 }
 
 }  // namespace
@@ -39,12 +45,13 @@
 
 Result<SexpDocument> SexpDocument::parse(const std::string& raw, const std::string& name) {
   std::string text = without_comments(raw);
-  if (auto complaint = unbalanced(text); !complaint.empty()) return Error{complaint};
+  if (auto problem = find_unbalanced(text)) return *problem;
+  // The parser writes into its input, which has to end with a zero.
   std::vector<char> buffer(text.begin(), text.end());
   buffer.push_back('\0');
   SexpDocument document(text, parse_sexp(buffer.data(), text.size()));
   if (!document.root_ || !is_list(document.root_.get()) || atom(document.root_->list) != name)
-    return Error{"line 1: expected (" + name + " ...)"};
+    return Error{line_prefix(1) + "expected (" + name + " ...)"};
   return document;
 }
 
@@ -52,13 +59,16 @@
   const auto from = text_.find(after);
   auto at = text_.find(word, from == std::string::npos ? 0 : from);
   if (at == std::string::npos) at = text_.size();
-  int line = 1;
-  for (size_t i = 0; i < at; ++i) line += text_[i] == '\n';
-  return "line " + std::to_string(line) + ": ";
+  const auto end = text_.begin() + static_cast<std::ptrdiff_t>(at);
+  return line_prefix(1 + static_cast<int>(std::count(text_.begin(), end, '\n')));
 }
 
 std::string SexpDocument::atom(const sexp_t* entry) {
   return entry && entry->ty == SEXP_VALUE && entry->val ? std::string(entry->val) : std::string();
 }
 
+std::string SexpDocument::list_name(const sexp_t* entry) {
+  return is_list(entry) ? atom(entry->list) : std::string();
+}
+
 }  // namespace damsonport
--- a/src/config/text_file.hpp
+++ b/src/config/text_file.hpp
@@ -1,4 +1,4 @@
-// Whole files as text.
+/// Files read as a whole.
 #pragma once
 #include <string>
 
@@ -6,10 +6,10 @@
 
 namespace damsonport {
 
-// Errors name the file.
+/// The file's bytes. The error names the file.
 Result<std::string> read_text_file(const std::string& path);
 
-// What `parse` makes of the file's text; its errors name the file too.
+/// What `parse` makes of the file's text; each problem that it finds gets the file's name.
 template <class Parse>
 auto parse_text_file(const std::string& path, Parse parse) -> decltype(parse(std::string())) {
   auto text = read_text_file(path);
--- a/src/config/toml_reader.hpp
+++ b/src/config/toml_reader.hpp
@@ -1,4 +1,4 @@
-// Reads settings and plans written in TOML, and collects every problem in them.
+/// Reads settings and experiment plans written in TOML, and collects every problem in them.
 #pragma once
 #include <toml++/toml.h>
 
@@ -9,40 +9,45 @@
 
 namespace damsonport {
 
-// Errors name the line.
+/// The error names the line.
 Result<toml::table> parse_toml(const std::string& text);
 
-// A table of the document, with what stands before the names of its fields: "deployment.workers.".
+/// A table of the document.
 struct TomlTable {
-  const toml::table* values;
-  std::string prefix;
+  const toml::table* values;  ///< lives as long as the document
+  std::string prefix;         ///< of its fields' names in errors: "deployment.workers."
 
   bool contains(const char* key) const { return values->contains(key); }
   const toml::node* find(const char* key) const { return values->get(key); }
 };
 
+/// Reads fields of one document, which has to outlive the reader. What is missing or wrong is noted
+/// as a problem, and a value within the range is returned in its place.
 class TomlReader {
  public:
+  /// Upper bound of a number where none is given.
   static constexpr double largest = 1e12;
 
   explicit TomlReader(const toml::table& root) : root_{&root, {}} {}
   const TomlTable& root() const { return root_; }
 
-  // A field that has to be there. What is missing or wrong is noted, and a value in range returned.
+  /// A field that has to be there.
   std::string text(const TomlTable& t, const char* key);
   double required(const TomlTable& t, const char* key, double low, double high = largest);
-  // A field that may be missing.
+  /// A field that may be missing: then `otherwise`.
   double number(const TomlTable& t, const char* key, double otherwise, double low,
                 double high = largest);
+  /// A table that has to be there.
   TomlTable required_table(const TomlTable& t, const char* key);
-  // Empty where it is missing.
+  /// A table that may be missing: then an empty one.
   TomlTable table(const TomlTable& t, const char* key);
+  /// A list of tables that may be missing: then an empty one.
   std::vector<TomlTable> tables(const TomlTable& t, const char* key);
 
-  // Names the field, and the line of its value, or that of its table where there is none.
+  /// Notes a problem with the field, at the line of its value, or of its table where it has none.
   void fail(const TomlTable& t, const char* key, const std::string& what);
-  bool ok() const { return problems_.text.empty(); }
-  // One problem a line.
+  bool ok() const { return problems_.empty(); }
+  /// The problems so far, one a line.
   const Error& error() const { return problems_; }
 
  private:
--- a/src/config/tuning.cpp
+++ b/src/config/tuning.cpp
@@ -1,21 +1,21 @@
 #include "config/tuning.hpp"
 
-#include <charconv>
-
 #include "config/sexp_document.hpp"
 
 namespace damsonport {
 
 namespace {
 
-struct Knob {
+/// One entry of the file: its name, its range, and the field that it sets, of which one is null.
+struct Entry {
   const char* name;
-  double low, high;
+  double low;
+  double high;
   double Tuning::*real;
   int Tuning::*whole;
 };
 
-constexpr Knob knobs[] = {
+constexpr Entry known_entries[] = {
     {"straggler-alpha", 0.001, 1, &Tuning::straggler_alpha, nullptr},
     {"straggler-bar", 0.01, 1, &Tuning::straggler_bar, nullptr},
     {"straggler-test-every", 1, 1000, nullptr, &Tuning::straggler_test_every},
@@ -36,31 +36,34 @@
     {"idle-replacements", 0, 1000, &Tuning::idle_replacements, nullptr},
 };
 
-Result<bool> apply(Tuning& out, const SexpDocument& document, const sexp_t* entry) {
-  if (!SexpDocument::is_list(entry))
-    return Error{document.at_line(SexpDocument::atom(entry)) + "expected (NAME VALUE)"};
-  const std::string name = SexpDocument::atom(entry->list);
-  const sexp_t* value = entry->list->next;
-  const auto where = document.at_line(name);
-  for (const Knob& knob : knobs) {
-    if (name != knob.name) continue;
-    std::string word = SexpDocument::atom(value);
-    double number = 0;
-    auto [end, err] = std::from_chars(word.data(), word.data() + word.size(), number);
-    if (word.empty() || err != std::errc{} || end != word.data() + word.size() || value->next)
-      return Error{where + name + ": expected one number"};
-    if (!(number >= knob.low && number <= knob.high))
-      return Error{where + name + ": must lie between " + std::to_string(knob.low) + " and " +
-                   std::to_string(knob.high)};
-    if (knob.real) {
-      out.*knob.real = number;
-    } else {
-      if (number != static_cast<int>(number)) return Error{where + name + ": must be whole"};
-      out.*knob.whole = static_cast<int>(number);
-    }
-    return true;
+const Entry* find_entry(const std::string& name) {
+  for (const Entry& entry : known_entries)
+    if (name == entry.name) return &entry;
+  return nullptr;
+}
+
+// Sets the field that `item` names; the problem where it can't.
+std::optional<Error> apply(Tuning& out, const SexpDocument& document, const sexp_t* item) {
+  if (!SexpDocument::is_list(item))
+    return Error{document.at_line(SexpDocument::atom(item)) + "expected (NAME VALUE)"};
+  const std::string name = SexpDocument::list_name(item);
+  const std::string where = document.at_line(name);
+  const Entry* entry = find_entry(name);
+  if (!entry) return Error{where + "unknown entry '" + name + "'"};
+  const sexp_t* value = item->list->next;
+  const auto number = SexpDocument::number<double>(value);
+  if (!number || value->next) return Error{where + name + ": expected one number"};
+  if (!(*number >= entry->low && *number <= entry->high))
+    return Error{where + name + ": must lie between " + std::to_string(entry->low) + " and " +
+                 std::to_string(entry->high)};
+  if (entry->real) {
+    out.*entry->real = *number;
+    return std::nullopt;
   }
-  return Error{where + "unknown entry '" + name + "'"};
+  const int whole = static_cast<int>(*number);
+  if (*number != whole) return Error{where + name + ": must be whole"};
+  out.*entry->whole = whole;
+  return std::nullopt;
 }
 
 }  // namespace
@@ -71,10 +74,9 @@
   Tuning tuning;
   Error problems;
   for (const sexp_t* entry = document->entries(); entry; entry = entry->next) {
-    const auto done = apply(tuning, *document, entry);
-    if (!done) problems.add(done.error());
+    if (const auto problem = apply(tuning, *document, entry)) problems.add(problem->text);
   }
-  if (!problems.text.empty()) return problems;
+  if (!problems.empty()) return problems;
   return tuning;
 }
 
