--- a/src/transport/event_http.hpp
+++ b/src/transport/event_http.hpp
@@ -1,4 +1,4 @@
-// HTTP over evhttp: the server, and a pooled client.
+/// HTTP over libevent's evhttp: the server, and a client that pools its connections.
 #pragma once
 #include <deque>
 #include <list>
@@ -15,6 +15,10 @@
 
 namespace damsonport {
 
+/// Handles each request in a background task of its own.
+///
+/// The number of connections is bounded by not accepting: those beyond wait in the backlog of the
+/// listening socket. The server owns evhttp and, through it, the connections.
 class EventHttpServer : public HttpServer {
  public:
   EventHttpServer(EventLoop& loop, size_t max_body, size_t max_connections, double idle_s,
@@ -24,30 +28,38 @@
   EventHttpServer& operator=(const EventHttpServer&) = delete;
   bool bind(const Endpoint& at) override;
   uint16_t port() const override;
-  void tidy() override { bound_connections(); }
-  size_t open() const override { return open_.size() + silent_since_.size(); }
+  void tidy() override { pause_or_resume_accepting(); }
+  size_t open() const override { return connections_.size() + awaiting_first_request_.size(); }
 
  private:
   struct Exchange;
-  void on_request(evhttp_request* req);
-  void accepted();
-  void note_connection(evhttp_connection* connection);
-  void bound_connections();
+  struct Connection {
+    std::shared_ptr<Exchange> exchange;  // null between requests
+    double answered_at = 0;              // the last request
+  };
+  static HttpRequest read_request(evhttp_request* from);
+  static void on_close(evhttp_connection* connection, void* server);
+  void on_request(evhttp_request* from);
+  void on_accept();
+  void track_connection(evhttp_connection* connection);
+  void pause_or_resume_accepting();
   Task<void> answer(std::shared_ptr<Exchange> exchange, HttpRequest request);
+
   EventLoop& loop_;
   size_t max_connections_;
   double idle_s_;
-  std::deque<double> silent_since_;  // accepted, no request yet
   Handler handler_;
   evhttp* http_;
   evhttp_bound_socket* socket_ = nullptr;
-  struct Connection {
-    std::shared_ptr<Exchange> exchange;  // null between requests
-    double answered_at = 0;              // the last one
-  };
-  std::unordered_map<evhttp_connection*, Connection> open_;
+  // When the connections were accepted on which no request has come yet. evhttp tells of a
+  // connection only with its first request.
+  std::deque<double> awaiting_first_request_;
+  std::unordered_map<evhttp_connection*, Connection> connections_;
 };
 
+/// Keeps connections open after a response, for the next request to the same endpoint.
+///
+/// Must outlive the requests in progress: each of them is a coroutine that refers to it.
 class EventHttpClient : public HttpClient {
  public:
   explicit EventHttpClient(EventLoop& loop) : loop_(loop) {}
@@ -57,7 +69,7 @@
   Task<HttpReply> request(Endpoint to, Method method, std::string target, std::string body,
                           double timeout_s) override;
   void trim(double idle_s) override;
-  void bound_idle(std::function<size_t()> most) override { most_idle_ = std::move(most); }
+  void bound_idle(std::function<size_t()> most) override { max_idle_ = std::move(most); }
   size_t in_use() const override { return in_use_; }
   size_t idle() const override { return by_age_.size(); }
 
@@ -68,15 +80,19 @@
     evhttp_connection* connection;
     double since;
   };
-  evhttp_connection* take(const Endpoint& to);
-  void scale_in(const std::string& to, evhttp_connection* connection);
-  void discard(evhttp_connection* connection);
+  using IdleList = std::list<Idle>;
+
+  evhttp_connection* take_connection(const Endpoint& to);
+  void keep_connection(const std::string& to, evhttp_connection* connection);
+  void discard_connection(evhttp_connection* connection);
   void close_oldest();
+
   EventLoop& loop_;
-  std::function<size_t()> most_idle_;
+  std::function<size_t()> max_idle_;
   size_t in_use_ = 0;
-  std::list<Idle> by_age_;                                                       // the oldest first
-  std::unordered_map<std::string, std::deque<std::list<Idle>::iterator>> idle_;  // by endpoint
+  IdleList by_age_;  // the oldest first
+  // The same by endpoint, in the same order.
+  std::unordered_map<std::string, std::deque<IdleList::iterator>> by_endpoint_;
 };
 
 }  // namespace damsonport
--- a/src/transport/event_http_client.cpp
+++ b/src/transport/event_http_client.cpp
@@ -9,6 +9,34 @@
 
 namespace damsonport {
 
+namespace {
+
+// evhttp's own, longer than that of any request.
+constexpr int connection_timeout_s = 120;
+
+evhttp_cmd_type command_of(Method method) {
+  switch (method) {
+    case Method::get:
+      return EVHTTP_REQ_GET;
+    case Method::post:
+      return EVHTTP_REQ_POST;
+    case Method::del:
+    case Method::other:
+      break;
+  }
+  return EVHTTP_REQ_DELETE;
+}
+
+timeval to_timeval(double seconds) {
+  constexpr double us_per_s = 1e6;
+  const double whole_s = std::floor(seconds);
+  return {static_cast<time_t>(whole_s), static_cast<suseconds_t>((seconds - whole_s) * us_per_s)};
+}
+
+}  // namespace
+
+// One request in progress, as an awaitable that lives in the frame of request(). The timer bounds
+// its time, and also resumes the waiting coroutine once the response is complete.
 struct EventHttpClient::Call {
   EventHttpClient& client;
   Endpoint to;
@@ -34,14 +62,17 @@
   HttpReply await_resume() { return std::move(reply); }
 
   void start() {
-    connection = client.take(to);
+    connection = client.take_connection(to);
     timer = evtimer_new(
         client.loop_.base(),
-        [](evutil_socket_t, short, void* self) { static_cast<Call*>(self)->expire(); }, this);
-    const double whole_s = std::floor(timeout_s);
-    timeval tv{static_cast<time_t>(whole_s), static_cast<suseconds_t>((timeout_s - whole_s) * 1e6)};
-    event_add(timer, &tv);
-    if (!connection) return;  // the timer reports it: never resume from inside await_suspend
+        [](evutil_socket_t, short, void* self) { static_cast<Call*>(self)->finish(); }, this);
+    const timeval timeout = to_timeval(timeout_s);
+    event_add(timer, &timeout);
+    // Without a connection the timer reports it: never resumed from inside await_suspend.
+    if (connection) send();
+  }
+
+  void send() {
     request = evhttp_request_new(
         [](evhttp_request* r, void* self) { static_cast<Call*>(self)->complete(r); }, this);
     auto* headers = evhttp_request_get_output_headers(request);
@@ -50,14 +81,12 @@
       evhttp_add_header(headers, "Content-Type", "application/cbor");
       evbuffer_add(evhttp_request_get_output_buffer(request), body.data(), body.size());
     }
-    auto command = method == Method::get    ? EVHTTP_REQ_GET
-                   : method == Method::post ? EVHTTP_REQ_POST
-                                            : EVHTTP_REQ_DELETE;
-    if (evhttp_make_request(connection, request, command, target.c_str()) != 0) {
-      // evhttp has freed the request and may not have called back.
+    // On failure evhttp has freed the request and may not have called back.
+    if (evhttp_make_request(connection, request, command_of(method), target.c_str()) != 0)
       request = nullptr;
-    }
   }
+
+  // The response has arrived, or there will be none.
   void complete(evhttp_request* r) {
     if (done) return;
     if (r) {
@@ -73,23 +102,26 @@
     // Resumed from the loop, not from evhttp's stack, which still uses the connection.
     event_active(timer, EV_TIMEOUT, 0);
   }
-  void expire() {
+
+  // The request is complete, or its time is over.
+  void finish() {
     if (!done) {
       done = true;
       if (request) evhttp_cancel_request(request);
       request = nullptr;
     }
-    if (connection) {
-      if (reply.answered()) {
-        client.scale_in(to.text(), connection);
-      } else {
-        client.discard(connection);
-      }
-    } else {
-      --client.in_use_;
+    release_connection();
+    waiter.resume();
+  }
+
+  void release_connection() {
+    --client.in_use_;
+    if (connection && reply.answered()) {
+      client.keep_connection(to.text(), connection);
+    } else if (connection) {
+      client.discard_connection(connection);
     }
     connection = nullptr;
-    waiter.resume();
   }
 };
 
@@ -97,39 +129,38 @@
   for (auto& idle : by_age_) evhttp_connection_free(idle.connection);
 }
 
-evhttp_connection* EventHttpClient::take(const Endpoint& to) {
+evhttp_connection* EventHttpClient::take_connection(const Endpoint& to) {
   ++in_use_;
-  if (auto it = idle_.find(to.text()); it != idle_.end()) {
+  if (auto it = by_endpoint_.find(to.text()); it != by_endpoint_.end()) {
     auto newest = it->second.back();
     auto* connection = newest->connection;
     it->second.pop_back();
-    if (it->second.empty()) idle_.erase(it);
+    if (it->second.empty()) by_endpoint_.erase(it);
     by_age_.erase(newest);
     return connection;
   }
   auto* connection = evhttp_connection_base_new(loop_.base(), nullptr, to.host.c_str(), to.port);
-  if (connection) evhttp_connection_set_timeout(connection, 120);
+  if (connection) evhttp_connection_set_timeout(connection, connection_timeout_s);
   return connection;
 }
 
-void EventHttpClient::scale_in(const std::string& to, evhttp_connection* connection) {
-  --in_use_;
+void EventHttpClient::keep_connection(const std::string& to, evhttp_connection* connection) {
   by_age_.push_back({to, connection, loop_.now()});
-  idle_[to].push_back(std::prev(by_age_.end()));
-  if (!most_idle_) return;
-  for (size_t most = most_idle_(); by_age_.size() > most;) close_oldest();
+  by_endpoint_[to].push_back(std::prev(by_age_.end()));
+  if (!max_idle_) return;
+  const size_t most = max_idle_();
+  while (by_age_.size() > most) close_oldest();
 }
 
-void EventHttpClient::discard(evhttp_connection* connection) {
-  --in_use_;
+void EventHttpClient::discard_connection(evhttp_connection* connection) {
   evhttp_connection_free(connection);
 }
 
 void EventHttpClient::close_oldest() {
   auto& oldest = by_age_.front();
-  auto it = idle_.find(oldest.to);
-  it->second.pop_front();  // those of one endpoint are in the same order
-  if (it->second.empty()) idle_.erase(it);
+  auto it = by_endpoint_.find(oldest.to);
+  it->second.pop_front();
+  if (it->second.empty()) by_endpoint_.erase(it);
   evhttp_connection_free(oldest.connection);
   by_age_.pop_front();
 }
--- a/src/transport/event_http_server.cpp
+++ b/src/transport/event_http_server.cpp
@@ -16,6 +16,36 @@
 
 namespace damsonport {
 
+namespace {
+
+constexpr int max_header_bytes = 8192;
+// A connection that evhttp closes at its idle time is counted as open for so much longer.
+constexpr double close_grace_s = 1;
+
+Method method_of(evhttp_cmd_type command) {
+  switch (command) {
+    case EVHTTP_REQ_GET:
+      return Method::get;
+    case EVHTTP_REQ_POST:
+      return Method::post;
+    case EVHTTP_REQ_DELETE:
+      return Method::del;
+    default:
+      return Method::other;
+  }
+}
+
+void add_headers(evkeyvalq* headers, const HttpResponse& response) {
+  if (!response.body.empty()) evhttp_add_header(headers, "Content-Type", "application/cbor");
+  if (response.retry_after_s > 0) {
+    const auto seconds = std::to_string(static_cast<int>(std::ceil(response.retry_after_s)));
+    evhttp_add_header(headers, "Retry-After", seconds.c_str());
+  }
+  if (response.close) evhttp_add_header(headers, "Connection", "close");
+}
+
+}  // namespace
+
 bool parse_endpoint(std::string_view text, Endpoint& out) {
   auto colon = text.rfind(':');
   if (colon == std::string_view::npos || colon == 0) return false;
@@ -44,7 +74,7 @@
       http_(evhttp_new(loop.base())) {
   if (!http_) throw std::runtime_error("cannot create the HTTP server");
   evhttp_set_max_body_size(http_, static_cast<ev_ssize_t>(max_body));
-  evhttp_set_max_headers_size(http_, 8192);
+  evhttp_set_max_headers_size(http_, max_header_bytes);
   evhttp_set_timeout(http_, std::max(1, static_cast<int>(idle_s)));
   // All methods reach the handler, so that a wrong one gets 405 and not evhttp's 501.
   evhttp_set_allowed_methods(http_, EVHTTP_REQ_GET | EVHTTP_REQ_POST | EVHTTP_REQ_HEAD |
@@ -58,24 +88,23 @@
   evhttp_set_bevcb(
       http_,
       [](event_base* base, void* self) {
-        static_cast<EventHttpServer*>(self)->accepted();
+        static_cast<EventHttpServer*>(self)->on_accept();
         return bufferevent_socket_new(base, -1, 0);
       },
       this);
 }
 
-// The number of connections is bounded by not accepting: those beyond wait in the backlog. evhttp
-// tells of a connection only with its first request, so until then it counts as silent, and a
-// silent one is closed by evhttp after the idle time.
-void EventHttpServer::accepted() {
-  silent_since_.push_back(loop_.now());
-  bound_connections();
+// A connection without a request is closed by evhttp after the idle time.
+void EventHttpServer::on_accept() {
+  awaiting_first_request_.push_back(loop_.now());
+  pause_or_resume_accepting();
 }
 
-void EventHttpServer::bound_connections() {
+void EventHttpServer::pause_or_resume_accepting() {
   if (!socket_) return;
   const double now = loop_.now();
-  std::erase_if(silent_since_, [&](double since) { return now - since > idle_s_ + 1; });
+  std::erase_if(awaiting_first_request_,
+                [&](double accepted_at) { return now - accepted_at > idle_s_ + close_grace_s; });
   auto* listener = evhttp_bound_socket_get_listener(socket_);
   if (open() >= max_connections_) {
     evconnlistener_disable(listener);
@@ -84,20 +113,19 @@
   }
 }
 
-void EventHttpServer::note_connection(evhttp_connection* connection) {
-  if (!open_.emplace(connection, Connection{}).second) return;
-  if (!silent_since_.empty()) silent_since_.pop_front();
-  evhttp_connection_set_closecb(
-      connection,
-      [](evhttp_connection* c, void* arg) {
-        auto* self = static_cast<EventHttpServer*>(arg);
-        if (auto it = self->open_.find(c); it != self->open_.end()) {
-          if (it->second.exchange) it->second.exchange->request = nullptr;
-          self->open_.erase(it);
-        }
-        self->bound_connections();
-      },
-      this);
+void EventHttpServer::track_connection(evhttp_connection* connection) {
+  if (!connections_.emplace(connection, Connection{}).second) return;
+  if (!awaiting_first_request_.empty()) awaiting_first_request_.pop_front();
+  evhttp_connection_set_closecb(connection, &EventHttpServer::on_close, this);
+}
+
+void EventHttpServer::on_close(evhttp_connection* connection, void* server) {
+  auto* self = static_cast<EventHttpServer*>(server);
+  if (auto it = self->connections_.find(connection); it != self->connections_.end()) {
+    if (it->second.exchange) it->second.exchange->request = nullptr;
+    self->connections_.erase(it);
+  }
+  self->pause_or_resume_accepting();
 }
 
 EventHttpServer::~EventHttpServer() {
@@ -128,31 +156,25 @@
   return ntohs(address.sin_port);
 }
 
-void EventHttpServer::on_request(evhttp_request* req) {
+HttpRequest EventHttpServer::read_request(evhttp_request* from) {
   HttpRequest request;
-  switch (evhttp_request_get_command(req)) {
-    case EVHTTP_REQ_GET:
-      request.method = Method::get;
-      break;
-    case EVHTTP_REQ_POST:
-      request.method = Method::post;
-      break;
-    case EVHTTP_REQ_DELETE:
-      request.method = Method::del;
-      break;
-    default:
-      request.method = Method::other;
-  }
-  std::string_view uri = evhttp_request_get_uri(req);
-  const auto question = uri.find('?');
-  request.path = std::string(uri.substr(0, question));
-  if (question != std::string_view::npos) request.query = std::string(uri.substr(question + 1));
-  evbuffer* input = evhttp_request_get_input_buffer(req);
+  request.method = method_of(evhttp_request_get_command(from));
+  const std::string_view uri = evhttp_request_get_uri(from);
+  const auto question_mark = uri.find('?');
+  request.path = std::string(uri.substr(0, question_mark));
+  if (question_mark != std::string_view::npos)
+    request.query = std::string(uri.substr(question_mark + 1));
+  evbuffer* input = evhttp_request_get_input_buffer(from);
   request.body.resize(evbuffer_get_length(input));
   evbuffer_remove(input, request.body.data(), request.body.size());
-  note_connection(evhttp_request_get_connection(req));
-  auto exchange = std::make_shared<Exchange>(Exchange{req});
-  Connection& connection = open_[evhttp_request_get_connection(req)];
+  return request;
+}
+
+void EventHttpServer::on_request(evhttp_request* from) {
+  HttpRequest request = read_request(from);
+  track_connection(evhttp_request_get_connection(from));
+  auto exchange = std::make_shared<Exchange>(Exchange{from});
+  Connection& connection = connections_[evhttp_request_get_connection(from)];
   connection.exchange = exchange;
   request.previous_answer_at = connection.answered_at;
   loop_.spawn("request", answer(std::move(exchange), std::move(request)));
@@ -166,18 +188,12 @@
     spdlog::error("request failed: {}", e.what());
     response = {500, {}, 0};
   }
-  evhttp_request* req = exchange->request;
-  if (!req) co_return;
-  open_[evhttp_request_get_connection(req)] = {nullptr, loop_.now()};
-  auto* headers = evhttp_request_get_output_headers(req);
-  if (!response.body.empty()) evhttp_add_header(headers, "Content-Type", "application/cbor");
-  if (response.retry_after_s > 0) {
-    auto seconds = std::to_string(static_cast<int>(std::ceil(response.retry_after_s)));
-    evhttp_add_header(headers, "Retry-After", seconds.c_str());
-  }
-  if (response.close) evhttp_add_header(headers, "Connection", "close");
-  evbuffer_add(evhttp_request_get_output_buffer(req), response.body.data(), response.body.size());
-  evhttp_send_reply(req, response.status, nullptr, nullptr);
+  evhttp_request* to = exchange->request;
+  if (!to) co_return;
+  connections_[evhttp_request_get_connection(to)] = {nullptr, loop_.now()};
+  add_headers(evhttp_request_get_output_headers(to), response);
+  evbuffer_add(evhttp_request_get_output_buffer(to), response.body.data(), response.body.size());
+  evhttp_send_reply(to, response.status, nullptr, nullptr);
 }
 
 }  // namespace damsonport
--- a/src/transport/event_loop.cpp
+++ b/src/transport/event_loop.cpp
@@ -47,7 +47,7 @@
 };
 }  // namespace
 
-// Two calls: one seed of 32 bits would make incarnations of many restarts collide.
+// Two calls: with one seed of 32 bits the incarnations of many restarts would collide.
 struct EventLoop::Seed {
   std::seed_seq sequence{std::random_device{}(), std::random_device{}(),
                          static_cast<unsigned>(clock_seconds(CLOCK_REALTIME) * 1e3)};
--- a/src/transport/event_loop.hpp
+++ b/src/transport/event_loop.hpp
@@ -1,4 +1,4 @@
-// The program's loop: libevent's.
+/// The program's event loop: libevent's, with the system's clocks.
 #pragma once
 #include "transport/loop.hpp"
 
@@ -6,15 +6,18 @@
 
 namespace damsonport {
 
+/// Draws its random numbers from a seed of the system's.
 class EventLoop : public Loop {
  public:
+  /// Throws std::runtime_error where libevent can't be set up.
   EventLoop();
   ~EventLoop() override;
   double now() const override;
   double wall() const override;
   std::unique_ptr<Timer> timer(Timer::Fire fire, void* argument) override;
+  /// For what runs on libevent itself.
   event_base* base() const { return base_; }
-  // Until it is told to stop and every routine has ended.
+  /// Runs until stop() was called and every background task has ended.
   void run();
 
  private:
--- a/src/transport/event_network.hpp
+++ b/src/transport/event_network.hpp
@@ -1,10 +1,11 @@
-// The program's network.
+/// The program's network: TCP on libevent.
 #pragma once
 #include "transport/event_loop.hpp"
 #include "transport/network.hpp"
 
 namespace damsonport {
 
+/// Everything that it makes runs on the given loop, which has to outlive it.
 class EventNetwork : public Network {
  public:
   explicit EventNetwork(EventLoop& loop) : loop_(loop) {}
--- a/src/transport/event_stream.cpp
+++ b/src/transport/event_stream.cpp
@@ -8,9 +8,10 @@
 namespace damsonport {
 
 namespace {
-// Of messages that queue up behind others; one alone may be as long as its receiver takes.
-constexpr size_t max_queued = size_t{32} * 1024;
-constexpr timeval idle{10, 0};
+// Bytes of messages that queue up behind others; one alone may be as long as its receiver takes.
+constexpr size_t max_unsent_bytes = size_t{32} * 1024;
+constexpr timeval idle_timeout{10, 0};
+constexpr int accept_backlog = 16;
 
 sockaddr_in address_of(const Endpoint& e) {
   sockaddr_in a{};
@@ -24,7 +25,7 @@
 void EventStreamLink::close() {
   if (stream_) bufferevent_free(stream_);
   stream_ = nullptr;
-  up_ = false;
+  connected_ = false;
 }
 
 void EventStreamLink::send(const std::string& bytes) {
@@ -37,14 +38,14 @@
         [](bufferevent*, short what, void* arg) {
           auto* self = static_cast<EventStreamLink*>(arg);
           if (what & BEV_EVENT_CONNECTED) {
-            self->up_ = true;
+            self->connected_ = true;
           } else {
             self->close();
           }
         },
         this);
-    // A link that takes nothing for a while is cut off or dead: connect anew.
-    bufferevent_set_timeouts(stream_, nullptr, &idle);
+    // A link that takes nothing for a while is partitioned or dead: connect anew.
+    bufferevent_set_timeouts(stream_, nullptr, &idle_timeout);
     bufferevent_enable(stream_, EV_READ | EV_WRITE);
     auto a = address_of(to_);
     if (bufferevent_socket_connect(stream_, reinterpret_cast<sockaddr*>(&a), sizeof a) != 0) {
@@ -54,8 +55,8 @@
   }
   auto* out = bufferevent_get_output(stream_);
   const size_t unsent = evbuffer_get_length(out);
-  if (!up_ && unsent > 0) return;
-  if (unsent > 0 && unsent + bytes.size() > max_queued) return;
+  if (!connected_ && unsent > 0) return;
+  if (unsent > 0 && unsent + bytes.size() > max_unsent_bytes) return;
   bufferevent_write(stream_, bytes.data(), bytes.size());
 }
 
@@ -101,11 +102,11 @@
         bufferevent_setcb(
             stream, [](bufferevent*, void* i) { static_cast<Incoming*>(i)->read(); }, nullptr,
             [](bufferevent*, short, void* i) { delete static_cast<Incoming*>(i); }, incoming);
-        bufferevent_set_timeouts(stream, &idle, &idle);
+        bufferevent_set_timeouts(stream, &idle_timeout, &idle_timeout);
         bufferevent_enable(stream, EV_READ);
       },
-      this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, 16, reinterpret_cast<sockaddr*>(&a),
-      sizeof a);
+      this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, accept_backlog,
+      reinterpret_cast<sockaddr*>(&a), sizeof a);
 }
 
 EventStreamListener::~EventStreamListener() {
--- a/src/transport/event_stream.hpp
+++ b/src/transport/event_stream.hpp
@@ -1,4 +1,4 @@
-// Byte streams over TCP.
+/// Byte streams over TCP, on libevent.
 #pragma once
 #include "transport/event_loop.hpp"
 #include "transport/http.hpp"
@@ -9,6 +9,7 @@
 
 namespace damsonport {
 
+/// Closes and connects anew where the peer takes nothing for some seconds.
 class EventStreamLink : public StreamLink {
  public:
   EventStreamLink(EventLoop& loop, Endpoint to) : loop_(loop), to_(std::move(to)) {}
@@ -22,9 +23,10 @@
   EventLoop& loop_;
   Endpoint to_;
   bufferevent* stream_ = nullptr;
-  bool up_ = false;
+  bool connected_ = false;
 };
 
+/// Closes a stream on which nothing arrives for some seconds.
 class EventStreamListener : public StreamListener {
  public:
   EventStreamListener(EventLoop& loop, const Endpoint& at, size_t max_streams, OnBytes on_bytes);
