--- a/tests/bad_requests_test.cpp
+++ b/tests/bad_requests_test.cpp
@@ -1,6 +1,8 @@
-// What users are told who send what is no submission, and what the log says when nothing answers.
+// Responses to malformed submissions, the routes of the HTTP server, and the limiter of warnings.
 #include <gtest/gtest.h>
 
+#include "coordination/api/routes.hpp"
+#include "coordination/api/write_demand.hpp"
 #include "simulation/virtual_controller.hpp"
 #include "transport/warning_limiter.hpp"
 
@@ -39,7 +41,7 @@
   return m.is_object() ? m.value("error", std::string()) : "no CBOR map";
 }
 
-TEST(BadRequests, WhatIsNoMapIsToldSo) {
+TEST(Submission, BodyIsNoMap_BadRequestWithReason) {
   for (auto& body : {encode("a text"), encode(7), encode(Json::array({1})), std::string("\xff")}) {
     const auto reply = submit(body);
     EXPECT_EQ(reply.status, 400);
@@ -48,13 +50,56 @@
   EXPECT_EQ(complaint(submit(encode(Json::object()))), "accelerators is missing or invalid");
 }
 
-TEST(BadRequests, ATooLongBodyIsToldSo) {
+TEST(Submission, BodyTooLong_BadRequestWithReason) {
   const auto reply = submit(encode({{"ref", std::string(70000, 'x')}}));
   EXPECT_EQ(reply.status, 400);
   EXPECT_EQ(complaint(reply), "the body is longer than 65536 bytes");
 }
 
-TEST(WarningLimiter, SaysItAtOnceWhenItChangesAndThenLessAndLess) {
+TEST(Route, PathKnown_ResourceMethodAndJob) {
+  struct Expected {
+    const char* path;
+    Resource resource;
+    Method method;
+    const char* job;
+  };
+  const Expected expected[] = {
+      {"/hello", Resource::worker_heartbeat, Method::post, ""},
+      {"/healthz", Resource::health, Method::get, ""},
+      {"/api/jobs", Resource::job_collection, Method::post, ""},
+      {"/api/jobs/run-1", Resource::job, Method::get, "run-1"},
+      {"/api/jobs/run-1/cancel", Resource::job_cancellation, Method::post, "run-1"},
+      {"/api/jobs//cancel", Resource::job_cancellation, Method::post, ""},
+  };
+  for (const auto& e : expected) {
+    const Route route = match_route(e.path);
+    EXPECT_EQ(route.resource, e.resource) << e.path;
+    EXPECT_EQ(route.method, e.method) << e.path;
+    EXPECT_EQ(route.job, e.job) << e.path;
+  }
+}
+
+TEST(Route, PathUnknown_NoResource) {
+  for (const char* path :
+       {"", "/", "/hello/", "/api", "/api/jobs/", "/api/jobsx", "/api/jobsx/run-1",
+        "/api/jobs/run-1/", "/api/jobs/run-1/stop", "/api/jobs/run-1/cancel/"})
+    EXPECT_EQ(match_route(path).resource, Resource::unknown) << path;
+}
+
+TEST(WriteDemand, RejectionsCountInTheirPeriodAndTheNext) {
+  WriteDemand demand(1.5);
+  demand.note_rejection();
+  EXPECT_EQ(demand.rejected(), 1u);
+  EXPECT_EQ(demand.estimate(3, 0), 3) << "those of the current period are not over yet";
+  demand.begin_period();
+  EXPECT_EQ(demand.rejected(), 1u);
+  EXPECT_EQ(demand.estimate(3, 0), 4);
+  demand.begin_period();
+  EXPECT_EQ(demand.rejected(), 0u);
+  EXPECT_EQ(demand.estimate(3, 0), 3);
+}
+
+TEST(WarningLimiter, TextRepeated_LoggedAtOnceThenAtDoublingIntervals) {
   WarningLimiter limiter;
   std::vector<std::pair<double, uint64_t>> said;
   auto warn = [&](const char* words, double from, double until) {
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -38,25 +38,25 @@
   }
 };
 
-TEST(Http, CarriesABodyThereAndBack) {
+TEST(Http, BodySent_ReturnedByTheHandler) {
   Fixture f;
   auto reply = f.ask(Method::post, "/x?y=1", "hello");
   EXPECT_EQ(reply.status, 200);
   EXPECT_EQ(reply.body, "hello");
 }
 
-TEST(Http, AWrongMethodReachesTheHandler) {
+TEST(Http, MethodNotServed_ReachesTheHandler) {
   Fixture f;
   EXPECT_EQ(f.ask(Method::get, "/x", "").status, 405);
 }
 
-TEST(Http, ABodyOverTheLimitIsNotHandled) {
+TEST(Http, BodyOverTheLimit_NotHandled) {
   Fixture f;
   EXPECT_NE(f.ask(Method::post, "/x", std::string(5000, 'a')).status, 200);
 }
 
 // What is kept open is bounded by what others leave, and the least used goes first.
-TEST(Http, IdleConnectionsStayWithinTheirBound) {
+TEST(Http, IdleConnectionsOverTheBound_OldestClosed) {
   Fixture f;
   EventHttpServer other(f.loop, 1000, 16, 10,
                         [](HttpRequest) -> Task<HttpResponse> { co_return HttpResponse{}; });
@@ -77,14 +77,14 @@
   EXPECT_EQ(f.client.idle(), 1u);
 }
 
-TEST(Http, AConnectionThatIsNotToBeKeptIsClosed) {
+TEST(Http, ResponseWithClose_ConnectionClosed) {
   Fixture f;
   f.ask(Method::post, "/last", "x");
   EXPECT_EQ(f.server.open(), 0u);
 }
 
 // How old a report may be rests on it.
-TEST(Http, ARequestSaysWhenTheLastOneOnItsConnectionWasAnswered) {
+TEST(Http, ConnectionReused_RequestCarriesThePreviousAnswerTime) {
   EventLoop loop;
   std::vector<double> previous, answered;
   EventHttpServer server(loop, 1000, 16, 10, [&](HttpRequest r) -> Task<HttpResponse> {
@@ -110,14 +110,14 @@
   EXPECT_EQ(previous[2], 0) << "on a connection of its own";
 }
 
-TEST(Http, NobodyThereIsNoAnswer) {
+TEST(Http, NobodyListens_NoAnswer) {
   Fixture f;
   f.at.port = 1;
   EXPECT_FALSE(f.ask(Method::post, "/x", "hello").answered());
 }
 
 // More workers than connections: each is closed after its report, so all are answered.
-TEST(Http, AFleetLargerThanTheConnectionsSharesThem) {
+TEST(Http, MoreWorkersThanConnections_AllAnswered) {
   constexpr size_t connections = 4, workers = 24;
   EventLoop loop;
   EventHttpServer* running = nullptr;
@@ -144,7 +144,7 @@
   EXPECT_EQ(answered, workers);
 }
 
-TEST(ConnectionPolicy, KeepsWorkersWhereTheFleetHasRoom) {
+TEST(ConnectionPolicy, FleetFitsTheConnections_WorkersKept) {
   EXPECT_FALSE(closes_after_answer(Requester::worker, {600, 600, 64}));
   EXPECT_TRUE(closes_after_answer(Requester::worker, {600, 600, 4000}));
   EXPECT_FALSE(closes_after_answer(Requester::worker, {100, 600, 4000}));
@@ -153,7 +153,7 @@
 }
 
 // Longer than what may queue up: the teams of all regions in one message.
-TEST(Streams, AMessageIsTakenWhateverItsLength) {
+TEST(Streams, LongMessageOnAnIdleLink_Delivered) {
   EventLoop loop;
   constexpr size_t length = 200000;
   size_t seen = 0;
@@ -182,7 +182,7 @@
   EXPECT_EQ(seen, length);
 }
 
-TEST(OpenFiles, AreRaisedAsFarAsTheHardLimitAllows) {
+TEST(OpenFileLimit, RaisedBeyondTheHardLimit_StopsAtIt) {
   const size_t before = ensure_open_files(0);
   ASSERT_GT(before, 0u);
   EXPECT_GE(ensure_open_files(before), before);
@@ -191,7 +191,7 @@
   EXPECT_EQ(ensure_open_files(0), most);
 }
 
-TEST(Endpoints, AreIpv4InNumbers) {
+TEST(Endpoint, TextIsNotIpv4AndPort_NotParsed) {
   Endpoint e;
   EXPECT_TRUE(parse_endpoint("10.0.0.1:80", e));
   for (const char* bad : {"host:80", "10.0.0.1", "10.0.0.1:x", "10.0.0.1:70000", ":80"})
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -17,7 +17,7 @@
           {"voyage_s", 60.0}, {"moor_s", 10.0},      {"stow_s", 2.0},   {"due_s", nullptr}};
 }
 
-TEST(Job, KeepsItsFieldsThroughTheRecord) {
+TEST(Job, EncodedAndDecoded_FieldsUnchanged) {
   auto spec = decode_job(job_message());
   ASSERT_TRUE(spec);
   auto back = decode_job(encode_job(*spec));
@@ -29,7 +29,7 @@
   EXPECT_FALSE(back->deadline_s);
 }
 
-TEST(Job, MissingOrInvalidFieldsAreRefusedByName) {
+TEST(Job, FieldMissingOrInvalid_ErrorNamesIt) {
   const auto whole = job_message();
   for (auto& [field, value] : whole.items()) {
     auto m = job_message();
@@ -61,7 +61,7 @@
 }
 
 // A type that the cloud doesn't have takes no room in the record.
-TEST(Judgement, OnlyTypesOfTheCatalogueAreKept) {
+TEST(Judgement, TypesNotInTheCatalogue_Dropped) {
   MachineType g;
   g.name = "g";
   auto spec = *decode_job(job_message());
@@ -70,14 +70,14 @@
   EXPECT_EQ(spec.types, std::vector<std::string>{"g"});
 }
 
-TEST(Body, OnlyWholeMapsAreTaken) {
+TEST(Body, NotOneWholeMap_Null) {
   EXPECT_TRUE(decode_map("").is_null());
   EXPECT_TRUE(decode_map(std::string("\xff\x00", 2)).is_null());
   EXPECT_TRUE(decode_map(encode(Json::array({1}))).is_null());
   EXPECT_TRUE(decode_map(encode(job_message()).substr(0, 20)).is_null());
 }
 
-TEST(Judgement, FollowsTeamsTypesAndLimits) {
+TEST(Judgement, TeamTypesAndLimits_DecideTheVerdict) {
   Settings s;
   s.teams.push_back({"t", 0, 0, 4, 8});
   MachineType g;
@@ -101,7 +101,7 @@
   EXPECT_EQ(judge_job(other, s, {g}), Verdict::ok);
 }
 
-TEST(PeerHeartbeat, ComesBackAndBadFramesAreTold) {
+TEST(PeerHeartbeat, EncodedAndDecoded_FieldsUnchangedAndBadFramesDetected) {
   PeerHeartbeat b;
   b.controller = "n-1", b.incarnation = 1ull << 51, b.waiting = 77, b.loaded = true,
   b.fencing_token = 41;
@@ -169,7 +169,7 @@
 )" + announced;
 }
 
-TEST(Settings, ProblemsAreNamed) {
+TEST(Settings, SeveralProblems_AllNamedWithTheirLines) {
   auto r = parse_settings("node_name = \"a\"\n");
   ASSERT_FALSE(r);
   EXPECT_NE(r.error().find("location"), std::string::npos);
@@ -189,7 +189,7 @@
   EXPECT_NE(broken.error().find("line 1"), std::string::npos);
 }
 
-TEST(Settings, AnnouncedLimitsBoundWhatIsWritten) {
+TEST(Settings, LimitsAnnounced_SmallerOnesApply) {
   auto s = parse_settings(
       settings_with("[deployment.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nfuture = 1\n"));
   ASSERT_TRUE(s) << s.error();
@@ -207,7 +207,7 @@
   EXPECT_EQ(none->state_limits.always().txn_writes, 12);
 }
 
-TEST(Settings, BadAnnouncedLimitsAreNamed) {
+TEST(Settings, AnnouncedLimitsInvalid_ErrorNamesThem) {
   const auto bad = [](const std::string& announced, const std::string& field) {
     auto s = parse_settings(settings_with(announced));
     ASSERT_FALSE(s) << announced;
@@ -220,7 +220,26 @@
           std::string(".") + field);
 }
 
-TEST(Heartbeat, StatesAndCausesOfGangsAreRead) {
+TEST(Catalog, FieldMissing_ErrorNamesTheEntryAndTheField) {
+  const Json whole = {{"name", "g8"}, {"cores", 96}, {"memory_gb", 768}};
+  for (const char* field : {"name", "cores", "memory_gb"}) {
+    Json broken = whole;
+    broken.erase(field);
+    const auto types = decode_catalog({{"hulls", {whole, broken}}});
+    ASSERT_FALSE(types) << field;
+    EXPECT_EQ(types.error(),
+              "machine type catalogue: hulls[1]." + std::string(field) + " is missing or invalid");
+  }
+  EXPECT_EQ(decode_catalog(Json()).error(), "machine type catalogue: hulls is missing or no list");
+}
+
+TEST(MachineList, NameMissing_ErrorNamesTheEntryAndTheField) {
+  const auto list = decode_machine_list({{"vessels", {{{"ref", "i-1"}}, {{"status", "running"}}}}});
+  ASSERT_FALSE(list);
+  EXPECT_EQ(list.error(), "machine list: vessels[1].ref is missing or invalid");
+}
+
+TEST(Heartbeat, StatesAndCausesOfGangs_Decoded) {
   const Json task = {{"hand", "run-1/0"}, {"launch", 2}};
   Json waiting = task, peers = task, alone = task, strange = task, odd_cause = task;
   waiting["status"] = "waiting";
@@ -244,7 +263,7 @@
   EXPECT_EQ(report->tasks[4].cause, ExitCause::error);
 }
 
-TEST(Tuning, IsReadAndCheckedWithThePlaceOfTheError) {
+TEST(Tuning, EntriesInvalid_ErrorsNameTheirLines) {
   auto t = parse_tuning("; ours\n(damsonport (straggler-bar 0.7)\n (grant-s 20))");
   ASSERT_TRUE(t);
   EXPECT_EQ(t->straggler_bar, 0.7);
