--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -1,4 +1,5 @@
-// The settings file that the platform hands over, and the operators' own optional file.
+/// The settings file that the platform hands over, and the operators' own optional file. The names
+/// in the file stand in quotes behind the fields.
 #pragma once
 #include <string>
 #include <vector>
@@ -11,55 +12,72 @@
 
 namespace damsonport {
 
+/// Another controller of the region ("known").
 struct Peer {
-  std::string name;
-  std::string zone;
-  Endpoint address;
+  std::string name;  ///< "node_name"
+  std::string zone;  ///< "location"
+  Endpoint address;  ///< "endpoint": where it listens to other controllers
 };
 
+/// One team's quotas; a maximum of 0 means that the team gets none.
 struct TeamSettings {
-  std::string name;
-  double cpus = 0, cpus_max = 0, gpus = 0, gpus_max = 0;  // 0: none
-  // Of the limit, what other regions keep for their share of the guarantee.
+  std::string name;  ///< "name"
+  /// "cpus", "gpus": guaranteed CPUs and accelerators; "cpus_max", "gpus_max": the limits.
+  double cpus = 0, cpus_max = 0, gpus = 0, gpus_max = 0;
+  /// Of the limit, what other regions keep for their share of the guaranteed quota.
   double cpus_elsewhere = 0, gpus_elsewhere = 0;
 };
 
+/// What is expected of a class of jobs.
 struct Objective {
-  std::string kind;  // wait, deadline, guarantee, ...
-  std::string job_class;
-  double within_s = 0;
+  std::string kind;       ///< "kind": wait, deadline, guarantee, or one not known here
+  std::string job_class;  ///< "class"
+  double within_s = 0;    ///< "within_s", s; 0 where the file leaves it out
 };
 
+/// All settings of one controller; they don't change while it runs.
 struct Settings {
-  std::string controller_name, zone;
+  std::string controller_name, zone;  ///< "node_name", "location"
+  /// "listen": for users, workers and health checks; "mesh_addr": for the other controllers.
   Endpoint listen, peer_listen;
-  std::vector<Peer> peers;
-  Endpoint cloud, state;
-  int controller_count = 1;
-  double clock_off_s = 0;  // the time of day lies within this of the true one
-  std::vector<std::string> zones;
-  std::vector<TeamSettings> teams;
-  std::vector<Objective> objectives;
+  std::vector<Peer> peers;  ///< "known"
+  Endpoint cloud, state;    ///< "endpoints.cloud", "endpoints.state": the key-value store
+
+  // In the table "deployment".
+  int controller_count = 1;           ///< "initial_size": controllers of the region, this one too
+  double clock_off_s = 0;             ///< "clock_off_ms": bound of the error of the time of day, s
+  std::vector<std::string> zones;     ///< "zones"
+  std::vector<TeamSettings> teams;    ///< "teams"
+  std::vector<Objective> objectives;  ///< "objectives"
+  /// "workers.report_s": interval of the workers' heartbeats; "workers.lease_s": duration of a
+  /// worker's lease; "workers.cancel_s": for the tasks of a cancelled job to end. In seconds.
   double heartbeat_interval_s = 0, lease_s = 0, cancel_s = 0;
-  // How long a gang's task waits for the others, and how soon it notices that one is gone.
+  /// "workers.gang_wait_s": how long a gang's task waits for the others; "workers.gang_peer_s": how
+  /// soon it notices that one is gone. In seconds.
   double gang_wait_s = 0, gang_peer_s = 0;
-  StateLimitSettings state_limits;
+  StateLimitSettings state_limits;  ///< "state"
+  /// "cloud.rps": requests per second; "cloud.list_lag_s": of the machine list, s.
   double cloud_rps = 0, list_lag_s = 0;
-  int max_sockets = 0;
-  Tuning tuning;
-  ReplicaSettings replicas;
+  int max_sockets = 0;  ///< "resources.max_sockets"
+
+  Tuning tuning;             ///< from the operators' own file
+  ReplicaSettings replicas;  ///< from the operators' file of replicas
 
+  /// The team of this name; null where the settings don't name it.
   const TeamSettings* team(const std::string& name) const;
-  // Within how many seconds tasks of this class, or work within a guarantee, should start; 0: none
-  // is stated.
+  /// Within how many seconds tasks of this class should start; 0: not stated.
   double start_within(const std::string& job_class) const { return within("wait", job_class); }
+  /// Within how many seconds work within a guaranteed quota should start; 0: not stated.
   double guarantee_within() const { return within("guarantee", {}); }
 
  private:
   double within(const std::string& kind, const std::string& job_class) const;
 };
 
+/// The error has all problems, each with its line and field.
 Result<Settings> parse_settings(const std::string& toml_text);
+/// Reads the settings file, and the operators' file beside it: the same path with the ending .sexp,
+/// if there is one. Each problem names its file.
 Result<Settings> load_settings(const std::string& path);
 
 }  // namespace damsonport
--- a/src/transport/http.hpp
+++ b/src/transport/http.hpp
@@ -1,5 +1,5 @@
-// HTTP as the layers above see it: a server whose handlers are routines, and a client. The
-// program's are evhttp's; tests bring their own.
+/// HTTP as the layers above see it: a server whose handlers are coroutines, and a client. The
+/// program's are evhttp's (EventHttpServer, EventHttpClient); tests bring their own.
 #pragma once
 #include <functional>
 #include <string>
@@ -9,45 +9,55 @@
 
 namespace damsonport {
 
+/// An IPv4 address in numbers, and a TCP port.
 struct Endpoint {
   std::string host;
   uint16_t port = 0;
+  /// "10.0.0.1:80"
   std::string text() const { return host + ":" + std::to_string(port); }
 };
-// "10.0.0.1:80"; IPv4 in numbers only.
+
+/// Parses the form of Endpoint::text(); false for any other, a host name among them, and then `out`
+/// keeps its value.
 bool parse_endpoint(std::string_view text, Endpoint& out);
 
 enum class Method { get, post, del, other };
 
 struct HttpRequest {
   Method method = Method::other;
-  std::string path;   // without the query
-  std::string query;  // what stands behind the question mark
+  std::string path;   ///< without the query
+  std::string query;  ///< what stands behind the question mark
   std::string body;
-  // When the last request on this connection was answered, on the loop's clock: this one was sent
-  // after that answer had come, since requests are not pipelined. 0: it is the connection's first.
+  /// When the last request on this connection was answered, on the loop's clock: this one was sent
+  /// after that answer had come, since requests are not pipelined. 0: it is the connection's first.
   double previous_answer_at = 0;
 };
 
+/// A server's response.
 struct HttpResponse {
   int status = 200;
-  std::string body;
-  double retry_after_s = 0;  // 0: no header
-  bool close = false;        // the connection is not kept
+  std::string body;          ///< CBOR, or empty
+  double retry_after_s = 0;  ///< header Retry-After, rounded up to whole seconds; 0: none
+  bool close = false;        ///< the connection is closed after the response
 };
 
 class HttpServer {
  public:
+  /// Called for each request. The request may outlive the connection: then the response is dropped.
   using Handler = std::function<Task<HttpResponse>(HttpRequest)>;
   virtual ~HttpServer() = default;
+  /// Listens; false where the address can't be listened on.
   virtual bool bind(const Endpoint& at) = 0;
+  /// The port that it listens on, valid after bind().
   virtual uint16_t port() const = 0;
-  // Takes connections again when enough have gone; to be called now and then.
+  /// Accepts connections again where enough have closed; to be called now and then.
   virtual void tidy() = 0;
+  /// Open connections.
   virtual size_t open() const = 0;
 };
 
-// status 0: no answer came; whether the request was carried out is unknown.
+/// What a client's request yields. Status 0: no response arrived, and whether the request was
+/// carried out is unknown.
 struct HttpReply {
   int status = 0;
   std::string body;
@@ -57,13 +67,18 @@
 class HttpClient {
  public:
   virtual ~HttpClient() = default;
+  /// Sends a request and waits for the response, `timeout_s` seconds at the most. `target`: path
+  /// and query. Never throws for a failure of the network.
   virtual Task<HttpReply> request(Endpoint to, Method method, std::string target, std::string body,
                                   double timeout_s) = 0;
-  // Closes idle connections that were not used for `idle_s`.
+  /// Closes idle connections that were not used for `idle_s` seconds.
   virtual void trim(double idle_s) = 0;
-  // How many idle ones may stay open just now; beyond that the least recently used go.
+  /// `most` yields how many idle connections may stay open just now; beyond that the least recently
+  /// used ones are closed.
   virtual void bound_idle(std::function<size_t()> most) = 0;
+  /// Requests in progress.
   virtual size_t in_use() const = 0;
+  /// Idle connections.
   virtual size_t idle() const = 0;
 };
 
--- a/src/transport/loop.hpp
+++ b/src/transport/loop.hpp
@@ -1,5 +1,6 @@
-// Time, sleeping, wake-ups and the set of running routines. What drives them is behind an
-// interface: the program's is an event loop, and tests bring a clock of their own.
+/// Time, timers, sleeping, notifications and background tasks. The event loop that drives them is
+/// behind an interface: the program's is libevent's (EventLoop), and simulations bring a virtual
+/// clock.
 #pragma once
 #include <coroutine>
 #include <cstdint>
@@ -13,40 +14,49 @@
 
 namespace damsonport {
 
-// Fires once, some time after it was armed; arming it anew forgets the earlier time.
+/// Fires once, some time after it was armed; arming it again replaces the earlier time.
 class Timer {
  public:
   using Fire = void (*)(void*);
   virtual ~Timer() = default;
-  // 0: on the loop's next turn, never from inside this call.
+  /// After 0 seconds it fires on the loop's next iteration, never from inside this call.
   virtual void arm(double seconds) = 0;
   virtual void disarm() = 0;
 };
 
+/// The event loop: clock, timers, random numbers and background tasks of one controller.
+///
+/// A background task is a coroutine that nobody awaits, started by spawn(). Coroutines run on the
+/// loop's thread only, one at a time, and give way to others only where they `co_await`.
 class Loop {
  public:
+  /// `seed`: of the random numbers; the same seed yields the same run of a simulation.
   explicit Loop(std::seed_seq& seed) : random_(seed) {}
   virtual ~Loop() = default;
   Loop(const Loop&) = delete;
   Loop& operator=(const Loop&) = delete;
 
-  // Seconds of the steady clock.
+  /// Seconds of the steady clock; its zero has no meaning.
   virtual double now() const = 0;
-  // Seconds since the epoch, only for what users see as times of day.
+  /// Seconds since 1970, only for what users see as times of day.
   virtual double wall() const = 0;
+  /// `fire` is called with `argument`; it may destroy the timer.
   virtual std::unique_ptr<Timer> timer(Timer::Fire fire, void* argument) = 0;
+  /// Evenly distributed between `lo` and `hi`.
   double uniform(double lo, double hi);
   uint64_t random64() { return random_(); }
 
-  // Asks every routine to end.
+  /// Asks every background task to end, by the stop token.
   void stop();
   std::stop_token stop_token() const { return stop_.get_token(); }
-  // Starts a routine that nobody waits for; an exception in it is logged under `name`.
+  /// Starts a background task, which runs up to its first suspension at once. An exception that
+  /// leaves it ends it, and is logged under `name`.
   void spawn(std::string name, Task<void> task);
 
  protected:
+  /// Background tasks that have not ended.
   int running() const { return running_; }
-  // Told to stop, and the last routine has ended.
+  /// Called when stop() was called and the last background task has ended.
   virtual void ended() = 0;
 
  private:
@@ -57,7 +67,8 @@
   int running_ = 0;
 };
 
-// Resumes after `seconds`, or at once when the token is stopped. Yields false when stopped.
+/// Awaitable: resumes after `seconds`, or soon after the token is stopped. Yields false when
+/// stopped. Must be awaited where it is created, and stays in place until it resumes.
 class Sleep {
  public:
   Sleep(Loop& loop, double seconds, std::stop_token stop_token)
@@ -75,12 +86,17 @@
   std::unique_ptr<std::stop_callback<std::function<void()>>> on_stop_;
 };
 
-// A wake-up that is remembered until the (single) waiter takes it.
+/// Wakes one waiting coroutine. It remembers one wake-up: notify() without a waiter makes the next
+/// wait() return at once, and several count as one. At most one coroutine may wait at a time.
 class Notification {
  public:
   explicit Notification(Loop& loop) : loop_(loop) {}
+
+  /// The waiter resumes on the loop's next iteration, never from inside this call.
   void notify();
-  // Waits for notify(), for `seconds`, or for the token.
+
+  /// Awaitable: resumes after notify(), after `seconds`, or soon after the token is stopped. Takes
+  /// the remembered wake-up. Yields false when stopped.
   struct Waiter {
     Notification& notification;
     double seconds;
--- a/src/transport/task.hpp
+++ b/src/transport/task.hpp
@@ -1,4 +1,5 @@
-// Lazy coroutine type and detached start. One event loop, one thread: no locking anywhere.
+/// Task<T>, the coroutine type of the project. Everything runs on the one thread of the event loop,
+/// so there is no locking anywhere.
 #pragma once
 #include <coroutine>
 #include <exception>
@@ -11,6 +12,8 @@
 class Task;
 
 namespace detail {
+
+/// Resumes the coroutine that awaits the finished one.
 struct FinalAwaiter {
   bool await_ready() const noexcept { return false; }
   template <class Promise>
@@ -50,6 +53,11 @@
 };
 }  // namespace detail
 
+/// A coroutine that starts when it is awaited, and yields a T or throws what it threw.
+///
+/// The Task owns the coroutine's frame: destroying the Task destroys the frame with all its locals.
+/// It may be awaited once. Parameters of a coroutine should be values, since references may not
+/// outlive its suspensions. To run one that nobody awaits, see Loop::spawn().
 template <class T>
 class [[nodiscard]] Task {
  public:
--- a/src/transport/warning_limiter.hpp
+++ b/src/transport/warning_limiter.hpp
@@ -1,4 +1,4 @@
-// Keeps a warning that comes again and again from filling the log. Time is passed in.
+/// Keeps a repeated warning from filling the log. Pure: the time is passed in.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -6,19 +6,21 @@
 
 namespace damsonport {
 
+/// Limits one kind of warning.
 class WarningLimiter {
  public:
-  // How often the warning has come since it was last logged, this time included, when it is to be
-  // logged now: at once when its words change, and then at intervals that double up to a bound.
+  /// Counts a warning at `now`, in seconds. Where it is to be logged now, yields how often it has
+  /// occurred since it was last logged, this time included. It is logged at once when its text
+  /// changes, and then at intervals that double up to a bound.
   std::optional<uint64_t> note(const std::string& words, double now);
-  // What was warned of is over: the next warning is logged at once.
+  /// The cause is over: the next warning is logged at once.
   void clear() { words_.clear(); }
 
  private:
   static constexpr double first_interval_s = 5, longest_interval_s = 320;
   std::string words_;
   double interval_s_ = 0, next_ = 0;
-  uint64_t count_ = 0;
+  uint64_t count_ = 0;  // since it was last logged
 };
 
 }  // namespace damsonport
