--- a/src/transport/loop.cpp
+++ b/src/transport/loop.cpp
@@ -13,6 +13,7 @@
   if (running_ == 0) ended();
 }
 
+// The return type of drive(): a coroutine that starts at once and destroys its own frame.
 struct Loop::Detached {
   struct promise_type {
     Detached get_return_object() const noexcept { return {}; }
@@ -28,7 +29,7 @@
   try {
     co_await task;
   } catch (const std::exception& e) {
-    spdlog::error("routine {} ended: {}", name, e.what());
+    spdlog::error("background task {} ended: {}", name, e.what());
   }
   --loop->running_;
   if (loop->running_ == 0 && loop->stop_.stop_requested()) loop->ended();
@@ -51,8 +52,8 @@
   if (!timer_)
     timer_ = loop_.timer(
         [](void* self) {
-          auto* s = static_cast<Notification*>(self);
-          if (s->waiter_) std::exchange(s->waiter_, {}).resume();
+          auto* notification = static_cast<Notification*>(self);
+          if (notification->waiter_) std::exchange(notification->waiter_, {}).resume();
         },
         this);
   timer_->arm(seconds);
@@ -72,7 +73,7 @@
   notification.waiter_ = h;
   notification.arm(seconds);
   notification.on_stop_ = std::make_unique<std::stop_callback<std::function<void()>>>(
-      stop_token, [s = &notification] { s->arm(0); });
+      stop_token, [waited_for = &notification] { waited_for->arm(0); });
 }
 
 bool Notification::Waiter::await_resume() {
