--- a/src/coordination/autoscaling/autoscaler_driver.cpp
+++ b/src/coordination/autoscaling/autoscaler_driver.cpp
@@ -209,9 +209,9 @@
 void AutoscalerDriver::add_replacements(autoscaling::AutoscalerInput& input) {
   for (auto& [id, machine] : deps_.machines) {
     const bool wanted =
-        machine.replacing_since > 0 && !machine.draining && !machine.replacement_asked;
+        machine.straggler_since > 0 && !machine.draining && !machine.replacement_requested;
     if (!wanted || scale_out_requests_.under_way(kind_of(machine))) continue;
-    machine.replacement_asked = true;
+    machine.replacement_requested = true;
     input.replacements.push_back({machine.type, machine.zone, machine.spot, false});
   }
   std::erase_if(lost_capacity_, [&](auto& kind) {
--- a/src/coordination/machines/dead_machine_timeout.hpp
+++ b/src/coordination/machines/dead_machine_timeout.hpp
@@ -1,20 +1,26 @@
-// How long a silent machine is waited for. Pure.
+/// How long a machine without heartbeats is waited for before it is declared dead. Pure: the time
+/// is passed in.
 #pragma once
 #include <cstddef>
 #include <limits>
 
 namespace damsonport {
 
-// With a large share of the fleet silent at once the fault is rather in between, and in such a mass
-// silence nothing is given up for three leases. When it ends the machines come back one by one over
-// the time of a few reports: those that are not back yet when the share falls under the bar are not
-// to be given up all at once, so the patience outlasts the mass silence.
+/// Where a large share of the fleet is silent at once, the fault is rather in the network than in
+/// the machines, and no machine is declared dead for three leases. When such an outage ends, the
+/// machines are heard again one by one, over a few heartbeat intervals. Those that are still silent
+/// when the share falls below the threshold must not be declared dead all at once; so the long
+/// timeout holds for some time after the outage.
 class DeadMachineTimeout {
  public:
-  // Seconds of silence after which a machine is given up; `dead_after_s`: where no mass silence is.
-  double limit(double now, size_t known, size_t silent, double dead_after_s, double lease_s);
+  /// Seconds without a heartbeat after which a machine is declared dead. `known`: machines of the
+  /// fleet; `silent`: the suspected ones among them; `dead_after_s`: the timeout outside of an
+  /// outage.
+  [[nodiscard]] double limit(double now, size_t known, size_t silent, double dead_after_s,
+                             double lease_s);
 
  private:
+  // When so large a share was last silent.
   double mass_seen_at_ = -std::numeric_limits<double>::infinity();
 };
 
--- a/src/coordination/machines/failure_detector.cpp
+++ b/src/coordination/machines/failure_detector.cpp
@@ -61,8 +61,8 @@
     if (machine.agent_epoch == 0) continue;
     auto& zone = zones[machine.zone];
     ++zone.machines;
-    zone.last_heartbeat_at =
-        std::max({zone.last_heartbeat_at, machine.last_heartbeat_at, machine.last_direct});
+    zone.last_heartbeat_at = std::max(
+        {zone.last_heartbeat_at, machine.last_heartbeat_at, machine.last_direct_response_at});
   }
   std::set<std::string> unreachable;
   for (auto& [name, zone] : zones) {
@@ -101,7 +101,8 @@
   for (auto& [id, machine] : machines) {
     if (facts.is_leaving(id) || !is_suspected(machine, now)) continue;
     const double silent_s = since_last_heartbeat_s(machine, now);
-    const double since_direct_answer_s = now - std::max(machine.last_direct, liveness_base_);
+    const double since_direct_answer_s =
+        now - std::max(machine.last_direct_response_at, liveness_base_);
     double limit_s = timeout;
     if (machine.agent_epoch == 0) limit_s += first_heartbeat_grace_s(id, facts);
     const bool is_dead = silent_s > limit_s && since_direct_answer_s > dead_after_s();
--- a/src/coordination/machines/fault_attribution.hpp
+++ b/src/coordination/machines/fault_attribution.hpp
@@ -1,4 +1,4 @@
-// Whether tasks fail because of their machine or because of their job. Pure.
+/// Attributes failures of tasks to their machine or to their job. Pure: the time is passed in.
 #pragma once
 #include <map>
 #include <set>
@@ -6,29 +6,32 @@
 
 namespace damsonport {
 
-// Evidence is weighed both ways: a machine is at fault on which different jobs fail that work
-// elsewhere, or that have failed nowhere else yet; a job is at fault that has failed on several
-// machines and worked on none. What is learned of a job later changes what its failures say of the
-// machines, so every verdict is worked out when it is asked for.
+/// A machine is faulty if several jobs failed on it that work elsewhere, or that have failed
+/// nowhere else yet. A job is faulty if it failed on several machines and worked on none. What is
+/// learned of a job later changes what its failures say of machines; so every verdict is worked out
+/// when it is asked for, and may be withdrawn.
+///
+/// Owned by the shard leader, for the time of one lease.
 class FaultAttribution {
  public:
+  /// A task of the job ended in error on the machine.
   void failed(const std::string& job, const std::string& machine, double now);
-  // A task of the job, running since `started`, was done there or ran for longer than a failing one
-  // does. It speaks for the machine only if it began after the failures there.
+  /// A task of the job, running since `started`, succeeded on the machine or ran for longer than a
+  /// failing one does. It clears the machine only if it began after the last failure there.
   void worked(const std::string& job, const std::string& machine, double started);
-  // Known from the records of an earlier holder: started often, and nothing came of it.
+  /// The records of an earlier shard leader show many attempts and no success of this job.
   void suspect(const std::string& job);
 
-  bool is_job_faulty(const std::string& job) const;
-  bool is_machine_faulty(const std::string& machine) const;
+  [[nodiscard]] bool is_job_faulty(const std::string& job) const;
+  [[nodiscard]] bool is_machine_faulty(const std::string& machine) const;
 
-  // Something has failed that is still remembered.
-  bool any() const { return !jobs_.empty() || !machines_.empty(); }
+  /// Whether any failure is remembered.
+  [[nodiscard]] bool any() const { return !jobs_.empty() || !machines_.empty(); }
 
-  // The job is over. What it says of machines stays where it worked elsewhere: it can't be at fault
-  // any more.
+  /// The job has ended. Its failures still count against machines if it worked elsewhere, since the
+  /// job can't turn out to be faulty any more.
   void forget_job(const std::string& job);
-  // Blame of jobs that are over and have not been followed by another failure since `before` goes.
+  /// Forgets the failures of ended jobs on machines on which nothing has failed since `before`.
   void forget_failures_before(double before);
   void forget_machine(const std::string& machine);
   void clear();
@@ -40,10 +43,10 @@
   };
   bool attributes_to_machine(const std::string& job) const;
   std::map<std::string, JobRecord> jobs_;
-  // Since something last worked there.
+  // Failures since a task last succeeded there.
   struct MachineRecord {
     std::set<std::string> failed_jobs;
-    // Of jobs that are over and had worked elsewhere; counted no further than a verdict needs.
+    // Ended jobs that failed here and worked elsewhere; counted no further than a verdict needs.
     size_t ended_jobs = 0;
     double last_failure = 0;
     bool empty() const { return failed_jobs.empty() && ended_jobs == 0; }
--- a/src/coordination/machines/heartbeat_deduplicator.hpp
+++ b/src/coordination/machines/heartbeat_deduplicator.hpp
@@ -1,5 +1,5 @@
-// Recognizes a worker's report that says what its last one said. Most reports do, and one that is
-// recognized need not be decoded and compared with the records again.
+/// Recognises heartbeats of workers that repeat the previous one. Most do, and a recognised one
+/// need not be decoded and reconciled with the records again.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -8,25 +8,30 @@
 
 namespace damsonport {
 
+/// Invariant: what is remembered of a machine is a heartbeat after which nothing was to be done for
+/// it; forget() must be called whenever the desired state of the machine changes. Compares bytes
+/// only.
 class HeartbeatDeduplicator {
  public:
-  // The last report of this machine that left nothing to do, as it came. It is not remembered where
-  // its sequence number isn't found in it.
+  /// Remembers the encoded heartbeat in place of the machine's previous one; nothing is remembered
+  /// if this sequence number isn't found in it.
   void remember(const std::string& machine, const std::string& body, uint64_t sequence);
-  // What is expected of the machine has changed, or another message of it was taken.
+  /// The desired state of the machine has changed, or another message of it was processed.
   void forget(const std::string& machine);
   void clear();
 
+  /// A recognised heartbeat. `machine` is valid until the next remember(), forget() or clear().
   struct Repeat {
     const std::string& machine;
     uint64_t sequence;
   };
-  // A report equal to a remembered one in every byte but those of its sequence number.
-  std::optional<Repeat> find(const std::string& body) const;
-  size_t size() const { return machine_of_.size(); }
+  /// The remembered heartbeat that equals this one in all bytes but those of the sequence number.
+  [[nodiscard]] std::optional<Repeat> find(const std::string& body) const;
+  /// Machines of which a heartbeat is remembered.
+  [[nodiscard]] size_t size() const { return machine_of_.size(); }
 
  private:
-  // By the report with its sequence number masked.
+  // By the heartbeat with its sequence number masked.
   std::unordered_map<std::string, std::string> machine_of_;
   std::unordered_map<std::string, const std::string*> report_of_;  // by machine: the key above
 };
--- a/src/coordination/machines/machine.cpp
+++ b/src/coordination/machines/machine.cpp
@@ -22,10 +22,10 @@
   if (!r.newer_than(m.agent_epoch, m.sequence)) return false;
   if (r.agent_epoch != m.agent_epoch) {
     // Everything of the older session is gone and none of its orders can arrive any more.
-    if (m.agent_epoch != 0) ++m.lost_epochs;
+    if (m.agent_epoch != 0) ++m.agent_restarts;
     m.in_flight.clear();
     m.in_limbo.clear();
-    m.in_answer.clear();
+    m.starts_in_response.clear();
     m.outbox.clear();
   }
   m.agent_epoch = r.agent_epoch;
@@ -35,13 +35,13 @@
   m.type = r.type;
   m.zone = r.zone;
   m.spot = r.spot;
-  (direct ? m.last_direct : m.last_heartbeat_at) = now;
-  m.state_as_of = std::max(m.state_as_of, as_of);
+  (direct ? m.last_direct_response_at : m.last_heartbeat_at) = now;
+  m.tasks_as_of = std::max(m.tasks_as_of, as_of);
   if (m.first_heartbeat_at == 0) m.first_heartbeat_at = now;
   if (r.notice_s) {
-    m.notice_at = now + *r.notice_s;
+    m.preempted_at = now + *r.notice_s;
   } else {
-    m.notice_at.reset();
+    m.preempted_at.reset();
   }
   m.tasks.clear();
   for (auto& t : r.tasks) {
--- a/src/coordination/machines/machine_list_reader.hpp
+++ b/src/coordination/machines/machine_list_reader.hpp
@@ -1,4 +1,4 @@
-// The cloud's machine list, read page by page at a share of the cloud's rate.
+/// Reads the cloud's list of machines, page by page, at a share of the cloud's call rate.
 #pragma once
 #include <functional>
 #include <stop_token>
@@ -10,6 +10,7 @@
 
 namespace damsonport {
 
+/// Has no state of its own between calls; several coroutines may read at once.
 class MachineListReader {
  public:
   using Take = std::function<void(const ListedMachine&)>;
@@ -18,12 +19,12 @@
   MachineListReader(Loop& loop, const Settings& settings, HttpClient& http)
       : loop_(loop), settings_(settings), http_(http) {}
 
-  // Reads the whole list once and hands over every machine in it. A page that is refused or not
-  // answered is asked for again, so a list of any length is read to its end. `keep_going` is asked
-  // after each wait. Yields false when the reading was given up.
-  Task<bool> read(Take take, KeepGoing keep_going, std::stop_token stop_token);
+  /// Reads the whole list once and calls `take` with every machine in it. A page that is refused or
+  /// not answered is asked for again, so a list of any length is read to its end. Ends early, with
+  /// false, when a stop is requested or `keep_going`, called after each wait, returns false.
+  [[nodiscard]] Task<bool> read(Take take, KeepGoing keep_going, std::stop_token stop_token);
 
-  // Seconds between two pages, for which other calls to the cloud have the rest of its rate.
+  /// Seconds between two pages. The rest of the cloud's call rate is left to other calls.
   static double page_gap_s(const Settings& settings);
 
  private:
--- a/src/coordination/machines/orphan_cleanup.hpp
+++ b/src/coordination/machines/orphan_cleanup.hpp
@@ -1,5 +1,5 @@
-// Cleanup of orphaned tasks: where no holder can be told of a cancellation, whoever knows of it
-// asks the machines itself.
+/// Cleanup of orphaned tasks: where no shard leader can be told of a cancellation, every controller
+/// that knows of it stops the job's tasks on the machines itself.
 #pragma once
 #include <string>
 #include <utility>
@@ -12,19 +12,22 @@
 
 namespace damsonport {
 
+/// Run by the maintenance coroutine of a controller that does not lead the shard.
 class OrphanCleanup {
  public:
-  // `most_sockets`: messages to workers that may be under way at once.
+  /// `most_sockets`: the most requests to workers at once.
   OrphanCleanup(Loop& loop, const Settings& settings, RecordCache& cache, HttpClient& http,
                 PeerNetwork& peer_network, const CancellationGossip& cancellations,
                 const StoreContact& contact, MachineListReader& machine_list, int most_sockets);
 
-  // Asks each machine that may run a cancelled task, stops what is there under the holder's term,
-  // and returns the machine if it doesn't answer. Nothing is committed and nothing proven by it.
-  // Does nothing as long as a holder can be reached.
+  /// Asks each machine that may run a cancelled task, stops such tasks under the fencing token of
+  /// the shard leader in the records, and returns the machine to the cloud if it doesn't answer.
+  /// Nothing is committed, and no exit is proven by it. Does nothing while a shard leader can be
+  /// reached, and at most once in a heartbeat interval.
   Task<void> run_once(std::stop_token stop_token);
 
  private:
+  // A machine that may run cancelled tasks.
   struct OrphanHost {
     std::string id, address;
     std::vector<std::pair<TaskId, uint64_t>> tasks;
--- a/src/coordination/machines/reconcile.cpp
+++ b/src/coordination/machines/reconcile.cpp
@@ -20,7 +20,7 @@
     if (t.state == TaskState::exited) {
       if (ours) {
         out.exits.push_back({name, t.attempt, t.cause, t.saved});
-      } else if (!m.start_outstanding({name, t.attempt})) {
+      } else if (!m.has_outstanding_start({name, t.attempt})) {
         // Once forgotten, a late copy of the start order would run the attempt again, so this
         // waits until no such copy can be under way.
         out.commands.push_back({Command::Op::remove, name, t.attempt, 0});
@@ -43,7 +43,7 @@
     const AttemptKey key{e.task, e.attempt};
     if (m.in_flight.contains(key)) continue;
     if (e.cancelled || e.stop) {
-      if (m.start_outstanding(key)) {
+      if (m.has_outstanding_start(key)) {
         // The start may still arrive, and a stop before it would have no effect. Starting and
         // stopping in one message makes the attempt known as exited; a late copy is then ignored.
         out.commands.push_back({Command::Op::start, e.task, e.attempt, 0});
--- a/src/coordination/machines/reconcile.hpp
+++ b/src/coordination/machines/reconcile.hpp
@@ -1,4 +1,5 @@
-// Compares one machine's report with the records: what to order, and which exits are proven.
+/// Compares the tasks that a machine reports with those that the records place on it: which
+/// commands to send, and which exits are proven. Pure.
 #pragma once
 #include <functional>
 #include <vector>
@@ -7,32 +8,35 @@
 
 namespace damsonport {
 
-// What the records say of a task, as far as one machine is concerned.
+/// A task that the records place on the machine.
 struct DesiredTask {
   TaskId task;
   uint64_t attempt = 0;
-  bool cancelled = false;      // its job is cancelled
-  std::optional<double> stop;  // to be stopped, with this grace
+  bool cancelled = false;      ///< its job is cancelled
+  std::optional<double> stop;  ///< to be stopped, with this grace in seconds
 };
 
+/// An attempt that certainly has ended, or never will start, on the machine.
 struct ProvenExit {
   TaskId task;
   uint64_t attempt = 0;
   ExitCause cause = ExitCause::none;
-  bool saved = false;
+  bool saved = false;  ///< a checkpoint was written at the end
 };
 
 struct ReconcileResult {
   std::vector<Command> commands;
-  std::vector<ProvenExit> exits;  // proven; to be committed
-  // The machine has what the records place on it and nothing else, and none of it is to be stopped.
+  std::vector<ProvenExit> exits;  ///< to be committed
+  /// The machine runs what the records place on it and nothing else, and none of it is to be
+  /// stopped.
   bool agrees = false;
 };
 
-// `expected`: what the records place on this machine. `settled`: whether the records are known to
-// be past an exited attempt, so that it may be forgotten. `own_fencing_token`: only messages made
-// after the machine learned it prove anything.
-ReconcileResult reconcile(const Machine& m, const std::vector<DesiredTask>& expected,
-                          uint64_t own_fencing_token, bool records_current);
+/// `expected`: the tasks that the records place on this machine. `own_fencing_token`: that of the
+/// present lease; until the machine has learned it, commands of an earlier shard leader may still
+/// reach it. `records_current`: the records include every write of earlier shard leaders. The
+/// result is empty unless both hold, since nothing is proven before.
+[[nodiscard]] ReconcileResult reconcile(const Machine& m, const std::vector<DesiredTask>& expected,
+                                        uint64_t own_fencing_token, bool records_current);
 
 }  // namespace damsonport
--- a/src/coordination/machines/straggler.hpp
+++ b/src/coordination/machines/straggler.hpp
@@ -1,5 +1,5 @@
-// Stragglers after Algorithm 1 of "Resource Elasticity in Distributed Deep Learning" (section 5):
-// a machine stands for the paper's worker, a successful finish for its step.
+/// Detection of stragglers after Algorithm 1 of "Resource Elasticity in Distributed Deep Learning"
+/// (section 5): a machine stands for the paper's worker, a successful task for its step. Pure.
 #pragma once
 #include <vector>
 
@@ -8,17 +8,19 @@
 
 namespace damsonport {
 
-// Run times of one job's successes, as one controller saw them.
+/// Run times of the successful tasks of one job, as one controller saw them.
 class RunTimes {
  public:
-  // Takes a run time; yields the fraction median / run time once there are enough successes.
+  /// Adds a run time in seconds. Yields the fraction median / run time, or nothing before there are
+  /// `min_successes` run times.
   std::optional<double> add(double run_s, int min_successes);
 
  private:
   std::vector<double> sorted_;
 };
 
-// Folds a fraction in; true when this update made the machine a straggler.
-bool fold(StragglerAverage& s, double fraction, const Tuning& tuning);
+/// Updates the machine's moving average with a fraction from RunTimes::add(). True if this update
+/// made the machine a straggler.
+[[nodiscard]] bool fold(StragglerAverage& s, double fraction, const Tuning& tuning);
 
 }  // namespace damsonport
--- a/src/coordination/replicas/replica_manager.cpp
+++ b/src/coordination/replicas/replica_manager.cpp
@@ -53,7 +53,7 @@
       auto reported = machine->tasks.find(task.name);
       part.running = reported != machine->tasks.end() && reported->second.attempt == task.attempt &&
                      reported->second.state == TaskState::running;
-      part.as_of = machine->state_as_of;
+      part.as_of = machine->tasks_as_of;
     }
     parts.push_back(part);
   }
@@ -170,7 +170,7 @@
   const auto parts = job.live_tasks(replica);
   return std::any_of(parts.begin(), parts.end(), [&](const PlacedTask& part) {
     const Machine* machine = facts_.find_machine(part.machine);
-    return machine && (machine->draining || machine->notice_at);
+    return machine && (machine->draining || machine->preempted_at);
   });
 }
 
@@ -202,7 +202,7 @@
     if (!job || job->cancelled) continue;
     for (auto& part : job->live_tasks(gang_range(job->spec, key.second))) {
       const Machine* machine = facts_.find_machine(part.machine);
-      if (machine && machine->agent_epoch != 0 && machine->state_as_of < before)
+      if (machine && machine->agent_epoch != 0 && machine->tasks_as_of < before)
         out.insert(part.machine);
     }
   }
--- a/src/coordination/shard_leader/shard_leader.cpp
+++ b/src/coordination/shard_leader/shard_leader.cpp
@@ -304,10 +304,10 @@
   if (auto no = refusal(m.id, m.fencing_token)) return no;
   const double now = loop_.now();
   m.sequence = repeat->sequence;
-  m.last_heartbeat_at = m.repeated_at = now;
-  m.state_as_of = std::max(m.state_as_of, request.previous_answer_at);
+  m.last_heartbeat_at = m.last_repeat_at = now;
+  m.tasks_as_of = std::max(m.tasks_as_of, request.previous_answer_at);
   if (!m.tasks.empty()) m.idle_since = now;
-  m.in_answer.clear();
+  m.starts_in_response.clear();
   return HttpResponse{200, encode_heartbeat_response(fencing_token_, {}), 0};
 }
 
@@ -320,12 +320,12 @@
   Machine& m = machine(r.machine);
   if (r.newer_than(m.agent_epoch, m.sequence)) {
     // One report is in flight at a time, so the answer to the one before was taken or dropped.
-    m.in_answer.clear();
+    m.starts_in_response.clear();
     if (process_heartbeat(m, r, false, request.previous_answer_at, commands))
       deduplicator_.remember(m.id, request.body, r.sequence);
     std::erase_if(commands, [&](const Command& c) { return !still_wanted(m, c); });
     for (auto& c : commands)
-      if (c.op == Command::Op::start) m.in_answer.insert({c.task, c.attempt});
+      if (c.op == Command::Op::start) m.starts_in_response.insert({c.task, c.attempt});
   }
   return {200, encode_heartbeat_response(fencing_token_, commands), 0};
 }
--- a/src/coordination/shard_leader/shard_leader_cancelled.cpp
+++ b/src/coordination/shard_leader/shard_leader_cancelled.cpp
@@ -41,10 +41,10 @@
   auto it = machines_.find(id);
   if (it == machines_.end() || it->second.agent_epoch == 0) return false;
   auto& m = it->second;
-  if (loop_.now() - std::max(m.last_heartbeat_at, m.last_direct) >
+  if (loop_.now() - std::max(m.last_heartbeat_at, m.last_direct_response_at) >
       failure_detector_.suspect_after_s())
     return false;
-  if (m.start_outstanding({task, attempt})) return false;
+  if (m.has_outstanding_start({task, attempt})) return false;
   auto t = m.tasks.find(task);
   return t == m.tasks.end() || t->second.state == TaskState::exited;
 }
--- a/src/coordination/shard_leader/shard_leader_cloud.cpp
+++ b/src/coordination/shard_leader/shard_leader_cloud.cpp
@@ -54,7 +54,7 @@
 // Takes no new tasks and is returned when empty; a replacement comes through the spare room.
 void ShardLeader::drain(Machine& m, const std::string& why) {
   if (m.draining) return;
-  m.drain_why = why;
+  m.drain_reason = why;
   m.draining = true;
   mark_changed(m.id);
   scheduling_requested_ = true;
@@ -84,12 +84,12 @@
                       [&](auto& failed) { return now - failed.second > 2 * settings_.lease_s; }))
       mark_changed(id);
     if (scale_in_.is_leaving(id)) continue;
-    if (m.notice_at) {
+    if (m.preempted_at) {
       // What can save is stopped in time to do it.
       for (auto& [a, attempt] : cache_.assigned(id)) {
         auto& s = a.job->spec;
         TaskId name{s.id, a.index};
-        double left = *m.notice_at - now;
+        double left = *m.preempted_at - now;
         double grace = stop_grace(s);
         if (stopping_.contains(name)) continue;
         bool saves = s.checkpoint_s > 0;
@@ -104,12 +104,12 @@
       }
     }
     // The jobs that failed here are tried elsewhere first, which may take the blame back.
-    const bool in_dispute = m.failing_since > 0 && now - m.failing_since < settings_.lease_s;
+    const bool in_dispute = m.faulty_since > 0 && now - m.faulty_since < settings_.lease_s;
     const bool empty = cache_.assigned(id).empty() && m.tasks.empty() && m.agent_epoch != 0;
     if (m.draining && empty && !in_dispute)
-      scale_in_.request(id, "empty and drained (" + m.drain_why + ")");
+      scale_in_.request(id, "empty and drained (" + m.drain_reason + ")");
     // Its answers don't reach it: sessions end though we answer every report.
-    if (m.failed_sends >= 3 && m.lost_epochs >= 1) scale_in_.request(id, "it can't be answered");
+    if (m.failed_sends >= 3 && m.agent_restarts >= 1) scale_in_.request(id, "it can't be answered");
   }
 }
 
@@ -120,26 +120,26 @@
   std::vector<Machine*> waiting, newcomers;
   double first_flagged = std::numeric_limits<double>::infinity();
   for (auto& [id, m] : machines_) {
-    if (m.replacing_since == 0 || m.draining) continue;
+    if (m.straggler_since == 0 || m.draining) continue;
     waiting.push_back(&m);
-    first_flagged = std::min(first_flagged, m.replacing_since);
+    first_flagged = std::min(first_flagged, m.straggler_since);
   }
   if (waiting.empty()) return;
   for (auto& [id, m] : machines_)
-    if (!m.replaces && m.first_heartbeat_at > first_flagged) newcomers.push_back(&m);
+    if (!m.is_replacement && m.first_heartbeat_at > first_flagged) newcomers.push_back(&m);
   for (Machine* straggler : waiting) {
     Machine& m = *straggler;
     auto* type = deps_.catalog.type(m.type);
     for (Machine* other : newcomers) {
-      if (other->replaces || other->type != m.type ||
-          other->first_heartbeat_at <= m.replacing_since)
+      if (other->is_replacement || other->type != m.type ||
+          other->first_heartbeat_at <= m.straggler_since)
         continue;
-      other->replaces = true;
+      other->is_replacement = true;
       drain(m, "straggler, replaced by " + other->id);
       break;
     }
     if (!m.draining && (autoscaler_.is_refused({m.type, m.zone, m.spot}) ||
-                        now - m.replacing_since > BootingMachines::late_after_s(type)))
+                        now - m.straggler_since > BootingMachines::late_after_s(type)))
       drain(m, "straggler, no replacement to be had");
   }
 }
--- a/src/coordination/shard_leader/shard_leader_machines.cpp
+++ b/src/coordination/shard_leader/shard_leader_machines.cpp
@@ -27,7 +27,7 @@
 }
 
 bool ShardLeader::is_schedulable(const Machine& m) const {
-  return m.agent_epoch != 0 && !m.draining && !m.notice_at && !scale_in_.is_leaving(m.id) &&
+  return m.agent_epoch != 0 && !m.draining && !m.preempted_at && !scale_in_.is_leaving(m.id) &&
          !scale_in_.tracker().is_returned(m.id) && m.failed_sends < 2 &&
          !failure_detector_.is_suspected(m, loop_.now());
 }
@@ -65,7 +65,7 @@
                                     std::vector<Command>& commands) {
   const auto epoch_before = m.agent_epoch;
   // What ran until the last repetition of the report before this one used its images until then.
-  const double repeated_at = std::exchange(m.repeated_at, 0);
+  const double repeated_at = std::exchange(m.last_repeat_at, 0);
   if (repeated_at > 0) note_images(m, repeated_at);
   if (!apply_heartbeat(m, r, loop_.now(), direct, as_of)) return false;
   mark_changed(m.id);
@@ -164,7 +164,7 @@
     const TaskId name{job.spec.id, assignment.index};
     auto reported = m.tasks.find(name);
     const bool there = reported != m.tasks.end() && reported->second.attempt == attempt;
-    if (there || m.start_outstanding({name, attempt}) || exits_.contains(name)) continue;
+    if (there || m.has_outstanding_start({name, attempt}) || exits_.contains(name)) continue;
     const TaskRange replica = gang_with(job.spec, assignment.index);
     gangs_.note_absent(job, replica, attempt);
     concerned.emplace_back(&job, replica);
@@ -205,7 +205,7 @@
   // The worker can drop it from its reports now; a later report repeats this if it is lost.
   if (auto t = m.tasks.find(task); t != m.tasks.end() && t->second.attempt == exit.attempt &&
                                    t->second.state == TaskState::exited &&
-                                   !m.start_outstanding({task, exit.attempt}))
+                                   !m.has_outstanding_start({task, exit.attempt}))
     dispatch(m, {Command::Op::remove, task, exit.attempt, 0});
   auto& hints = hints_[task.job];
   switch (exit.cause) {
@@ -219,7 +219,7 @@
       if (fraction && fold(m.straggler, *fraction, tuning_)) {
         spdlog::warn("{} is a straggler: its average is {:.2f} of its jobs' medians", m.id,
                      m.straggler.average);
-        m.replacing_since = now;
+        m.straggler_since = now;
       }
       break;
     }
@@ -263,14 +263,14 @@
   faults_.forget_failures_before(loop_.now() - settings_.lease_s * remembered_leases);
   size_t drained = 0;
   for (auto& [id, m] : machines_) {
-    if (m.failing_since > 0 && !scale_in_.tracker().is_requested(id) &&
+    if (m.faulty_since > 0 && !scale_in_.tracker().is_requested(id) &&
         !faults_.is_machine_faulty(id)) {
       spdlog::info("{} takes tasks again: the jobs that failed on it are at fault", id);
       m.draining = false;
-      m.failing_since = 0;
+      m.faulty_since = 0;
       mark_changed(id);
     }
-    drained += m.failing_since > 0;
+    drained += m.faulty_since > 0;
   }
   const auto most = static_cast<size_t>(
       std::max(1.0, most_drained_share * static_cast<double>(machines_.size())));
@@ -278,7 +278,7 @@
     if (drained >= most) return;
     if (m.draining || !faults_.is_machine_faulty(id)) continue;
     spdlog::warn("{} fails the tasks of different jobs: it takes no more", id);
-    m.failing_since = loop_.now();
+    m.faulty_since = loop_.now();
     drain(m, "sick");
     ++drained;
   }
--- a/tests/machines/failure_detector_test.cpp
+++ b/tests/machines/failure_detector_test.cpp
@@ -70,7 +70,7 @@
 }
 
 TEST_F(FailureDetectorTest, AMachineThatAnswersDirectMessagesIsNotDeclaredDead) {
-  add("i-1", 100).last_direct = 100 + long_s();
+  add("i-1", 100).last_direct_response_at = 100 + long_s();
   auto suspected = detector_.detect(machines_, facts_, 100 + long_s());
   ASSERT_EQ(suspected.size(), 1U);
   EXPECT_FALSE(suspected[0].is_dead);
--- a/tests/replicas/replicas_test.cpp
+++ b/tests/replicas/replicas_test.cpp
@@ -227,15 +227,15 @@
 TEST(ReportTime, IsKnownFromTheConnectionOrOurOwnQuestion) {
   Machine m;
   ASSERT_TRUE(apply_heartbeat(m, report(1, 5), 100, false));
-  EXPECT_EQ(m.state_as_of, 0) << "the first on its connection";
+  EXPECT_EQ(m.tasks_as_of, 0) << "the first on its connection";
   ASSERT_TRUE(apply_heartbeat(m, report(1, 6), 102, false, 100));
-  EXPECT_EQ(m.state_as_of, 100);
+  EXPECT_EQ(m.tasks_as_of, 100);
   ASSERT_TRUE(apply_heartbeat(m, report(1, 8), 130, false));
-  EXPECT_EQ(m.state_as_of, 100) << "newer, but it isn't known by how much";
+  EXPECT_EQ(m.tasks_as_of, 100) << "newer, but it isn't known by how much";
   ASSERT_TRUE(apply_heartbeat(m, report(1, 9), 132, true, 131.5));
-  EXPECT_EQ(m.state_as_of, 131.5);
+  EXPECT_EQ(m.tasks_as_of, 131.5);
   EXPECT_FALSE(apply_heartbeat(m, report(1, 7), 140, false, 139));
-  EXPECT_EQ(m.state_as_of, 131.5) << "an old copy";
+  EXPECT_EQ(m.tasks_as_of, 131.5) << "an old copy";
 }
 
 }  // namespace
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -162,7 +162,7 @@
       auto how = str(w, "how");
       (how == "flight"  ? machine_.in_flight
        : how == "limbo" ? machine_.in_limbo
-                        : machine_.in_answer)
+                        : machine_.starts_in_response)
           .insert(key);
     } else if (verb == "type") {  // type NAME cpus=N gpus=N price=N spot_price=N zones=Z,... boot=S
                                   // fetch=GB/s
