--- a/src/coordination/machines/straggler.cpp
+++ b/src/coordination/machines/straggler.cpp
@@ -26,4 +26,10 @@
   return s.flagged && !was;
 }
 
+bool StragglerDetector::note_success(const std::string& job, double run_s,
+                                     StragglerAverage& average) {
+  const auto fraction = run_times_[job].add(run_s, tuning_.straggler_min_successes);
+  return fraction && fold(average, *fraction, tuning_);
+}
+
 }  // namespace damsonport
--- a/src/coordination/machines/straggler.hpp
+++ b/src/coordination/machines/straggler.hpp
@@ -1,6 +1,9 @@
 /// Detection of stragglers after Algorithm 1 of "Resource Elasticity in Distributed Deep Learning"
 /// (section 5): a machine stands for the paper's worker, a successful task for its step. Pure.
 #pragma once
+#include <optional>
+#include <string>
+#include <unordered_map>
 #include <vector>
 
 #include "config/tuning.hpp"
@@ -23,4 +26,20 @@
 /// made the machine a straggler.
 [[nodiscard]] bool fold(StragglerAverage& s, double fraction, const Tuning& tuning);
 
+/// Detects stragglers from the run times of successful tasks. Owned by the shard leader, for the
+/// time of one lease.
+class StragglerDetector {
+ public:
+  explicit StragglerDetector(const Tuning& tuning) : tuning_(tuning) {}
+  /// A task of the job succeeded after this time on the machine with this average. True if that
+  /// made the machine a straggler.
+  [[nodiscard]] bool note_success(const std::string& job, double run_s, StragglerAverage& average);
+  void forget_job(const std::string& job) { run_times_.erase(job); }
+  void clear() { run_times_.clear(); }
+
+ private:
+  const Tuning& tuning_;
+  std::unordered_map<std::string, RunTimes> run_times_;  // by job
+};
+
 }  // namespace damsonport
--- a/src/coordination/shard_leader/shard_leader.cpp
+++ b/src/coordination/shard_leader/shard_leader.cpp
@@ -19,6 +19,8 @@
       failure_detector_(settings_),
       gangs_(loop_, settings_, *this),
       replicas_(loop_, settings_, cache_, *this, gangs_),
+      task_failures_(settings_),
+      stragglers_(tuning_),
       scale_in_(scale_in_dependencies()),
       autoscaler_(autoscaler_dependencies()),
       rechunker_(loop_, settings_, cache_, deps.store, deps.versions,
@@ -71,10 +73,10 @@
   uncommitted_starts_ = 0;
   send_queue_.clear();
   autoscaler_.begin_lease(fencing_token_);
-  hints_.clear();
+  stragglers_.clear();
   gangs_.clear();
   replicas_.clear();
-  faults_.clear();
+  task_failures_.clear();
   scheduling_requested_ = true;
   next_list_ = 0;
   // Machines that an earlier holder rented are heard first. The first one of all has none.
@@ -91,7 +93,7 @@
   for (auto& [id, job] : cache_.jobs()) {
     if (is_cancelled(*job)) cancelled_.insert(id);
     if (is_over(*job)) over_.insert(id);
-    if (failed_before(*job)) faults_.suspect(id);
+    if (failed_before(*job)) task_failures_.suspect_job(id);
     replicas_.add_job(*job);
     changed_jobs_.insert(job.get());
   }
@@ -171,10 +173,10 @@
 void ShardLeader::job_gone(Job* job) {
   changed_jobs_.erase(job);
   job_index_.release(job, snapshot_.jobs);
-  hints_.erase(job->spec.id);
+  stragglers_.forget_job(job->spec.id);
   gangs_.forget_job(job->spec.id);
   replicas_.forget_job(job->spec.id);
-  faults_.forget_job(job->spec.id);
+  task_failures_.forget_job(job->spec.id);
   held_back_.erase(job->spec.id);
   over_.erase(job->spec.id);
   cancelled_.erase(job->spec.id);
@@ -296,7 +298,8 @@
 std::optional<HttpResponse> ShardLeader::answer_repeated_heartbeat(const HttpRequest& request) {
   if (!is_leading() || is_deposed()) return std::nullopt;
   const auto repeat = deduplicator_.find(request.body);
-  if (!repeat || faults_.any() || scale_in_.tracker().is_declared_dead(repeat->machine))
+  if (!repeat || task_failures_.attribution().any() ||
+      scale_in_.tracker().is_declared_dead(repeat->machine))
     return std::nullopt;
   auto it = machines_.find(repeat->machine);
   if (it == machines_.end() || repeat->sequence <= it->second.sequence) return std::nullopt;
--- a/src/coordination/shard_leader/shard_leader.hpp
+++ b/src/coordination/shard_leader/shard_leader.hpp
@@ -16,13 +16,13 @@
 #include "coordination/leadership/peer_network.hpp"
 #include "coordination/leadership/version_registry.hpp"
 #include "coordination/machines/failure_detector.hpp"
-#include "coordination/machines/fault_attribution.hpp"
 #include "coordination/machines/heartbeat_deduplicator.hpp"
 #include "coordination/machines/machine.hpp"
 #include "coordination/machines/machine_list_reader.hpp"
 #include "coordination/machines/orphan_cleanup.hpp"
 #include "coordination/machines/reconcile.hpp"
 #include "coordination/machines/straggler.hpp"
+#include "coordination/machines/task_failure_tracker.hpp"
 #include "coordination/quotas/region_network.hpp"
 #include "coordination/replicas/replica_manager.hpp"
 #include "coordination/scheduling/gang_tracker.hpp"
@@ -99,11 +99,6 @@
     ExitCause cause;
     std::string machine;
   };
-  struct JobHints {
-    double backoff_until = 0;
-    int errors = 0;  // tasks that failed
-    RunTimes run_times;
-  };
   struct Stopping {
     uint64_t attempt;
     double grace_s;
@@ -183,7 +178,7 @@
   void refresh_machine(Machine& m);
   void forget_machine(const std::string& id);
 
-  // --- machines (holder_machines.cpp)
+  // --- machines (shard_leader_heartbeats.cpp, shard_leader_failures.cpp)
   Machine& machine(const std::string& id);
   HttpResponse on_decoded_heartbeat(const Heartbeat& r, const HttpRequest& request);
   // Why a machine that has seen this token isn't answered now; nothing: it is.
@@ -227,12 +222,14 @@
   // Unless it is being asked already, or too many are.
   void start_probe(const std::string& id);
 
-  // --- cloud (holder_cloud.cpp)
-  // Leader and holder, so that the cloud is this controller's to deal with.
+  // --- fleet (shard_leader_machine_list.cpp, shard_leader_drains.cpp,
+  // shard_leader_autoscaling.cpp) Leader and holder, so that the cloud is this controller's to deal
+  // with.
   bool leads_cluster_and_shard() const;
   void note_listed(const ListedMachine& listed);
   void detect_dead_machines();
   void check_cancelled_tasks();
+  void stop_before_preemption(const Machine& m);
   void check_drains();
   void check_stragglers();
   ScaleIn::Dependencies scale_in_dependencies();
@@ -264,10 +261,10 @@
 
   std::map<std::string, Machine> machines_;
   HeartbeatDeduplicator deduplicator_;
-  std::unordered_map<std::string, JobHints> hints_;
   GangTracker gangs_;
   replicas::ReplicaManager replicas_;
-  FaultAttribution faults_;
+  TaskFailureTracker task_failures_;
+  StragglerDetector stragglers_;
   std::map<TaskId, std::map<uint64_t, Attempt>> attempts_;
   std::map<TaskId, PendingExit> exits_;
   std::map<TaskId, Stopping> stopping_;
--- /dev/null
+++ b/src/coordination/shard_leader/shard_leader_autoscaling.cpp
@@ -0,0 +1,48 @@
+// What scale-in and the autoscaler need of the shard leader.
+#include "coordination/shard_leader/shard_leader.hpp"
+
+namespace damsonport {
+
+ScaleIn::Dependencies ShardLeader::scale_in_dependencies() {
+  return {loop_,
+          settings_,
+          cache_,
+          deps_.store,
+          deps_.http,
+          contact_,
+          deps_.changed,
+          deps_.incarnation,
+          [this] { return is_leading(); },
+          [this](const std::string& id) { mark_changed(id); },
+          [this](const std::string& id, bool declared_dead) {
+            on_machine_returned(id, declared_dead);
+          }};
+}
+
+// Gone, with everything on it: the proof that lets its tasks start elsewhere.
+void ShardLeader::on_machine_returned(const std::string& id, bool declared_dead) {
+  autoscaler_.note_returned(id, find_machine(id), declared_dead);
+  forget_machine(id);
+  for (auto& [a, attempt] : cache_.assigned(id)) {
+    TaskId name{a.job->spec.id, a.index};
+    note_exit(name, {attempt, ExitCause::stopped, id});
+  }
+}
+
+AutoscalerDriver::Dependencies ShardLeader::autoscaler_dependencies() {
+  return {loop_,
+          settings_,
+          cache_,
+          deps_.store,
+          deps_.http,
+          deps_.catalog,
+          deps_.quotas,
+          machines_,
+          task_failures_.attribution(),
+          failure_detector_,
+          scale_in_,
+          deps_.incarnation,
+          [this](const Machine& m) { return is_schedulable(m); }};
+}
+
+}  // namespace damsonport
--- /dev/null
+++ b/src/coordination/shard_leader/shard_leader_drains.cpp
@@ -0,0 +1,96 @@
+// Which machines take no more tasks: preempted ones, stragglers, and those that are drained.
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <limits>
+
+#include "coordination/shard_leader/shard_leader.hpp"
+
+namespace damsonport {
+
+namespace {
+// Requests in a row without a response after which a machine counts as unreachable, if its agent
+// has restarted too.
+constexpr int failed_sends_of_unreachable = 3;
+}  // namespace
+
+// Takes no new tasks and is returned when empty; a replacement comes through the spare room.
+void ShardLeader::drain(Machine& m, const std::string& why) {
+  if (m.draining) return;
+  m.drain_reason = why;
+  m.draining = true;
+  mark_changed(m.id);
+  scheduling_requested_ = true;
+}
+
+// A task that can save is stopped in time to do it, any other one just before the machine is taken.
+void ShardLeader::stop_before_preemption(const Machine& m) {
+  const double interval_s = settings_.heartbeat_interval_s;
+  const double left_s = *m.preempted_at - loop_.now();
+  for (auto& [assignment, attempt] : cache_.assigned(m.id)) {
+    const JobSpec& spec = assignment.job->spec;
+    const TaskId task{spec.id, assignment.index};
+    if (stopping_.contains(task)) continue;
+    const double grace_s = stop_grace(spec);
+    const bool saves = spec.checkpoint_s > 0;
+    if (left_s >= (saves ? grace_s + 2 * interval_s : interval_s / 2)) continue;
+    if (spec.gang_size() > 0) {
+      stop_gang(*assignment.job, gang_with(spec, assignment.index), grace_s);
+    } else {
+      stop_task({task, attempt, m.id}, grace_s);
+    }
+  }
+}
+
+void ShardLeader::check_drains() {
+  const double now = loop_.now();
+  for (auto& [id, m] : machines_) {
+    // Not for good: where few machines fit, a job that failed once on each would never run again.
+    if (std::erase_if(m.failed_jobs,
+                      [&](auto& failed) { return now - failed.second > 2 * settings_.lease_s; }))
+      mark_changed(id);
+    if (scale_in_.is_leaving(id)) continue;
+    if (m.preempted_at) stop_before_preemption(m);
+    // The jobs that failed here are tried elsewhere first, which may take the blame back.
+    const bool in_dispute = m.faulty_since > 0 && now - m.faulty_since < settings_.lease_s;
+    const bool empty = cache_.assigned(id).empty() && m.tasks.empty() && m.agent_epoch != 0;
+    if (m.draining && empty && !in_dispute)
+      scale_in_.request(id, "empty and drained (" + m.drain_reason + ")");
+    // Responses don't reach it: its epochs end although every heartbeat is answered.
+    if (m.failed_sends >= failed_sends_of_unreachable && m.agent_restarts >= 1)
+      scale_in_.request(id, "it can't be answered");
+  }
+}
+
+// First a replacement, then no new tasks. Where the cloud has none, giving the slow machine back is
+// what makes room for one, so it is drained at once; and one that does not come is not waited for.
+void ShardLeader::check_stragglers() {
+  const double now = loop_.now();
+  std::vector<Machine*> waiting, newcomers;
+  double first_flagged = std::numeric_limits<double>::infinity();
+  for (auto& [id, m] : machines_) {
+    if (m.straggler_since == 0 || m.draining) continue;
+    waiting.push_back(&m);
+    first_flagged = std::min(first_flagged, m.straggler_since);
+  }
+  if (waiting.empty()) return;
+  for (auto& [id, m] : machines_)
+    if (!m.is_replacement && m.first_heartbeat_at > first_flagged) newcomers.push_back(&m);
+  for (Machine* straggler : waiting) {
+    Machine& m = *straggler;
+    auto* type = deps_.catalog.type(m.type);
+    for (Machine* other : newcomers) {
+      if (other->is_replacement || other->type != m.type ||
+          other->first_heartbeat_at <= m.straggler_since)
+        continue;
+      other->is_replacement = true;
+      drain(m, "straggler, replaced by " + other->id);
+      break;
+    }
+    if (!m.draining && (autoscaler_.is_refused({m.type, m.zone, m.spot}) ||
+                        now - m.straggler_since > BootingMachines::late_after_s(type)))
+      drain(m, "straggler, no replacement to be had");
+  }
+}
+
+}  // namespace damsonport
--- a/src/coordination/shard_leader/shard_leader_machines.cpp
+++ b/src/coordination/shard_leader/shard_leader_heartbeats.cpp
@@ -1,4 +1,4 @@
-// The holder's dealings with workers: their reports, and what is learned from them.
+// Heartbeats of the machines: what they change here, and what is learned from them.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -7,10 +7,6 @@
 
 namespace damsonport {
 
-namespace {
-constexpr uint64_t attempts_in_vain = 3;  // of one task, in the records: its job is suspected
-}  // namespace
-
 Machine& ShardLeader::machine(const std::string& id) {
   auto [it, fresh] = machines_.try_emplace(id);
   if (fresh) {
@@ -182,115 +178,11 @@
   if (running_at == 0) {
     running_at = now;
     spdlog::debug("{} attempt {} runs on {}", task.text(), attempt, m.id);
-  } else if (now - running_at > settings_.heartbeat_interval_s && faults_.any()) {
+  } else if (now - running_at > settings_.heartbeat_interval_s &&
+             task_failures_.attribution().any()) {
     // What is at fault fails at its start.
-    faults_.worked(task.job, m.id, running_at);
-  }
-}
-
-// After the exit is in the records: what it teaches about the machine and the job.
-void ShardLeader::finish_exit(const PendingExit& exit, const TaskId& task) {
-  const double now = loop_.now();
-  stopping_.erase(task);
-  Attempt seen;
-  if (auto a = attempts_.find(task); a != attempts_.end()) {
-    if (auto i = a->second.find(exit.attempt); i != a->second.end()) seen = i->second;
-    attempts_.erase(a);
+    task_failures_.note_success(task.job, m.id, running_at);
   }
-  Job* job = cache_.job(task.job);
-  auto it = machines_.find(exit.machine);
-  if (!job || it == machines_.end()) return;
-  Machine& m = it->second;
-  mark_changed(m.id);
-  // The worker can drop it from its reports now; a later report repeats this if it is lost.
-  if (auto t = m.tasks.find(task); t != m.tasks.end() && t->second.attempt == exit.attempt &&
-                                   t->second.state == TaskState::exited &&
-                                   !m.has_outstanding_start({task, exit.attempt}))
-    dispatch(m, {Command::Op::remove, task, exit.attempt, 0});
-  auto& hints = hints_[task.job];
-  switch (exit.cause) {
-    case ExitCause::done: {
-      faults_.worked(task.job, m.id, seen.running_at);
-      if (!seen.image_cached || seen.ordered_at == 0) break;
-      // A gang's tasks all take the time of its slowest machine: their median says nothing of any.
-      if (job->spec.kind == JobKind::gang) break;
-      double run = std::max(now - seen.ordered_at, settings_.heartbeat_interval_s);
-      auto fraction = hints.run_times.add(run, tuning_.straggler_min_successes);
-      if (fraction && fold(m.straggler, *fraction, tuning_)) {
-        spdlog::warn("{} is a straggler: its average is {:.2f} of its jobs' medians", m.id,
-                     m.straggler.average);
-        m.straggler_since = now;
-      }
-      break;
-    }
-    case ExitCause::error:
-      note_error(m, job->spec);
-      break;
-    case ExitCause::no_room:
-    case ExitCause::busy:
-    case ExitCause::unknown:
-      spdlog::info("{} was refused by {}", task.text(), m.id);
-      hints.backoff_until = now + settings_.heartbeat_interval_s / 2;
-      // Its place in the gang is filled elsewhere, under the attempt that this machine has refused.
-      if (job->spec.gang_size() > 0) m.failed_jobs[task.job] = now;
-      break;
-    default:
-      break;
-  }
-}
-
-void ShardLeader::note_error(Machine& m, const JobSpec& spec) {
-  auto& hints = hints_[spec.id];
-  ++hints.errors;
-  faults_.failed(spec.id, m.id, loop_.now());
-  const bool is_job_faulty = faults_.is_job_faulty(spec.id);
-  spdlog::info("a task of {} failed on {}{}", spec.id, m.id,
-               is_job_faulty ? "; it fails everywhere" : "");
-  if (!is_job_faulty) {
-    m.failed_jobs[spec.id] = loop_.now();
-    return;
-  }
-  constexpr int most_doublings = 6;
-  constexpr double longest_backoff_leases = 2;
-  const double backoff_s =
-      settings_.heartbeat_interval_s * (1 << std::min(hints.errors, most_doublings));
-  hints.backoff_until =
-      loop_.now() + std::min(backoff_s, settings_.lease_s * longest_backoff_leases);
-}
-
-void ShardLeader::review_faults() {
-  constexpr double most_drained_share = 0.25, remembered_leases = 5;
-  faults_.forget_failures_before(loop_.now() - settings_.lease_s * remembered_leases);
-  size_t drained = 0;
-  for (auto& [id, m] : machines_) {
-    if (m.faulty_since > 0 && !scale_in_.tracker().is_requested(id) &&
-        !faults_.is_machine_faulty(id)) {
-      spdlog::info("{} takes tasks again: the jobs that failed on it are at fault", id);
-      m.draining = false;
-      m.faulty_since = 0;
-      mark_changed(id);
-    }
-    drained += m.faulty_since > 0;
-  }
-  const auto most = static_cast<size_t>(
-      std::max(1.0, most_drained_share * static_cast<double>(machines_.size())));
-  for (auto& [id, m] : machines_) {
-    if (drained >= most) return;
-    if (m.draining || !faults_.is_machine_faulty(id)) continue;
-    spdlog::warn("{} fails the tasks of different jobs: it takes no more", id);
-    m.faulty_since = loop_.now();
-    drain(m, "sick");
-    ++drained;
-  }
-}
-
-bool ShardLeader::failed_before(const Job& job) {
-  if (job.live > 0 || job.done > 0) return false;
-  // Their attempts grow with every machine that is lost.
-  if (job.spec.replicated()) return false;
-  return std::any_of(job.chunks.begin(), job.chunks.end(), [](auto& chunk) {
-    return chunk.second.record.last_attempt() >= attempts_in_vain;
-  });
 }
 
 }  // namespace damsonport
--- /dev/null
+++ b/src/coordination/shard_leader/shard_leader_machine_list.cpp
@@ -0,0 +1,51 @@
+// The machine list of the cloud: which machines exist, and in which state.
+#include <algorithm>
+
+#include "coordination/shard_leader/shard_leader.hpp"
+
+namespace damsonport {
+
+// A duty of its own: a long list takes seconds, in which silence must be watched all the same.
+Task<void> ShardLeader::follow_machine_list(std::stop_token stop_token) {
+  const double tick_s = settings_.heartbeat_interval_s / 4;
+  while (!stop_token.stop_requested()) {
+    if (!co_await Sleep(loop_, tick_s, stop_token)) co_return;
+    const bool due = loop_.now() >= next_list_;
+    if (!due || !leads_cluster_and_shard() || !records_current() || !deps_.catalog.known())
+      continue;
+    next_list_ = loop_.now() + settings_.list_lag_s / 2;
+    MachineListReader::Take take = [this](auto& listed) { note_listed(listed); };
+    MachineListReader::KeepGoing keep_going = [this, fencing_token = fencing_token_] {
+      return fencing_token == fencing_token_ && leads_cluster_and_shard();
+    };
+    co_await machine_list_.read(std::move(take), std::move(keep_going), stop_token);
+  }
+}
+
+bool ShardLeader::leads_cluster_and_shard() const {
+  return is_leading() && !is_deposed() && deps_.election.is_leading();
+}
+
+void ShardLeader::note_listed(const ListedMachine& listed) {
+  if (scale_in_.tracker().is_returned(listed.id)) return;  // the list lags
+  if (cache_.has_tombstone(listed.id)) {
+    // The list lags, so a machine that is gone may still stand in it; asking twice is harmless.
+    scale_in_.resume(listed.id);
+    return;
+  }
+  if (listed.state == "failed") {
+    scale_in_.request(listed.id, "it failed");
+  } else if (listed.state == "starting") {
+    autoscaler_.note_starting(listed);
+  } else if (listed.state == "running") {
+    Machine& m = machine(listed.id);
+    if (m.agent_epoch != 0) return;
+    m.address = listed.address;
+    m.type = listed.type;
+    m.zone = listed.zone;
+    m.spot = listed.spot;
+    mark_changed(listed.id);
+  }
+}
+
+}  // namespace damsonport
--- a/src/coordination/shard_leader/shard_leader_view.cpp
+++ b/src/coordination/shard_leader/shard_leader_view.cpp
@@ -55,7 +55,7 @@
 uint32_t ShardLeader::startable_tasks(const Job& job, uint32_t gang) {
   if (job.spec.gang_size() > 0) return startable_gang_tasks(job, gang_range(job.spec, gang));
   const auto unstarted = static_cast<uint32_t>(job.unstarted());
-  if (!faults_.is_job_faulty(job.spec.id)) return unstarted;
+  if (!task_failures_.attribution().is_job_faulty(job.spec.id)) return unstarted;
   // One task finds out whether it still fails.
   return job.live == 0 ? std::min(unstarted, 1U) : 0;
 }
@@ -65,9 +65,8 @@
   const auto& slots = job_index_.take(job, snapshot_.jobs, fresh);
   auto& s = job.spec;
   const bool cancelled = is_cancelled(job);
-  auto hint = hints_.find(s.id);
-  const bool held_back = hint != hints_.end() && hint->second.backoff_until > loop_.now();
-  const bool faulty = faults_.is_job_faulty(s.id);
+  const bool held_back = task_failures_.is_held_back(s.id, loop_.now());
+  const bool faulty = task_failures_.attribution().is_job_faulty(s.id);
   // Looked at again until it works.
   if (held_back || faulty) held_back_.insert(s.id);
   for (uint32_t n = 0; n < slots.size(); ++n) {
@@ -134,7 +133,7 @@
 }
 
 void ShardLeader::forget_machine(const std::string& id) {
-  faults_.forget_machine(id);
+  task_failures_.forget_machine(id);
   deduplicator_.forget(id);
   auto it = machines_.find(id);
   if (it == machines_.end()) return;
