--- a/src/coordination/autoscaling/autoscaler_driver.hpp
+++ b/src/coordination/autoscaling/autoscaler_driver.hpp
@@ -23,8 +23,8 @@
 namespace damsonport {
 
 /// Owned by the shard leader, whose machines it reads; of them it changes only
-/// `Machine::replacement_asked`. run() is called by the maintenance coroutine, and only while this
-/// controller is the cluster leader too.
+/// `Machine::replacement_requested`. run() is called by the maintenance coroutine, and only while
+/// this controller is the cluster leader too.
 class AutoscalerDriver {
  public:
   struct Dependencies {
--- a/src/coordination/leadership/shard_lease_keeper.cpp
+++ b/src/coordination/leadership/shard_lease_keeper.cpp
@@ -90,7 +90,8 @@
   Transaction transaction = renewal_transaction();
   const auto writes = transaction.writes;
   const double requested_at = deps_.loop.now();
-  auto result = co_await deps_.store.compare_and_swap(std::move(transaction), RequestPriority::lease);
+  auto result =
+      co_await deps_.store.compare_and_swap(std::move(transaction), RequestPriority::lease);
   if (result.outcome == TransactionOutcome::committed) {
     deps_.cache.apply_writes(writes, result.revision);
     next_renewal_at_ = requested_at + deps_.settings.tuning.shard_lease_s / renewals_per_lease;
--- a/src/coordination/scheduling/rechunker.cpp
+++ b/src/coordination/scheduling/rechunker.cpp
@@ -45,7 +45,8 @@
 void Rechunker::note_refused(const std::vector<Write>& writes) {
   for (const Write& write : writes) {
     if (!write.key.starts_with(keys::chunk_prefix)) continue;
-    const auto name = parse_chunk_name(std::string_view(write.key).substr(keys::chunk_prefix.size()));
+    const auto name =
+        parse_chunk_name(std::string_view(write.key).substr(keys::chunk_prefix.size()));
     const Job* job = name ? cache_.job(name->job) : nullptr;
     if (job && is_oversized(*job)) requested_.insert(job->spec.id);
   }
@@ -91,8 +92,7 @@
 Task<bool> Rechunker::commit_new_layout(std::string id, std::stop_token stop_token) {
   auto read = co_await store_.get(keys::job(id), RequestPriority::scheduling);
   const Job* job = cache_.job(id);
-  if (!read.found() || !job || read.key_value.version != progress_.job_version)
-    co_return false;
+  if (!read.found() || !job || read.key_value.version != progress_.job_version) co_return false;
   Transaction transaction;
   transaction.preconditions[keys::shard_table] = cache_.shard_table_version();
   transaction.preconditions[keys::job(id)] = read.key_value.version;
--- a/src/coordination/scheduling/snapshot_builder.cpp
+++ b/src/coordination/scheduling/snapshot_builder.cpp
@@ -206,7 +206,8 @@
 DecidedGang SnapshotBuilder::gang_by_name(const scheduling::GangPlacement& gang) const {
   const auto& owner = job_index_.owner(gang.job);
   DecidedGang named{gang_range(owner.job->spec, owner.gang), {}};
-  for (scheduling::MachineIndex machine : gang.machines) named.starts.push_back(start_by_name(gang.job, machine));
+  for (scheduling::MachineIndex machine : gang.machines)
+    named.starts.push_back(start_by_name(gang.job, machine));
   return named;
 }
 
--- a/src/coordination/shard_leader/shard_leader.cpp
+++ b/src/coordination/shard_leader/shard_leader.cpp
@@ -27,6 +27,8 @@
       failure_detector_(settings_),
       gangs_(loop_, settings_, *this),
       replicas_(loop_, settings_, cache_, *this, gangs_),
+      task_failures_(settings_),
+      stragglers_(tuning_),
       scale_in_(scale_in_dependencies()),
       autoscaler_(autoscaler_dependencies()),
       rechunker_(loop_, settings_, cache_, deps.store, deps.versions,
@@ -34,8 +36,9 @@
                    return commit_chunks(std::move(transaction), std::move(stop_token));
                  }),
       commands_(loop_, settings_, deps.http, dispatcher_callbacks()),
-      snapshot_builder_({loop_, settings_, cache_, deps.catalog, deps.quotas, faults_},
-                        snapshot_facts()) {}
+      snapshot_builder_(
+          {loop_, settings_, cache_, deps.catalog, deps.quotas, task_failures_.attribution()},
+          snapshot_facts()) {}
 
 bool ShardLeader::is_still_wanted(const Machine& m, const Command& command) const {
   if (command.op != Command::Op::start) return true;
@@ -72,8 +75,7 @@
   SnapshotBuilder::Facts facts;
   facts.is_cancelled = [this](const Job& job) { return is_cancelled(job); };
   facts.is_backing_off = [this](const std::string& job) {
-    auto hint = hints_.find(job);
-    return hint != hints_.end() && hint->second.backoff_until > loop_.now();
+    return task_failures_.is_held_back(job, loop_.now());
   };
   facts.startable_gang_tasks = [this](const Job& job, TaskRange gang) {
     return startable_gang_tasks(job, gang);
@@ -131,10 +133,10 @@
   uncommitted_starts_ = 0;
   commands_.begin_lease();
   autoscaler_.begin_lease(lease_.fencing_token());
-  hints_.clear();
+  stragglers_.clear();
   gangs_.clear();
   replicas_.clear();
-  faults_.clear();
+  task_failures_.clear();
   scheduling_requested_ = true;
   next_list_ = 0;
   // Machines that an earlier holder rented are heard first. The first one of all has none.
@@ -152,7 +154,7 @@
   for (auto& [id, job] : cache_.jobs()) {
     if (is_cancelled(*job)) cancelled_.insert(id);
     if (is_over(*job)) over_.insert(id);
-    if (failed_before(*job)) faults_.suspect(id);
+    if (failed_before(*job)) task_failures_.suspect_job(id);
     replicas_.add_job(*job);
     snapshot_builder_.mark_job_changed(*job);
   }
@@ -182,10 +184,10 @@
 
 void ShardLeader::job_gone(Job* job) {
   snapshot_builder_.forget_job(*job);
-  hints_.erase(job->spec.id);
+  stragglers_.forget_job(job->spec.id);
   gangs_.forget_job(job->spec.id);
   replicas_.forget_job(job->spec.id);
-  faults_.forget_job(job->spec.id);
+  task_failures_.forget_job(job->spec.id);
   over_.erase(job->spec.id);
   cancelled_.erase(job->spec.id);
   TaskId first{job->spec.id, 0};
@@ -290,7 +292,8 @@
 std::optional<HttpResponse> ShardLeader::answer_repeated_heartbeat(const HttpRequest& request) {
   if (!is_leading() || lease_.is_deposed()) return std::nullopt;
   const auto repeat = deduplicator_.find(request.body);
-  if (!repeat || faults_.any() || scale_in_.tracker().is_declared_dead(repeat->machine))
+  if (!repeat || task_failures_.attribution().any() ||
+      scale_in_.tracker().is_declared_dead(repeat->machine))
     return std::nullopt;
   auto it = machines_.find(repeat->machine);
   if (it == machines_.end() || repeat->sequence <= it->second.sequence) return std::nullopt;
@@ -298,10 +301,10 @@
   if (auto no = refusal(m.id, m.fencing_token)) return no;
   const double now = loop_.now();
   m.sequence = repeat->sequence;
-  m.last_heartbeat_at = m.repeated_at = now;
-  m.state_as_of = std::max(m.state_as_of, request.previous_answer_at);
+  m.last_heartbeat_at = m.last_repeat_at = now;
+  m.tasks_as_of = std::max(m.tasks_as_of, request.previous_answer_at);
   if (!m.tasks.empty()) m.idle_since = now;
-  m.in_answer.clear();
+  m.starts_in_response.clear();
   return HttpResponse{200, encode_heartbeat_response(lease_.fencing_token(), {}), 0};
 }
 
@@ -314,12 +317,12 @@
   Machine& m = machine(r.machine);
   if (r.newer_than(m.agent_epoch, m.sequence)) {
     // One report is in flight at a time, so the answer to the one before was taken or dropped.
-    m.in_answer.clear();
+    m.starts_in_response.clear();
     if (process_heartbeat(m, r, false, request.previous_answer_at, commands))
       deduplicator_.remember(m.id, request.body, r.sequence);
     std::erase_if(commands, [&](const Command& c) { return !is_still_wanted(m, c); });
     for (auto& c : commands)
-      if (c.op == Command::Op::start) m.in_answer.insert({c.task, c.attempt});
+      if (c.op == Command::Op::start) m.starts_in_response.insert({c.task, c.attempt});
   }
   return {200, encode_heartbeat_response(lease_.fencing_token(), commands), 0};
 }
--- a/src/coordination/shard_leader/shard_leader.hpp
+++ b/src/coordination/shard_leader/shard_leader.hpp
@@ -15,13 +15,13 @@
 #include "coordination/leadership/version_registry.hpp"
 #include "coordination/machines/command_dispatcher.hpp"
 #include "coordination/machines/failure_detector.hpp"
-#include "coordination/machines/fault_attribution.hpp"
 #include "coordination/machines/heartbeat_deduplicator.hpp"
 #include "coordination/machines/machine.hpp"
 #include "coordination/machines/machine_list_reader.hpp"
 #include "coordination/machines/orphan_cleanup.hpp"
 #include "coordination/machines/reconcile.hpp"
 #include "coordination/machines/straggler.hpp"
+#include "coordination/machines/task_failure_tracker.hpp"
 #include "coordination/quotas/region_network.hpp"
 #include "coordination/replicas/replica_manager.hpp"
 #include "coordination/scheduling/gang_tracker.hpp"
@@ -115,11 +115,6 @@
     ExitCause cause;
     std::string machine;
   };
-  struct JobHints {
-    double backoff_until = 0;
-    int errors = 0;  // tasks that failed
-    RunTimes run_times;
-  };
   struct Stopping {
     uint64_t attempt;
     double grace_s;
@@ -194,7 +189,7 @@
   void refresh_snapshot();
   void forget_machine(const std::string& id);
 
-  // --- machines (holder_machines.cpp)
+  // --- machines (shard_leader_heartbeats.cpp, shard_leader_failures.cpp)
   Machine& machine(const std::string& id);
   HttpResponse on_decoded_heartbeat(const Heartbeat& r, const HttpRequest& request);
   // Why a machine that has seen this token isn't answered now; nothing: it is.
@@ -231,10 +226,12 @@
   bool is_still_wanted(const Machine& m, const Command& command) const;
   CommandDispatcher::Callbacks dispatcher_callbacks();
 
-  // --- cloud (holder_cloud.cpp)
+  // --- fleet (shard_leader_machine_list.cpp, shard_leader_drains.cpp,
+  // shard_leader_autoscaling.cpp)
   void note_listed(const ListedMachine& listed);
   void detect_dead_machines();
   void check_cancelled_tasks();
+  void stop_before_preemption(const Machine& m);
   void check_drains();
   void check_stragglers();
   ScaleIn::Dependencies scale_in_dependencies();
@@ -261,10 +258,10 @@
 
   std::map<std::string, Machine> machines_;
   HeartbeatDeduplicator deduplicator_;
-  std::unordered_map<std::string, JobHints> hints_;
   GangTracker gangs_;
   replicas::ReplicaManager replicas_;
-  FaultAttribution faults_;
+  TaskFailureTracker task_failures_;
+  StragglerDetector stragglers_;
   std::map<TaskId, std::map<uint64_t, Attempt>> attempts_;
   std::map<TaskId, PendingExit> exits_;
   std::map<TaskId, Stopping> stopping_;
--- a/tests/leadership/shard_lease_keeper_test.cpp
+++ b/tests/leadership/shard_lease_keeper_test.cpp
@@ -4,9 +4,9 @@
 
 #include <gtest/gtest.h>
 
-#include "simulation/virtual_network.hpp"
-
 #include "simulation/key_value_store.hpp"
+#include "simulation/virtual_network.hpp"
+#include "storage/record_watcher.hpp"
 
 namespace damsonport {
 namespace {
@@ -34,7 +34,7 @@
  protected:
   ShardLeaseKeeperTest() {
     loop_.enter();
-    loop_.spawn("cache", cache_.follow(loop_.stop_token()));
+    loop_.spawn("cache", watcher_.run(loop_.stop_token()));
     loop_.spawn("election", election_.run(loop_.stop_token()));
   }
   ~ShardLeaseKeeperTest() override { network_.end(); }
@@ -59,7 +59,7 @@
     ASSERT_EQ(renew(), ShardRole::leader);
   }
   ShardTable stored_table() const {
-    return decode_shard_table(*state_service_.value(keys::shard_table));
+    return decode_shard_table(*store_service_.value(keys::shard_table));
   }
   /// A lease of another controller, as if it had been written by that one.
   void give_lease_to_other() {
@@ -68,7 +68,7 @@
     table.leases.front().incarnation = 18;
     table.leases.front().fencing_token = 5000;
     ++table.renewals;
-    state_service_.write(keys::shard_table, encode_shard_table(table));
+    store_service_.write(keys::shard_table, encode_shard_table(table));
     run(1);
   }
   void receive_from_peer(uint64_t fencing_token, uint64_t misrouted_machines) {
@@ -83,13 +83,14 @@
 
   simulation::World world_{1};
   Settings settings_ = test_settings();
-  simulation::StateService state_service_{world_, store_host, limits};
+  simulation::KeyValueStore store_service_{world_, store_host, limits};
   simulation::VirtualLoop loop_{world_, "n0", std::seed_seq{1}, 1, 0};
   simulation::VirtualNetwork::Streams streams_;
   simulation::VirtualNetwork network_{loop_, "10.0.0.1", streams_};
   std::unique_ptr<HttpClient> http_ = network_.client();
   KeyValueClient store_{loop_, *http_, settings_.state, settings_.state_limits};
-  RecordCache cache_{loop_, store_, 0.1, 0, 100};
+  RecordCache cache_{loop_, 0, 100};
+  RecordWatcher watcher_{loop_, store_, cache_, 0.1};
   Notification changed_{loop_};
   CancellationGossip cancellations_{incarnation, {"n1"}};
   PeerNetwork peer_network_{loop_, network_, settings_, cancellations_};
@@ -103,7 +104,7 @@
 TEST_F(ShardLeaseKeeperTest, AFollowerWritesNothing) {
   EXPECT_EQ(renew(), ShardRole::follower) << "before the election";
   EXPECT_EQ(keeper_.fencing_token(), 0u);
-  EXPECT_EQ(state_service_.value(keys::shard_table), nullptr);
+  EXPECT_EQ(store_service_.value(keys::shard_table), nullptr);
 }
 
 TEST_F(ShardLeaseKeeperTest, TheClusterLeaderAcquiresTheLease) {
@@ -148,9 +149,9 @@
 TEST_F(ShardLeaseKeeperTest, AFailedRenewalIsTriedAgainAfterAPause) {
   become_leader();
   run(settings_.tuning.shard_lease_s / 6);
-  state_service_.set_down(true);
+  store_service_.set_down(true);
   EXPECT_EQ(renew(), ShardRole::leader) << "the lease still stands in the records";
-  state_service_.set_down(false);
+  store_service_.set_down(false);
   EXPECT_EQ(renew(), ShardRole::leader);
   EXPECT_EQ(stored_table().renewals, 2u);
 }
--- a/tests/scheduling/snapshot_builder_test.cpp
+++ b/tests/scheduling/snapshot_builder_test.cpp
@@ -31,12 +31,16 @@
   Job& add_job(const std::string& id, uint32_t tasks = 4) {
     JobSpec spec;
     spec.id = id;
+    spec.job_class = "c";
     spec.team = "t";
     spec.tasks = tasks;
     spec.cpus = 2;
+    spec.memory_gb = 1.5;
     spec.image = "img";
+    spec.image_gb = 1;
     spec.zone = "b";
     cache_.apply({keys::job(id), encode_job_record(spec, tasks_per_chunk), ++revision_, 0});
+    if (!cache_.job(id)) throw std::logic_error("the cache did not take the record of " + id);
     Job& job = *cache_.job(id);
     builder_.mark_job_changed(job);
     return job;
@@ -85,7 +89,7 @@
   std::unique_ptr<HttpClient> http_ = network_.client();
   Settings settings_ = test_settings();
   KeyValueClient store_{loop_, *http_, settings_.state, settings_.state_limits};
-  RecordCache cache_{loop_, store_, 1, 0, 50};
+  RecordCache cache_{loop_, 0, 50};
   MachineTypeCatalog catalog_{loop_, *http_, settings_};
   quotas::TeamQuotas quotas_{settings_, nullptr, cache_};
   FaultAttribution faults_;
@@ -203,8 +207,10 @@
   refresh();
   EXPECT_EQ(builder_.snapshot().jobs.size(), 1u);
   EXPECT_EQ(builder_.snapshot().machines.size(), 1u);
-  EXPECT_EQ(builder_.start_by_name(0, 0).job, "run-2");
-  EXPECT_EQ(builder_.start_by_name(0, 0).machine, "i-2");
+  EXPECT_EQ(builder_.start_by_name(scheduling::JobIndex(0), scheduling::MachineIndex(0)).job,
+            "run-2");
+  EXPECT_EQ(builder_.start_by_name(scheduling::JobIndex(0), scheduling::MachineIndex(0)).machine,
+            "i-2");
 }
 
 TEST_F(SnapshotBuilderTest, ExpectedMachinesAreThoseOfTheLastRefresh) {
