--- a/src/coordination/leadership/cancellation_gossip.hpp
+++ b/src/coordination/leadership/cancellation_gossip.hpp
@@ -1,12 +1,12 @@
-/// Cancellations that the controllers tell each other of, beside the key-value store.
+/// Cancellations that the controllers send to each other, beside the key-value store.
 ///
-/// Stopping the tasks of a cancelled job needs no proof, so hearsay is enough for it; in an outage
-/// of the store this is the only way by which a cancellation gets around. Each controller numbers
-/// the cancellations that it knows, and its heartbeats to a peer list those that the peer has not
-/// acknowledged. From the peers' acknowledgements and echoes follows a watermark: every
-/// cancellation that was sent before it is known here, which bounds how old an unknown one can be
-/// (docs/design.md, "Who may answer a machine"). Times are passed in, by this machine's steady
-/// clock.
+/// Stopping the tasks of a cancelled job needs no proof, so the message of any controller is enough
+/// for it; in an outage of the store no other way exists for a cancellation to spread. Each
+/// controller numbers the cancellations that it knows, and its heartbeats to a peer list those that
+/// the peer has not acknowledged. From the peers' acknowledgements and echoes follows a watermark:
+/// every cancellation that was sent before it is known here, which bounds how old an unknown one
+/// can be (docs/design.md, "Who may answer a machine"). Times are passed in, by this machine's
+/// steady clock.
 #pragma once
 #include <map>
 #include <optional>
@@ -30,7 +30,7 @@
   CancellationGossip(uint64_t incarnation, const std::vector<std::string>& peers);
 
   /// Notes a cancellation that the records or a user's request have made known here. Called before
-  /// anybody is told of it. True the first time.
+  /// it is sent to anybody. True the first time.
   bool record(const std::string& job, double since);
   /// The records say that the job's tasks are gone.
   void forget(const std::string& job);
@@ -53,7 +53,7 @@
   /// Whether a peer has said that the job is cancelled.
   bool is_cancelled(const std::string& job) const { return received_.contains(job); }
   /// Every cancellation that another controller sent before this time is known here. `now` where
-  /// there are no peers, `never` before all of them were heard.
+  /// there are no peers, `never` until each of them has echoed a heartbeat.
   double watermark(double now) const;
   /// The records are known as of then, and speak for all that was received before.
   void forget_received_before(double records_as_of);
--- a/src/coordination/leadership/peer_network.hpp
+++ b/src/coordination/leadership/peer_network.hpp
@@ -25,7 +25,8 @@
               CancellationGossip& cancellations);
   bool listening() const { return listener_ && listener_->listening(); }
 
-  /// Sends heartbeats until stopped. `make_heartbeat` gives what all peers are told alike.
+  /// Sends heartbeats until stopped. `make_heartbeat` gives the part that is the same for
+  /// all peers.
   Task<void> send_heartbeats(std::function<PeerHeartbeat()> make_heartbeat,
                              std::stop_token stop_token);
   /// Sends the next heartbeats now.
@@ -35,7 +36,7 @@
 
   /// Whether a heartbeat of this peer came within the last few intervals.
   bool is_alive(const std::string& controller) const;
-  /// Infinite for a peer that was never heard and for a controller that is no peer.
+  /// Infinite for a peer without any heartbeat so far, and for a controller that is no peer.
   double since_last_heartbeat_s(const std::string& controller) const;
   int unreachable_peers() const;
   /// No peer is alive.
--- a/src/storage/job_index.hpp
+++ b/src/storage/job_index.hpp
@@ -28,7 +28,7 @@
 
 enum class AssignmentChange : uint8_t { added, removed };
 
-/// What others are told of changes of the records. Unset functions are not called.
+/// Callbacks for changes of the records. Unset functions are not called.
 struct RecordEvents {
   /// After every applied change; the argument is the job concerned, or null.
   std::function<void(Job*)> on_change;
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -271,7 +271,7 @@
 }
 
 // Exits by their causes, which are stored as numbers.
-void check_relayed_exits(const Line& line) {
+void check_forwarded_exits(const Line& line) {
   ForwardedExits expected;
   expected.fencing_token = 77;
   expected.exits = {
@@ -303,7 +303,7 @@
   EXPECT_EQ(fixture.cache.tombstones(), expected);
 }
 
-void check_rental(const Line& line) {
+void check_scale_out_request(const Line& line) {
   const std::string id = "r-" + std::to_string(incarnation) + "-2";
   EXPECT_EQ(line.name, keys::scale_out_request(id));
   CacheFixture fixture;
@@ -329,7 +329,7 @@
   EXPECT_GE(VersionRegistry::current, 3u);
 }
 
-void check_budget(const Line& line) {
+void check_quota(const Line& line) {
   const QuotaRecord expected{{all_quota_units, all_quota_units / 2},
                              {{"south", {1, 2}}},
                              {{"south", {3, 4}}, {"west", {5, 6}}}};
@@ -569,10 +569,10 @@
     {"d/j/", 7, check_job},
     {"d/t/", 6, check_chunk},
     {"d/m/", 1, check_tombstone},
-    {"d/r/", 1, check_rental},
+    {"d/r/", 1, check_scale_out_request},
     {"d/v/", 1, check_version},
-    {"d/e/", 1, check_relayed_exits},
-    {"d/q/", 1, check_budget},
+    {"d/e/", 1, check_forwarded_exits},
+    {"d/q/", 1, check_quota},
     {"f/", 2, check_final_state},
     {"heartbeat", 1, check_heartbeat},
     {"region_message", 1, check_region_message},
