--- a/src/coordination/leadership/election.cpp
+++ b/src/coordination/leadership/election.cpp
@@ -84,6 +84,7 @@
 }
 
 Task<void> Election::renew() {
+  if (!lease_) co_return;  // never while leading
   const auto renewal = co_await store_.renew_lease(*lease_);
   if (renewal != KeyValueClient::Renewal::ended) co_return;
   spdlog::warn("the leader's lease ended");
--- a/src/coordination/leadership/lease_renewal.cpp
+++ b/src/coordination/leadership/lease_renewal.cpp
@@ -68,8 +68,8 @@
 // A peer may have a newer lease than the records say that we have read, where we may be named.
 std::string LeaseRenewal::newest_shard_leader(const ShardLease& recorded) const {
   const auto claimed = peer_network_.newest_shard_leader();
-  const bool is_newer = claimed && claimed->fencing_token > recorded.fencing_token;
-  return is_newer ? claimed->controller : recorded.controller;
+  if (claimed && claimed->fencing_token > recorded.fencing_token) return claimed->controller;
+  return recorded.controller;
 }
 
 bool LeaseRenewal::may_answer(const Heartbeat& heartbeat, const ShardLease& recorded) const {
