--- a/src/coordination/leadership/version_registry.cpp
+++ b/src/coordination/leadership/version_registry.cpp
@@ -39,7 +39,9 @@
   while (!stop_token.stop_requested()) {
     if (cache_.loaded()) {
       if (has_recorded(settings_.controller_name, current)) co_return;
-      if (co_await write_current()) co_return;
+      // A local: GCC 12 lays out the coroutine's frame wrongly with the co_await in the condition.
+      const bool written = co_await write_current();
+      if (written) co_return;
     }
     if (!co_await Sleep(loop_, retry_s * loop_.uniform(0.5, 1.5), stop_token)) co_return;
   }
