--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -248,7 +248,7 @@
 // In an outage that all see, leaving would only make users reach nobody, and coming back is made
 // slower each time.
 HttpResponse Controller::health() const {
-  const HttpResponse unhealthy{503, {}, unhealthy_retry_after_s};
+  HttpResponse unhealthy{503, {}, unhealthy_retry_after_s};
   if (!cache_.loaded() || !catalog_.known()) return unhealthy;
   const double max_age_s = settings_.lease_s * contact_lease_share;
   const bool has_contact = store_.contact_age_s() < max_age_s;
--- a/src/coordination/shard_leader/shard_leader.cpp
+++ b/src/coordination/shard_leader/shard_leader.cpp
@@ -102,7 +102,8 @@
   if (attempts == attempts_.end()) return -infinity;
   auto it = attempts->second.find(attempt);
   if (it == attempts->second.end()) return -infinity;
-  return it->second.running_at > 0 ? it->second.running_at : infinity;
+  if (it->second.running_at == 0) return infinity;  // not seen running yet
+  return it->second.running_at;
 }
 
 void ShardLeader::apply_forwarded_exits() {
--- a/src/protocol/result.hpp
+++ b/src/protocol/result.hpp
@@ -34,7 +34,9 @@
 template <class T>
 class [[nodiscard]] Result {
  public:
+  // NOLINTNEXTLINE(google-explicit-constructor): a value is returned as it is
   Result(T value) : state_(std::move(value)) {}
+  // NOLINTNEXTLINE(google-explicit-constructor): so is an error
   Result(Error error) : state_(std::move(error)) {}
 
   bool has_value() const { return std::holds_alternative<T>(state_); }
