--- a/tests/scheduling/scheduling_cost_test.cpp
+++ b/tests/scheduling/scheduling_cost_test.cpp
@@ -111,7 +111,7 @@
     type.name = "g" + std::to_string(k), type.cpus = 96, type.gpus = 8, type.memory_gb = 768;
     type.price = 1 + static_cast<double>(k), type.zones = {"a"};
     in.types.push_back(type);
-    in.offers.push_back({type.name, "a"});
+    in.offers.push_back({MachineKind{type.name, "a"}});
   }
   for (size_t i = 0; i < fleet; ++i) {
     autoscaling::MachineState m;
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -120,7 +120,7 @@
       t.name = name, t.cpus = num(w, "cpus"), t.gpus = num(w, "gpus"), t.memory_gb = 1e6;
       t.price = num(w, "price", 4), t.spot_price = num(w, "spot_price", 1);
       for (auto& zone : list(w, "zones"))
-        for (bool spot : {false, true}) fleet_.offers.push_back({name, zone, spot});
+        for (bool spot : {false, true}) fleet_.offers.push_back({MachineKind{name, zone, spot}});
       fleet_.types.push_back(t);
     } else if (verb == "refused") {  // refused TYPE zone=Z [spot]
       for (auto& o : fleet_.offers)
