--- a/src/coordination/api/job_status_reader.cpp
+++ b/src/coordination/api/job_status_reader.cpp
@@ -38,7 +38,7 @@
   const auto final_record = co_await store_.get(keys::final_state(id), RequestPriority::polling);
   if (!final_record.answered()) co_return JobStatus{};
   if (final_record.found()) {
-    cache_.remember_final(id, decode_final_state(final_record.key_value.value));
+    cache_.cache_final_state(id, decode_final_state(final_record.key_value.value));
     co_return std::nullopt;
   }
   const auto record = co_await store_.get(keys::job(id), RequestPriority::polling);
--- a/src/coordination/api/user_api.cpp
+++ b/src/coordination/api/user_api.cpp
@@ -158,7 +158,7 @@
   const auto final_record = co_await store_.get(keys::final_state(id), RequestPriority::accepting);
   if (!final_record.answered()) co_return unavailable();
   if (final_record.found()) {
-    cache_.remember_final(id, decode_final_state(final_record.key_value.value));
+    cache_.cache_final_state(id, decode_final_state(final_record.key_value.value));
     co_return std::nullopt;
   }
   // Either never accepted, or accepted between the two reads: the confirmed status tells which.
--- a/src/coordination/autoscaling/autoscaler_driver.cpp
+++ b/src/coordination/autoscaling/autoscaler_driver.cpp
@@ -149,14 +149,14 @@
   state.schedulable = deps_.is_schedulable(machine);
   state.total = total_resources(machine, deps_.catalog);
   state.free = free_resources(machine, deps_.catalog, deps_.cache);
-  state.empty = deps_.cache.assigned(machine.id).empty() && machine.tasks.empty();
+  state.empty = deps_.cache.assignments_on(machine.id).empty() && machine.tasks.empty();
   state.idle_s = now - machine.idle_since;
   for (auto& [image, use] : machine.images.images()) state.images_gb += use.second;
   // Up but not heard yet counts as on its way.
   state.booting =
       machine.agent_epoch == 0 && deps_.failure_detector.since_last_heartbeat_s(machine, now) <
                                       first_heartbeat_within * deps_.settings.heartbeat_interval_s;
-  for (auto& [assignment, attempt] : deps_.cache.assigned(machine.id)) {
+  for (auto& [assignment, attempt] : deps_.cache.assignments_on(machine.id)) {
     auto& spec = assignment.job->spec;
     if (!spec.spot) {
       state.has_on_demand_work = true;
--- a/src/coordination/autoscaling/scale_in.cpp
+++ b/src/coordination/autoscaling/scale_in.cpp
@@ -76,7 +76,7 @@
   std::map<std::string, int> urgency;
   for (auto& machine : machines) {
     if (tracker_.keeps_cancelled_task(machine)) urgency[machine] = most_urgent;
-    for (auto& [task, attempt] : deps_.cache.assigned(machine))
+    for (auto& [task, attempt] : deps_.cache.assignments_on(machine))
       urgency[machine] += task.job->spec.priority >= Priority::high && !task.job->cancelled;
   }
   std::stable_sort(machines.begin(), machines.end(),
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -137,7 +137,7 @@
                                          AssignmentChange change) {
     shard_leader_.assignment_changed(machine, job, change == AssignmentChange::added);
   };
-  cache_.events().on_job_gone = [this](Job* job) {
+  cache_.events().on_job_removed = [this](Job* job) {
     cancellations_.forget(job->spec.id);
     shard_leader_.job_gone(job);
   };
--- a/src/coordination/leadership/exit_forwarder.cpp
+++ b/src/coordination/leadership/exit_forwarder.cpp
@@ -11,7 +11,7 @@
 }  // namespace
 
 bool ExitForwarder::is_uncommitted(const ForwardedExit& exit) const {
-  return cache_.places(exit.task, exit.attempt, exit.machine);
+  return cache_.has_assignment(exit.task, exit.attempt, exit.machine);
 }
 
 void ExitForwarder::forward(uint64_t fencing_token, const ForwardedExit& exit) {
--- a/src/coordination/machines/machine_capacity.cpp
+++ b/src/coordination/machines/machine_capacity.cpp
@@ -14,7 +14,7 @@
                                      RecordCache& cache) {
   auto free = total_resources(machine, catalog);
   auto take = [&](const JobSpec& spec) { free -= {spec.cpus, spec.gpus, spec.memory_gb}; };
-  const auto& assigned = cache.assigned(machine.id);
+  const auto& assigned = cache.assignments_on(machine.id);
   for (auto& [assignment, attempt] : assigned) take(assignment.job->spec);
   for (auto& [name, task] : machine.tasks) {
     if (task.state == TaskState::exited) continue;
--- a/src/coordination/machines/orphan_cleanup.cpp
+++ b/src/coordination/machines/orphan_cleanup.cpp
@@ -48,7 +48,7 @@
     for (auto& task : job->live_tasks()) {
       auto& host = out[task.machine];
       host.id = task.machine;
-      host.tasks.push_back({task.name, task.attempt});
+      host.tasks.push_back({task.id, task.attempt});
     }
   }
   std::vector<OrphanHost> list;
--- a/src/coordination/quotas/team_demand.cpp
+++ b/src/coordination/quotas/team_demand.cpp
@@ -23,7 +23,7 @@
     const auto& spec = job->spec;
     auto& demand = demands[spec.team];
     demand.used += resources_of(spec, job->live);
-    const uint64_t pending = job->cancelled ? 0 : job->unstarted();
+    const uint64_t pending = job->cancelled ? 0 : job->startable_count();
     if (pending == 0) continue;
     demand.need += resources_of(spec, pending);
     if (spec.priority >= Priority::high) demand.urgent_need += resources_of(spec, pending);
--- a/src/coordination/quotas/team_quotas.cpp
+++ b/src/coordination/quotas/team_quotas.cpp
@@ -53,7 +53,7 @@
 scheduling::Resources TeamQuotas::limit(const TeamSettings& team) const {
   if (!divided()) return {team.cpus_max, team.gpus_max, 0};
   scheduling::Resources out;
-  const auto units = record_of(team).units();
+  const auto units = record_of(team).available_units();
   for (const auto& r : quota_resources)
     if (team.*r.limit > 0)
       out.*r.amount = std::max(amount_of(units.*r.units, team.*r.limit), smallest_limit);
@@ -91,7 +91,7 @@
                               const QuotaResource& r) const {
   Standing s;
   const double limit = team.*r.limit;
-  s.quota = record.units().*r.units;
+  s.quota = record.available_units().*r.units;
   s.guaranteed = units_covering(guarantee(team).*r.amount, limit);
   if (auto it = demands_.find(team.name); it != demands_.end()) {
     s.used = units_covering(it->second.used.*r.amount, limit);
@@ -123,7 +123,7 @@
 // More than all units of a limit can't exist: only a faulty or false peer claims them.
 bool TeamQuotas::is_plausible(const QuotaRecord& record, const std::string& region,
                               const QuotaUnits& sent) {
-  const auto units = record.units(), counted = record.received_from(region);
+  const auto units = record.available_units(), counted = record.received_from(region);
   return units.cpus + excess(sent.cpus, counted.cpus) <= all_quota_units &&
          units.gpus + excess(sent.gpus, counted.gpus) <= all_quota_units;
 }
--- a/src/coordination/replicas/replica_manager.cpp
+++ b/src/coordination/replicas/replica_manager.cpp
@@ -52,7 +52,7 @@
     const Machine* machine = facts_.find_machine(task.machine);
     const bool has_heartbeat = machine && machine->agent_epoch != 0 && !facts_.has_ended(task);
     if (has_heartbeat) {
-      auto reported = machine->tasks.find(task.name);
+      auto reported = machine->tasks.find(task.id);
       part.running = reported != machine->tasks.end() && reported->second.attempt == task.attempt &&
                      reported->second.state == TaskState::running;
       part.as_of = machine->tasks_as_of;
--- a/src/coordination/scheduling/rechunker.cpp
+++ b/src/coordination/scheduling/rechunker.cpp
@@ -38,7 +38,7 @@
 
 bool Rechunker::gang_must_wait(const Job& gang) {
   const uint32_t most = chunk_size(limits().value_kb);
-  if (gang.chunk_size > most && gang.size_of(0) > most) requested_.insert(gang.spec.id);
+  if (gang.chunk_size > most && gang.tasks_in_chunk(0) > most) requested_.insert(gang.spec.id);
   return requested_.contains(gang.spec.id);
 }
 
--- a/src/coordination/scheduling/snapshot_builder.cpp
+++ b/src/coordination/scheduling/snapshot_builder.cpp
@@ -98,7 +98,7 @@
 
 uint32_t SnapshotBuilder::startable_tasks(const Job& job, uint32_t gang) const {
   if (job.spec.gang_size() > 0) return facts_.startable_gang_tasks(job, gang_range(job.spec, gang));
-  const auto unstarted = static_cast<uint32_t>(job.unstarted());
+  const auto unstarted = static_cast<uint32_t>(job.startable_count());
   if (!deps_.faults.is_job_faulty(job.spec.id)) return unstarted;
   // One task finds out whether it still fails.
   return job.live == 0 ? std::min(unstarted, 1U) : 0;
@@ -142,7 +142,7 @@
   auto& view = snapshot_.machines[*machine.slot];
   describe_machine(machine, view);
   view.live.clear();
-  for (auto& [assignment, attempt] : deps_.cache.assigned(machine.id))
+  for (auto& [assignment, attempt] : deps_.cache.assignments_on(machine.id))
     view.live.push_back(describe_task(machine, assignment, attempt));
 }
 
--- a/src/coordination/scheduling/start_edits.cpp
+++ b/src/coordination/scheduling/start_edits.cpp
@@ -12,8 +12,8 @@
     TaskChunk* record = edits.edit(job, found.chunk);
     found.full = record == nullptr;
     if (found.full) return found;
-    const uint32_t size = job.size_of(found.chunk);
-    const auto next = record->peek_startable(size);
+    const uint32_t size = job.tasks_in_chunk(found.chunk);
+    const auto next = record->next_startable(size);
     if (!next) continue;
     found.index = next->index;
     found.attempt = next->attempt;
@@ -52,7 +52,7 @@
   void edit_chunk(uint32_t chunk, TaskChunk& record) {
     const uint32_t chunk_start = chunk * job_.chunk_size;
     const uint32_t first = std::max(gang_.tasks.first, chunk_start) - chunk_start;
-    const uint32_t end = std::min(gang_.tasks.end() - chunk_start, job_.size_of(chunk));
+    const uint32_t end = std::min(gang_.tasks.end() - chunk_start, job_.tasks_in_chunk(chunk));
     for (uint32_t index = first; index < end && !all_placed(); ++index) {
       if (!record.is_startable(index)) continue;
       if (!edits_.take_entry()) break;
--- a/src/coordination/shard_leader/shard_leader.cpp
+++ b/src/coordination/shard_leader/shard_leader.cpp
@@ -42,7 +42,8 @@
 
 bool ShardLeader::is_still_wanted(const Machine& m, const Command& command) const {
   if (command.op != Command::Op::start) return true;
-  return !exits_.contains(command.task) && cache_.places(command.task, command.attempt, m.id);
+  return !exits_.contains(command.task) &&
+         cache_.has_assignment(command.task, command.attempt, m.id);
 }
 
 CommandDispatcher::Callbacks ShardLeader::dispatcher_callbacks() {
@@ -85,7 +86,7 @@
     return running_since(task, attempt);
   };
   facts.is_ending = [this](const PlacedTask& task) {
-    return is_stopping(task) || exits_.contains(task.name);
+    return is_stopping(task) || exits_.contains(task.id);
   };
   facts.is_schedulable = [this](const Machine& m) { return is_schedulable(m); };
   facts.total_resources = [this](const Machine& m) { return total_resources(m, deps_.catalog); };
@@ -111,7 +112,8 @@
   for (auto& [controller, forwarded] : cache_.forwarded_exits()) {
     if (forwarded.fencing_token != lease_.fencing_token()) continue;
     for (auto& exit : forwarded.exits) {
-      if (exits_.contains(exit.task) || !cache_.places(exit.task, exit.attempt, exit.machine))
+      if (exits_.contains(exit.task) ||
+          !cache_.has_assignment(exit.task, exit.attempt, exit.machine))
         continue;
       spdlog::debug("{} attempt {} ended on {}, as {} says", exit.task.text(), exit.attempt,
                     exit.machine, controller);
@@ -151,7 +153,7 @@
   // Marked by an earlier holder, who may not have got round to it.
   // Those on which nothing is placed any more are returned again where the machine list names them.
   for (auto& [id, mark] : cache_.tombstones())
-    if (!cache_.assigned(id).empty()) scale_in_.resume(id);
+    if (!cache_.assignments_on(id).empty()) scale_in_.resume(id);
   for (auto& [id, job] : cache_.jobs()) {
     if (is_cancelled(*job)) cancelled_.insert(id);
     if (is_over(*job)) over_.insert(id);
--- a/src/coordination/shard_leader/shard_leader_cancelled.cpp
+++ b/src/coordination/shard_leader/shard_leader_cancelled.cpp
@@ -30,8 +30,8 @@
   for (auto& task : job.live_tasks()) {
     mark_changed(task.machine);
     auto it = machines_.find(task.machine);
-    if (it != machines_.end() && it->second.tasks.contains(task.name))
-      commands_.dispatch(it->second, {Command::Op::stop, task.name, task.attempt, 0});
+    if (it != machines_.end() && it->second.tasks.contains(task.id))
+      commands_.dispatch(it->second, {Command::Op::stop, task.id, task.attempt, 0});
   }
 }
 
@@ -65,8 +65,7 @@
     const double age = now - cancelled_since(*job);
     if (age < limit || (!acknowledged && (age < latest || age > too_late))) continue;
     for (auto& task : job->live_tasks()) {
-      if (exits_.contains(task.name) || has_released(task.machine, task.name, task.attempt))
-        continue;
+      if (exits_.contains(task.id) || has_released(task.machine, task.id, task.attempt)) continue;
       scale_in_.request(task.machine, "it keeps a task of cancelled " + id,
                         ScaleInCause::keeps_cancelled_task);
     }
--- a/src/coordination/shard_leader/shard_leader_commit.cpp
+++ b/src/coordination/shard_leader/shard_leader_commit.cpp
@@ -114,8 +114,8 @@
     }
     auto* record = edits.edit(*job, chunk);
     if (!record) break;
-    record->end(name.index % job->chunk_size,
-                exit.cause == ExitCause::done ? TaskEnd::done : TaskEnd::restart);
+    record->end_attempt(name.index % job->chunk_size,
+                        exit.cause == ExitCause::done ? TaskEnd::done : TaskEnd::restart);
     const bool ends = ends_with(*job, *record, exit) && edits.end_with_edit(*job);
     (ends ? last : taken).push_back(name);
     ++it;
@@ -135,7 +135,7 @@
       co_await commit_and_apply(edits.finish(), stop_token, std::move(options));
   if (result == CommitResult::committed) {
     for (auto& name : last) {
-      cache_.remember_final(name.job, FinalState::done);
+      cache_.cache_final_state(name.job, FinalState::done);
       spdlog::info("job {} is done", name.job);
     }
     finish_exits(taken);
@@ -195,7 +195,7 @@
       co_await commit_and_apply(std::move(transaction), stop_token, std::move(options));
   if (result == CommitResult::committed)
     for (auto& [id, cancelled] : outcome)
-      cache_.remember_final(id, cancelled ? FinalState::cancelled : FinalState::done);
+      cache_.cache_final_state(id, cancelled ? FinalState::cancelled : FinalState::done);
   co_return StepResult::busy;
 }
 
--- a/src/coordination/shard_leader/shard_leader_drains.cpp
+++ b/src/coordination/shard_leader/shard_leader_drains.cpp
@@ -27,7 +27,7 @@
 void ShardLeader::stop_before_preemption(const Machine& m) {
   const double interval_s = settings_.heartbeat_interval_s;
   const double left_s = *m.preempted_at - loop_.now();
-  for (auto& [assignment, attempt] : cache_.assigned(m.id)) {
+  for (auto& [assignment, attempt] : cache_.assignments_on(m.id)) {
     const JobSpec& spec = assignment.job->spec;
     const TaskId task{spec.id, assignment.index};
     if (stopping_.contains(task)) continue;
@@ -53,7 +53,7 @@
     if (m.preempted_at) stop_before_preemption(m);
     // The jobs that failed here are tried elsewhere first, which may take the blame back.
     const bool in_dispute = m.faulty_since > 0 && now - m.faulty_since < settings_.lease_s;
-    const bool empty = cache_.assigned(id).empty() && m.tasks.empty() && m.agent_epoch != 0;
+    const bool empty = cache_.assignments_on(id).empty() && m.tasks.empty() && m.agent_epoch != 0;
     if (m.draining && empty && !in_dispute)
       scale_in_.request(id, "empty and drained (" + m.drain_reason + ")");
     // Responses don't reach it: its epochs end although every heartbeat is answered.
--- a/src/coordination/shard_leader/shard_leader_failures.cpp
+++ b/src/coordination/shard_leader/shard_leader_failures.cpp
@@ -15,7 +15,7 @@
   FailureDetector::FleetFacts facts;
   facts.has_tombstone = [this](auto& id) { return cache_.has_tombstone(id); };
   facts.is_leaving = [this](auto& id) { return scale_in_.is_leaving(id); };
-  facts.has_assignments = [this](auto& id) { return !cache_.assigned(id).empty(); };
+  facts.has_assignments = [this](auto& id) { return !cache_.assignments_on(id).empty(); };
   facts.silent_peers = deps_.peer_network.unreachable_peers();
   for (auto& machine : failure_detector_.detect(machines_, facts, loop_.now())) {
     scheduling_requested_ = true;
--- a/src/coordination/shard_leader/shard_leader_gangs.cpp
+++ b/src/coordination/shard_leader/shard_leader_gangs.cpp
@@ -6,12 +6,12 @@
 namespace damsonport {
 
 bool ShardLeader::is_stopping(const PlacedTask& task) const {
-  auto stop = stopping_.find(task.name);
+  auto stop = stopping_.find(task.id);
   return stop != stopping_.end() && stop->second.attempt == task.attempt;
 }
 
 bool ShardLeader::has_ended(const PlacedTask& task) const {
-  auto exit = exits_.find(task.name);
+  auto exit = exits_.find(task.id);
   return exit != exits_.end() && exit->second.attempt == task.attempt;
 }
 
@@ -33,8 +33,8 @@
   if (is_cancelled(job) || gangs_.next_action(job, gang) != GangAction::abandon) return;
   for (auto& task : job.live_tasks(gang)) {
     // One that was told to save goes on with it.
-    if (is_stopping(task) || exits_.contains(task.name)) continue;
-    spdlog::info("stopping {} attempt {} on {}: its gang is not whole", task.name.text(),
+    if (is_stopping(task) || exits_.contains(task.id)) continue;
+    spdlog::info("stopping {} attempt {} on {}: its gang is not whole", task.id.text(),
                  task.attempt, task.machine);
     stop_task(task, 0);
   }
@@ -45,7 +45,7 @@
     if (job->live == 0) continue;
     const uint32_t count = gang_count(job->spec);
     for (uint32_t n = 0; n < count; ++n) review_gang(*job, gang_range(job->spec, n));
-    if (count > 0 && job->unstarted() > 0) snapshot_builder_.mark_job_changed(*job);
+    if (count > 0 && job->startable_count() > 0) snapshot_builder_.mark_job_changed(*job);
   }
   if (replicas_.review()) scheduling_requested_ = true;
   for (auto& machine : replicas_.machines_to_ask()) commands_.start_probe(machine);
@@ -56,8 +56,8 @@
 // their own reports arrive any more.
 void ShardLeader::finish_gang(const Job& gang, uint64_t attempt) {
   for (auto& task : gang.live_tasks())
-    if (task.attempt == attempt && !exits_.contains(task.name)) {
-      exits_[task.name] = {attempt, ExitCause::done, task.machine};
+    if (task.attempt == attempt && !exits_.contains(task.id)) {
+      exits_[task.id] = {attempt, ExitCause::done, task.machine};
       mark_changed(task.machine);
     }
 }
@@ -88,13 +88,13 @@
 
 void ShardLeader::stop_task(const PlacedTask& task, double grace_s) {
   if (scale_in_.tracker().is_returned(task.machine)) return;  // gone with its machine
-  stopping_[task.name] = {task.attempt, grace_s};
+  stopping_[task.id] = {task.attempt, grace_s};
   Machine& m = machine(task.machine);
   mark_changed(m.id);
-  auto reported = m.tasks.find(task.name);
+  auto reported = m.tasks.find(task.id);
   // One that is not reported yet is stopped by the next report.
   if (reported != m.tasks.end() && reported->second.attempt == task.attempt)
-    commands_.dispatch(m, {Command::Op::stop, task.name, task.attempt, grace_s});
+    commands_.dispatch(m, {Command::Op::stop, task.id, task.attempt, grace_s});
 }
 
 }  // namespace damsonport
--- a/src/coordination/shard_leader/shard_leader_heartbeats.cpp
+++ b/src/coordination/shard_leader/shard_leader_heartbeats.cpp
@@ -30,7 +30,7 @@
 
 std::vector<DesiredTask> ShardLeader::desired_tasks_on(const Machine& m) const {
   std::vector<DesiredTask> out;
-  for (auto& [a, attempt] : cache_.assigned(m.id)) {
+  for (auto& [a, attempt] : cache_.assignments_on(m.id)) {
     TaskId name{a.job->spec.id, a.index};
     if (exits_.contains(name)) continue;  // proven gone, about to be committed
     DesiredTask e{name, attempt, is_cancelled(*a.job), {}};
@@ -164,7 +164,7 @@
   if (!replicas_.any() || m.fencing_token < lease_.fencing_token() || !lease_.records_current())
     return;
   std::vector<std::pair<const Job*, TaskRange>> concerned;
-  for (auto& [assignment, attempt] : cache_.assigned(m.id)) {
+  for (auto& [assignment, attempt] : cache_.assignments_on(m.id)) {
     const Job& job = *assignment.job;
     if (!job.spec.replicated()) continue;
     const TaskId name{job.spec.id, assignment.index};
--- a/src/storage/job.cpp
+++ b/src/storage/job.cpp
@@ -24,7 +24,7 @@
   auto it = chunks.find(chunk);
   if (it == chunks.end()) return false;
   const TaskChunk& record = it->second.record;
-  return record.next == size_of(chunk) && record.waiting.empty();
+  return record.next == tasks_in_chunk(chunk) && record.waiting.empty();
 }
 
 std::vector<PlacedTask> Job::live_tasks(TaskRange range) const {
--- a/src/storage/job.hpp
+++ b/src/storage/job.hpp
@@ -14,7 +14,7 @@
 
 /// A task that the records place on a machine.
 struct PlacedTask {
-  TaskId name;
+  TaskId id;
   uint64_t attempt = 0;
   std::string machine;
 };
@@ -50,7 +50,7 @@
     return keys::chunk(spec.id, number, chunk_layout);
   }
   /// Tasks in the chunk; the last one may be smaller than the others.
-  uint32_t size_of(uint32_t chunk) const {
+  uint32_t tasks_in_chunk(uint32_t chunk) const {
     return std::min(chunk_size, spec.tasks - chunk * chunk_size);
   }
   /// Every task of the chunk was started at least once, and none waits to be started again.
@@ -60,7 +60,7 @@
   TaskRangeSummary summarize(TaskRange range) const;
   bool finished() const { return done == spec.tasks; }
   /// Tasks neither live nor done.
-  uint64_t unstarted() const { return spec.tasks - live - done; }
+  uint64_t startable_count() const { return spec.tasks - live - done; }
 };
 
 }  // namespace damsonport
--- a/src/storage/job_index.cpp
+++ b/src/storage/job_index.cpp
@@ -43,7 +43,7 @@
   detach_chunks(job);
   // Those of a layout that it never took go as well.
   unattached_.orphan_all_of(job_id);
-  if (events_.on_job_gone) events_.on_job_gone(&job);
+  if (events_.on_job_removed) events_.on_job_removed(&job);
   jobs_.erase(it);
   notify(nullptr);
 }
@@ -73,15 +73,16 @@
   return it == jobs_.end() ? nullptr : it->second.get();
 }
 
-const MachineAssignments& JobIndex::assigned(const std::string& machine) const {
+const MachineAssignments& JobIndex::assignments_on(const std::string& machine) const {
   auto it = assigned_.find(machine);
   return it == assigned_.end() ? no_assignments : it->second;
 }
 
-bool JobIndex::places(const TaskId& task, uint64_t attempt, const std::string& machine) const {
+bool JobIndex::has_assignment(const TaskId& task, uint64_t attempt,
+                              const std::string& machine) const {
   Job* job = find(task.job);
   if (!job) return false;
-  auto& tasks = assigned(machine);
+  auto& tasks = assignments_on(machine);
   auto it = tasks.find({job, task.index});
   return it != tasks.end() && it->second == attempt;
 }
--- a/src/storage/job_index.hpp
+++ b/src/storage/job_index.hpp
@@ -35,7 +35,7 @@
   /// For each task that a change puts on a machine or takes from it.
   std::function<void(const std::string& machine, const Job&, AssignmentChange)> on_assignment;
   /// Before a job's object goes away.
-  std::function<void(Job*)> on_job_gone;
+  std::function<void(Job*)> on_job_removed;
 };
 
 class JobIndex {
@@ -63,13 +63,13 @@
   Job* find(const std::string& job_id) const;
   const std::unordered_map<std::string, std::unique_ptr<Job>>& jobs() const { return jobs_; }
   /// The tasks on this machine; empty for machines that no record names.
-  const MachineAssignments& assigned(const std::string& machine) const;
+  const MachineAssignments& assignments_on(const std::string& machine) const;
   /// Machines with at least one task.
   const std::unordered_map<std::string, MachineAssignments>& assignments() const {
     return assigned_;
   }
   /// Whether the records place this attempt of the task on the machine.
-  bool places(const TaskId& task, uint64_t attempt, const std::string& machine) const;
+  bool has_assignment(const TaskId& task, uint64_t attempt, const std::string& machine) const;
   /// Version of a chunk of the job's layout; 0, as in preconditions, when it was never written.
   uint64_t chunk_version(const std::string& job_id, uint32_t number) const;
   const UnattachedChunks& unattached() const { return unattached_; }
--- a/src/storage/quota_record.cpp
+++ b/src/storage/quota_record.cpp
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-QuotaUnits QuotaRecord::units() const {
+QuotaUnits QuotaRecord::available_units() const {
   QuotaUnits sum = initial;
   for (auto& [region, units] : received) sum += units;
   for (auto& [region, units] : sent) sum -= units;
--- a/src/storage/quota_record.hpp
+++ b/src/storage/quota_record.hpp
@@ -17,7 +17,7 @@
   std::map<std::string, QuotaUnits> received;  // by the region that sent them
 
   /// What the region may use.
-  QuotaUnits units() const;
+  QuotaUnits available_units() const;
   /// Zero for regions that nothing was exchanged with.
   QuotaUnits sent_to(const std::string& region) const;
   QuotaUnits received_from(const std::string& region) const;
--- a/src/storage/record_cache.cpp
+++ b/src/storage/record_cache.cpp
@@ -102,7 +102,7 @@
     if (!known) return;
     // A job's record goes only when it is over. That it is done is not inferred from that: a
     // cancellation may have been missed between two loads. The final state is read on demand.
-    if (known->cancelled) remember_final(id, FinalState::cancelled);
+    if (known->cancelled) cache_final_state(id, FinalState::cancelled);
     jobs_.remove(id);
     return;
   }
--- a/src/storage/record_cache.hpp
+++ b/src/storage/record_cache.hpp
@@ -59,12 +59,12 @@
   // Jobs and the tasks on machines: see JobIndex.
   Job* job(const std::string& id) const { return jobs_.find(id); }
   const auto& jobs() const { return jobs_.jobs(); }
-  const MachineAssignments& assigned(const std::string& machine) const {
-    return jobs_.assigned(machine);
+  const MachineAssignments& assignments_on(const std::string& machine) const {
+    return jobs_.assignments_on(machine);
   }
   const auto& assignments() const { return jobs_.assignments(); }
-  bool places(const TaskId& task, uint64_t attempt, const std::string& machine) const {
-    return jobs_.places(task, attempt, machine);
+  bool has_assignment(const TaskId& task, uint64_t attempt, const std::string& machine) const {
+    return jobs_.has_assignment(task, attempt, machine);
   }
   uint64_t chunk_version(const std::string& job_id, uint32_t number) const {
     return jobs_.chunk_version(job_id, number);
@@ -79,7 +79,7 @@
   std::optional<FinalState> final_state(const std::string& job_id) const {
     return final_states_.find(job_id);
   }
-  void remember_final(const std::string& job_id, FinalState state) {
+  void cache_final_state(const std::string& job_id, FinalState state) {
     final_states_.remember(job_id, state);
   }
 
--- a/src/storage/task_chunk.cpp
+++ b/src/storage/task_chunk.cpp
@@ -7,7 +7,7 @@
   return it == live.end() ? nullptr : &*it;
 }
 
-std::optional<TaskChunk::NextStart> TaskChunk::peek_startable(uint32_t size) const {
+std::optional<TaskChunk::NextStart> TaskChunk::next_startable(uint32_t size) const {
   if (!waiting.empty()) return NextStart{waiting.front().index, waiting.front().attempt + 1};
   if (next >= size) return std::nullopt;
   return NextStart{next, 1};
@@ -29,7 +29,7 @@
   live.insert(first_from(live, index), {index, attempt, machine});
 }
 
-void TaskChunk::end(uint32_t index, TaskEnd end) {
+void TaskChunk::end_attempt(uint32_t index, TaskEnd end) {
   const auto task = find_entry(live, index);
   if (task == live.end()) return;
   const uint64_t attempt = task->attempt;
--- a/src/storage/task_chunk.hpp
+++ b/src/storage/task_chunk.hpp
@@ -65,13 +65,13 @@
     uint64_t attempt;
   };
   /// The task to be started next in a chunk of `size` tasks; nothing when none is left.
-  std::optional<NextStart> peek_startable(uint32_t size) const;
+  std::optional<NextStart> next_startable(uint32_t size) const;
   /// Whether the task is neither live nor done.
   bool is_startable(uint32_t index) const;
   /// Makes the task live. Never-started tasks with lower indices become waiting ones.
   void start(uint32_t index, uint64_t attempt, const std::string& machine);
   /// The attempt of a live task is proven to have ended; no effect when the task isn't live.
-  void end(uint32_t index, TaskEnd end);
+  void end_attempt(uint32_t index, TaskEnd end);
   /// The highest attempt that any live or waiting task has had; 0: none.
   uint64_t last_attempt() const;
   bool finished(uint32_t size) const { return next == size && live.empty() && waiting.empty(); }
--- a/tests/regions/budgets_test.cpp
+++ b/tests/regions/budgets_test.cpp
@@ -115,7 +115,7 @@
 TEST(QuotaRecord, RoundTrips) {
   QuotaRecord record{{10, 20}, {{"south", {1, 2}}}, {{"south", {3, 4}}, {"west", {5, 6}}}};
   EXPECT_EQ(decode_quota(encode_quota(record)), record);
-  EXPECT_EQ(record.units(), (QuotaUnits{17, 28}));
+  EXPECT_EQ(record.available_units(), (QuotaUnits{17, 28}));
 }
 
 TEST(QuotaPolicy, SurplusExcludesUseNeedAndGuarantee) {
--- a/tests/regions/region_cluster.cpp
+++ b/tests/regions/region_cluster.cpp
@@ -230,7 +230,7 @@
 }
 
 double RegionCluster::budget_gpus(size_t region) const {
-  return amount_of(quota(region).units().gpus, plan_.team.gpus_max);
+  return amount_of(quota(region).available_units().gpus, plan_.team.gpus_max);
 }
 
 uint64_t RegionCluster::gpu_parts_on_the_way() const {
@@ -281,7 +281,7 @@
   if (quotas_.size() < regions_.size()) return;
   uint64_t sum = 0;
   for (auto& [region, record] : quotas_) {
-    const uint64_t parts = record.units().gpus;
+    const uint64_t parts = record.available_units().gpus;
     if (parts > all_quota_units)
       broken_.push_back(fmt::format("{} has given more than it had", regions_[region].name));
     sum += parts;
--- a/tests/replicas/replicas_test.cpp
+++ b/tests/replicas/replicas_test.cpp
@@ -132,11 +132,11 @@
   record = job.summarize({2, 2});
   EXPECT_TRUE(record.has_mixed_attempts);
   EXPECT_EQ(job.live_tasks({2, 2}).size(), 2u);
-  EXPECT_EQ(job.live_tasks({2, 2})[1].name.index, 3u);
+  EXPECT_EQ(job.live_tasks({2, 2})[1].id.index, 3u);
   EXPECT_TRUE(job.live_tasks({0, 2}).empty());
   EXPECT_TRUE(job.live_tasks({4, 2}).empty());
-  job.chunks[0].record.end(2, TaskEnd::restart);
-  job.chunks[1].record.end(0, TaskEnd::restart);
+  job.chunks[0].record.end_attempt(2, TaskEnd::restart);
+  job.chunks[1].record.end_attempt(0, TaskEnd::restart);
   EXPECT_EQ(job.summarize({2, 2}).last_attempt, 5u);
   EXPECT_EQ(next_attempt(job, {2, 2}), 6u);
 }
--- a/tests/scheduling/gang_tracker_test.cpp
+++ b/tests/scheduling/gang_tracker_test.cpp
@@ -46,7 +46,7 @@
   }
   void lose_one(ExitCause cause = ExitCause::stopped) {
     tracker.note_exit(job, replica, record().live.back().attempt, cause, false);
-    record().end(1, TaskEnd::restart);
+    record().end_attempt(1, TaskEnd::restart);
   }
 };
 
@@ -68,7 +68,7 @@
   f.tracker.note_running(f.job, f.replica, 1);
   f.lose_one();
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::abandon);
-  f.record().end(0, TaskEnd::restart);
+  f.record().end_attempt(0, TaskEnd::restart);
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::start);
   EXPECT_EQ(next_attempt(f.job, f.replica), 2u);
 }
--- a/tests/scheduling/gangs_test.cpp
+++ b/tests/scheduling/gangs_test.cpp
@@ -61,14 +61,14 @@
   // Halfway through a start, or with a task missing: the others join the attempt.
   EXPECT_EQ(live_attempt(gang, gang_range(gang.spec, 0)), 1u);
   EXPECT_EQ(next_attempt(gang, gang_range(gang.spec, 0)), 1u);
-  first.end(0, TaskEnd::restart);
+  first.end_attempt(0, TaskEnd::restart);
   EXPECT_EQ(next_attempt(gang, gang_range(gang.spec, 0)), 1u);
-  first.end(1, TaskEnd::restart);
+  first.end_attempt(1, TaskEnd::restart);
   EXPECT_EQ(live_attempt(gang, gang_range(gang.spec, 0)), 0u);
   EXPECT_EQ(next_attempt(gang, gang_range(gang.spec, 0)), 2u);
   // Attempts that an older version counted task by task.
   gang.chunks[1].record.start(0, 7, "i-1");
-  gang.chunks[1].record.end(0, TaskEnd::restart);
+  gang.chunks[1].record.end_attempt(0, TaskEnd::restart);
   EXPECT_EQ(next_attempt(gang, gang_range(gang.spec, 0)), 8u);
 }
 
--- a/tests/storage/record_cache_test.cpp
+++ b/tests/storage/record_cache_test.cpp
@@ -60,12 +60,12 @@
   cache.apply({keys::chunk("run-1", 0), encode_chunk(c), 2, 0});
   c.start(1, 1, "i-2");
   cache.apply({keys::chunk("run-1", 0), encode_chunk(c), 3, 0});
-  c.end(0, TaskEnd::done);
+  c.end_attempt(0, TaskEnd::done);
   cache.apply({keys::chunk("run-1", 0), encode_chunk(c), 4, 0});
   EXPECT_EQ(reported, "+i-1 +i-2 -i-1 ");
   EXPECT_EQ(cache.job("run-1")->live, 1u);
   EXPECT_EQ(cache.job("run-1")->done, 1u);
-  EXPECT_TRUE(cache.assigned("i-1").empty());
+  EXPECT_TRUE(cache.assignments_on("i-1").empty());
 }
 
 }  // namespace
--- a/tests/storage/task_chunk_test.cpp
+++ b/tests/storage/task_chunk_test.cpp
@@ -16,30 +16,30 @@
       c.start(i, 999999999, "i-0000000000");
     }
     EXPECT_LE(encode_chunk(c).dump().size(), kb * 1024);
-    for (uint32_t i = 0; i < size; i += 2) c.end(i, TaskEnd::restart);
+    for (uint32_t i = 0; i < size; i += 2) c.end_attempt(i, TaskEnd::restart);
     EXPECT_LE(encode_chunk(c).dump().size(), kb * 1024);
   }
 }
 
 TEST(TaskChunk, AttemptsIncreaseAndDoneTasksTakeNoSpace) {
   TaskChunk c;
-  auto next = c.peek_startable(2);
+  auto next = c.next_startable(2);
   ASSERT_TRUE(next);
   EXPECT_EQ(next->index, 0u);
   EXPECT_EQ(next->attempt, 1u);
   c.start(0, 1, "m");
-  c.end(0, TaskEnd::restart);
-  next = c.peek_startable(2);
+  c.end_attempt(0, TaskEnd::restart);
+  next = c.next_startable(2);
   ASSERT_TRUE(next);
   EXPECT_EQ(next->index, 0u);
   EXPECT_EQ(next->attempt, 2u);
   c.start(0, 2, "m");
   c.start(1, 1, "m");
-  EXPECT_FALSE(c.peek_startable(2));
-  c.end(0, TaskEnd::done);
+  EXPECT_FALSE(c.next_startable(2));
+  c.end_attempt(0, TaskEnd::done);
   EXPECT_EQ(c.done_count(), 1u);
   EXPECT_FALSE(c.finished(2));
-  c.end(1, TaskEnd::done);
+  c.end_attempt(1, TaskEnd::done);
   EXPECT_TRUE(c.finished(2));
 }
 
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -212,7 +212,7 @@
 
 TaskChunk waiting_chunk(uint32_t tasks, uint64_t attempt) {
   TaskChunk record = live_chunk(tasks, attempt);
-  for (uint32_t index = 0; index < tasks; ++index) record.end(index, TaskEnd::restart);
+  for (uint32_t index = 0; index < tasks; ++index) record.end_attempt(index, TaskEnd::restart);
   return record;
 }
 
--- a/tools/loadtest/results.cpp
+++ b/tools/loadtest/results.cpp
@@ -82,8 +82,8 @@
   for (auto& state : results.states)
     for (auto& [team, value] : state.at("budgets").items()) {
       const auto record = decode_quota(value);
-      parts[team].first += record.units().cpus;
-      parts[team].second += record.units().gpus;
+      parts[team].first += record.available_units().cpus;
+      parts[team].second += record.available_units().gpus;
       for (auto& [region, sent] : record.sent) moved += sent.cpus + sent.gpus > 0 ? 1 : 0;
     }
   uint64_t whole = 0, more = 0;
