--- a/src/storage/final_state_cache.hpp
+++ b/src/storage/final_state_cache.hpp
@@ -17,23 +17,23 @@
   }
 
   /// A final state never changes: one that is known stays as it is.
-  void remember(const std::string& job_id, FinalState state) {
+  void insert(const std::string& job_id, FinalState state) {
     if (!states_.emplace(job_id, state).second) return;
-    if (order_.size() < max_states) {
-      order_.push_back(job_id);
+    if (insertion_order_.size() < max_states) {
+      insertion_order_.push_back(job_id);
       return;
     }
-    states_.erase(order_[oldest_]);
-    order_[oldest_] = job_id;
-    oldest_ = (oldest_ + 1) % max_states;
+    states_.erase(insertion_order_[oldest_index_]);
+    insertion_order_[oldest_index_] = job_id;
+    oldest_index_ = (oldest_index_ + 1) % max_states;
   }
 
  private:
   static constexpr size_t max_states = 8192;
   std::unordered_map<std::string, FinalState> states_;
   // Jobs in the order in which they were remembered: a ring once it is full.
-  std::vector<std::string> order_;
-  size_t oldest_ = 0;
+  std::vector<std::string> insertion_order_;
+  size_t oldest_index_ = 0;
 };
 
 }  // namespace damsonport
--- a/src/storage/job_index.cpp
+++ b/src/storage/job_index.cpp
@@ -9,7 +9,7 @@
 namespace {
 const MachineAssignments no_assignments;
 
-bool is_same(const LiveTask* a, const LiveTask& b) {
+bool is_same_attempt(const LiveTask* a, const LiveTask& b) {
   return a && a->attempt == b.attempt && a->machine == b.machine;
 }
 }  // namespace
@@ -42,7 +42,7 @@
   Job& job = *it->second;
   detach_chunks(job);
   // Those of a layout that it never took go as well.
-  unattached_.orphan_all_of(job_id);
+  unattached_.orphan_chunks_of(job_id);
   if (events_.on_job_removed) events_.on_job_removed(&job);
   jobs_.erase(it);
   notify(nullptr);
@@ -74,8 +74,8 @@
 }
 
 const MachineAssignments& JobIndex::assignments_on(const std::string& machine) const {
-  auto it = assigned_.find(machine);
-  return it == assigned_.end() ? no_assignments : it->second;
+  auto it = assignments_.find(machine);
+  return it == assignments_.end() ? no_assignments : it->second;
 }
 
 bool JobIndex::has_assignment(const TaskId& task, uint64_t attempt,
@@ -103,22 +103,22 @@
   job.live += chunk.record.live.size() - before.live.size();
   job.done += chunk.record.done_count() - before.done_count();
   for (auto& task : before.live)
-    if (!is_same(chunk.record.find_live(task.index), task))
+    if (!is_same_attempt(chunk.record.find_live(task.index), task))
       assign(job, task, start, AssignmentChange::removed);
   for (auto& task : chunk.record.live)
-    if (!is_same(before.find_live(task.index), task))
+    if (!is_same_attempt(before.find_live(task.index), task))
       assign(job, task, start, AssignmentChange::added);
 }
 
 void JobIndex::assign(Job& job, const LiveTask& task, uint32_t chunk_start,
                       AssignmentChange change) {
-  auto& tasks = assigned_[task.machine];
+  auto& tasks = assignments_[task.machine];
   const Assignment assignment{&job, chunk_start + task.index};
   if (change == AssignmentChange::added) {
     tasks[assignment] = task.attempt;
   } else {
     tasks.erase(assignment);
-    if (tasks.empty()) assigned_.erase(task.machine);
+    if (tasks.empty()) assignments_.erase(task.machine);
   }
   if (events_.on_assignment) events_.on_assignment(task.machine, job, change);
 }
--- a/src/storage/job_index.hpp
+++ b/src/storage/job_index.hpp
@@ -66,7 +66,7 @@
   const MachineAssignments& assignments_on(const std::string& machine) const;
   /// Machines with at least one task.
   const std::unordered_map<std::string, MachineAssignments>& assignments() const {
-    return assigned_;
+    return assignments_;
   }
   /// Whether the records place this attempt of the task on the machine.
   bool has_assignment(const TaskId& task, uint64_t attempt, const std::string& machine) const;
@@ -84,7 +84,7 @@
   const RecordEvents& events_;
   std::unordered_map<std::string, std::unique_ptr<Job>> jobs_;
   UnattachedChunks unattached_;
-  std::unordered_map<std::string, MachineAssignments> assigned_;
+  std::unordered_map<std::string, MachineAssignments> assignments_;
 };
 
 }  // namespace damsonport
--- a/src/storage/key_value_client.cpp
+++ b/src/storage/key_value_client.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-constexpr double answer_timeout_s = 1.5;  // answers usually take 10 ms, seldom 300
-constexpr double range_timeout_s = 2 * answer_timeout_s;
+constexpr double response_timeout_s = 1.5;  // answers usually take 10 ms, seldom 300
+constexpr double range_timeout_s = 2 * response_timeout_s;
 constexpr int max_page_keys = 250;
 // Between repeats of a transaction whose outcome is unknown; doubled each time.
-constexpr double first_pause_s = 0.02;
-constexpr double longest_pause_s = 1.0;
+constexpr double initial_retry_delay_s = 0.02;
+constexpr double max_retry_delay_s = 1.0;
 
 // Fields of the store's messages.
 namespace wire {
@@ -122,8 +122,8 @@
   co_await rate_limiter_.acquire(priority, writes);
   auto reply =
       co_await http_.request(endpoint_, method, std::move(target), std::move(body), timeout_s);
-  if (reply.answered() && reply.status != 503) last_contact_ = loop_.now();
-  if (reply.status == 429) rate_limiter_.on_refused();
+  if (reply.answered() && reply.status != 503) last_contact_at_ = loop_.now();
+  if (reply.status == 429) rate_limiter_.on_rate_limited();
   co_return reply;
 }
 
@@ -132,7 +132,7 @@
   const int writes = static_cast<int>(transaction.writes.size());
   auto body = encode_transaction(std::move(transaction));
   const auto reply =
-      co_await call(Method::post, "/txn", std::move(body), priority, writes, answer_timeout_s);
+      co_await call(Method::post, "/txn", std::move(body), priority, writes, response_timeout_s);
   co_return decode_transaction_result(reply);
 }
 
@@ -145,7 +145,7 @@
                                                               RequestPriority priority,
                                                               std::stop_token stop_token) {
   bool may_be_applied = false;  // some earlier copy
-  double pause_s = first_pause_s;
+  double retry_delay_s = initial_retry_delay_s;
   for (;;) {
     auto result = co_await compare_and_swap(transaction, priority);
     if (result.outcome == TransactionOutcome::unknown) may_be_applied = true;
@@ -153,13 +153,15 @@
                              result.outcome == TransactionOutcome::conflict ||
                              (result.outcome == TransactionOutcome::invalid && !may_be_applied);
     if (is_definite) co_return result;
-    if (!co_await Sleep(loop_, pause_s * loop_.uniform(0.5, 1.5), stop_token)) co_return result;
-    pause_s = std::min(pause_s * 2, longest_pause_s);
+    if (!co_await Sleep(loop_, retry_delay_s * loop_.uniform(0.5, 1.5), stop_token))
+      co_return result;
+    retry_delay_s = std::min(retry_delay_s * 2, max_retry_delay_s);
   }
 }
 
 Task<GetResult> KeyValueClient::get(std::string key, RequestPriority priority) {
-  const auto reply = co_await call(Method::get, "/keys/" + key, {}, priority, 0, answer_timeout_s);
+  const auto reply =
+      co_await call(Method::get, "/keys/" + key, {}, priority, 0, response_timeout_s);
   GetResult result;
   if (reply.status == 200) result.status = GetStatus::found;
   if (reply.status == 404) result.status = GetStatus::absent;
@@ -196,7 +198,7 @@
   std::string target = "/watch?starts=" + prefix + "&since=" + std::to_string(after) +
                        "&block_ms=" + std::to_string(static_cast<int>(wait_s * 1000));
   const auto reply = co_await call(Method::get, std::move(target), {}, RequestPriority::watching, 0,
-                                   wait_s + answer_timeout_s);
+                                   wait_s + response_timeout_s);
   WatchResult result;
   if (reply.status == 410) result.status = ReadStatus::compacted;
   if (reply.status != 200) co_return result;
@@ -212,7 +214,7 @@
   Json request = Json::object();
   request[wire::lease_ms] = static_cast<int>(ttl_s * 1000);
   const auto reply = co_await call(Method::post, "/grants", encode(request), RequestPriority::lease,
-                                   0, answer_timeout_s);
+                                   0, response_timeout_s);
   if (reply.status != 200) co_return std::nullopt;
   const auto message = decode_map(reply.body);
   const uint64_t lease = message.is_object() ? number(message, wire::lease) : 0;
@@ -223,14 +225,14 @@
 Task<KeyValueClient::Renewal> KeyValueClient::renew_lease(uint64_t lease) {
   const auto reply =
       co_await call(Method::post, "/grants/" + std::to_string(lease) + "/touch",
-                    encode(Json::object()), RequestPriority::lease, 0, answer_timeout_s);
+                    encode(Json::object()), RequestPriority::lease, 0, response_timeout_s);
   if (reply.status == 200) co_return Renewal::renewed;
   co_return reply.status == 404 ? Renewal::ended : Renewal::unknown;
 }
 
 Task<void> KeyValueClient::revoke_lease(uint64_t lease) {
   co_await call(Method::del, "/grants/" + std::to_string(lease), {}, RequestPriority::lease, 0,
-                answer_timeout_s);
+                response_timeout_s);
 }
 
 }  // namespace damsonport
--- a/src/storage/key_value_client.hpp
+++ b/src/storage/key_value_client.hpp
@@ -103,7 +103,7 @@
 
   RateLimiter& rate_limiter() { return rate_limiter_; }
   /// Seconds since the last answer that shows the store to be in service; infinite before it.
-  double contact_age_s() const { return loop_.now() - last_contact_; }
+  double contact_age_s() const { return loop_.now() - last_contact_at_; }
 
  private:
   Task<HttpReply> call(Method method, std::string target, std::string body,
@@ -113,7 +113,7 @@
   HttpClient& http_;
   Endpoint endpoint_;
   RateLimiter rate_limiter_;
-  double last_contact_ = never;
+  double last_contact_at_ = never;
 };
 
 }  // namespace damsonport
--- a/src/storage/quota_record.cpp
+++ b/src/storage/quota_record.cpp
@@ -8,7 +8,7 @@
 
 using Totals = std::map<std::string, QuotaUnits>;
 
-QuotaUnits total_of(const Totals& totals, const std::string& region) {
+QuotaUnits find_total(const Totals& totals, const std::string& region) {
   auto it = totals.find(region);
   return it == totals.end() ? QuotaUnits{} : it->second;
 }
@@ -41,10 +41,12 @@
   return sum;
 }
 
-QuotaUnits QuotaRecord::sent_to(const std::string& region) const { return total_of(sent, region); }
+QuotaUnits QuotaRecord::sent_to(const std::string& region) const {
+  return find_total(sent, region);
+}
 
 QuotaUnits QuotaRecord::received_from(const std::string& region) const {
-  return total_of(received, region);
+  return find_total(received, region);
 }
 
 Json encode_quota(const QuotaRecord& record) {
--- a/src/storage/rate_limiter.hpp
+++ b/src/storage/rate_limiter.hpp
@@ -21,7 +21,7 @@
 /// leader that writes all the time must still learn of cancellations. So do users' submissions and
 /// cancellations: they are few beside what a shard leader may have to write.
 enum class RequestPriority : uint8_t { lease, watching, accepting, scheduling, polling };
-inline constexpr size_t request_priorities = 5;
+inline constexpr size_t request_priority_count = 5;
 
 /// A controller's share of the writes, 0 to 1: a part for each controller in any case, the rest in
 /// proportion to the writes that are wanted. Shares that are computed from the same figures never
@@ -37,9 +37,9 @@
 
   /// This controller's shares of the limits, 0 to 1.
   void set_shares(double requests, double writes);
-  double writes_per_s() const { return write_rate_; }
+  double writes_per_s() const { return writes_per_s_; }
   /// The store refused a request for its rate.
-  void on_refused();
+  void on_rate_limited();
 
   /// Awaited: resumes when the request may be sent.
   struct Permit {
@@ -60,31 +60,31 @@
     std::coroutine_handle<> handle;
     int writes;
   };
-  void use(const StateLimits& limits);
+  void apply_limits(const StateLimits& limits);
   void apply_shares();
-  void try_present_limits();
+  void restore_present_limits();
   void refill();
   // What a request with so many writes needs in the bucket.
-  double required_writes(int writes) const;
-  bool try_spend(int writes);
-  void serve_waiters();
+  double required_write_tokens(int writes) const;
+  bool try_consume(int writes);
+  void resume_waiters();
   void arm_timer();
 
   Loop& loop_;
   const StateLimitSettings limits_;
-  double all_requests_per_s_ = 0;  // of the whole store
-  double all_writes_per_s_ = 0;
+  double store_requests_per_s_ = 0;  // of the whole store
+  double store_writes_per_s_ = 0;
   double request_share_ = 1;  // of this controller
   double write_share_ = 1;
-  double request_rate_ = 0;  // per second, of this controller
-  double write_rate_ = 0;
+  double requests_per_s_ = 0;  // per second, of this controller
+  double writes_per_s_ = 0;
   // Steady time until which the announced limits are kept to; nothing: the present ones are.
   std::optional<double> lowered_until_;
-  double lowered_for_s_ = 0;
-  double requests_ = 0;  // in the buckets
-  double writes_ = 0;
+  double lowered_duration_s_ = 0;
+  double request_tokens_ = 0;  // in the buckets
+  double write_tokens_ = 0;
   double refilled_at_;
-  std::array<std::deque<Waiter>, request_priorities> queues_;
+  std::array<std::deque<Waiter>, request_priority_count> queues_;
   std::unique_ptr<Timer> timer_;
 };
 
--- a/src/storage/record_cache.cpp
+++ b/src/storage/record_cache.cpp
@@ -7,7 +7,7 @@
 namespace damsonport {
 
 RecordCache::RecordCache(Loop& loop, double clock_error_s, double writes_per_s)
-    : loop_(loop), clock_error_s_(clock_error_s), removed_(writes_per_s) {}
+    : loop_(loop), clock_error_s_(clock_error_s), removed_keys_(writes_per_s) {}
 
 void RecordCache::set_loaded(uint64_t revision, double as_of) {
   revision_ = revision;
@@ -42,10 +42,10 @@
 }
 
 void RecordCache::apply(const KeyValue& key_value) {
-  if (removed_.is_stale_write(key_value.key, key_value.version)) return;
+  if (removed_keys_.is_stale_write(key_value.key, key_value.version)) return;
   if (const auto key = parse_record_key(key_value.key)) apply_record(*key, key_value);
   if (key_value.value.is_null() && key_value.version)
-    removed_.note(key_value.key, key_value.version);
+    removed_keys_.record_removal(key_value.key, key_value.version);
 }
 
 void RecordCache::apply_record(const RecordKey& key, const KeyValue& key_value) {
--- a/src/storage/record_cache.hpp
+++ b/src/storage/record_cache.hpp
@@ -42,7 +42,7 @@
   /// Changes up to this revision were applied, as a watch opened at steady time `as_of` gave them.
   void advance(uint64_t revision, double as_of);
   /// Changes were missed: the cache counts as not loaded until everything was read again.
-  void set_behind() { loaded_ = false; }
+  void mark_not_loaded() { loaded_ = false; }
   /// Keys that the cache has and a complete listing at `revision` doesn't: they were removed.
   std::vector<std::string> keys_missing_from(const std::set<std::string>& listing,
                                              uint64_t revision) const;
@@ -80,7 +80,7 @@
     return final_states_.find(job_id);
   }
   void cache_final_state(const std::string& job_id, FinalState state) {
-    final_states_.remember(job_id, state);
+    final_states_.insert(job_id, state);
   }
 
   const ShardTable& shard_table() const { return shard_table_; }
@@ -134,7 +134,7 @@
   RecordEvents events_;
   JobIndex jobs_{events_};
   FinalStateCache final_states_;
-  RemovedKeys removed_;
+  RemovedKeys removed_keys_;
   ShardTable shard_table_;
   uint64_t shard_table_version_ = 0;
   LeaderRecord leader_;
--- a/src/storage/record_limits.cpp
+++ b/src/storage/record_limits.cpp
@@ -9,14 +9,14 @@
 namespace {
 constexpr double bytes_per_kb = 1024;
 // The longest entry in text, [9999,1844674407370955161,"i-0000000000"], with a margin.
-constexpr double chunk_entry_bytes = 48;
-constexpr double chunk_head_bytes = 64;
+constexpr double max_chunk_entry_bytes = 48;
+constexpr double chunk_overhead_bytes = 64;
 // Where values may be large: every change of a task writes its whole chunk.
 constexpr double max_chunk_size = 1024;
 // Fields that are added when the job is cancelled.
 constexpr size_t cancellation_bytes = 64;
-constexpr double longest_machine_bytes = 24;
-constexpr double tombstone_head_bytes = 64;
+constexpr double max_machine_entry_bytes = 24;
+constexpr double tombstone_overhead_bytes = 64;
 constexpr double max_machines_per_tombstone = 100;
 }  // namespace
 
@@ -25,15 +25,15 @@
 }
 
 bool chunk_fits(const TaskChunk& chunk, double value_kb) {
-  const double limit = value_kb * bytes_per_kb - chunk_entry_bytes;
+  const double limit = value_kb * bytes_per_kb - max_chunk_entry_bytes;
   const auto entries = static_cast<double>(chunk.live.size() + chunk.waiting.size());
   // Most are far below, and need not be written out to be measured.
-  if (chunk_head_bytes + chunk_entry_bytes * entries <= limit) return true;
+  if (chunk_overhead_bytes + max_chunk_entry_bytes * entries <= limit) return true;
   return static_cast<double>(stored_size(encode_chunk(chunk))) <= limit;
 }
 
 uint32_t chunk_size(double value_kb) {
-  const double fits = (value_kb * bytes_per_kb - chunk_head_bytes) / chunk_entry_bytes;
+  const double fits = (value_kb * bytes_per_kb - chunk_overhead_bytes) / max_chunk_entry_bytes;
   return static_cast<uint32_t>(std::clamp(fits, 1.0, max_chunk_size));
 }
 
@@ -43,7 +43,8 @@
 }
 
 size_t machines_per_tombstone(double value_kb) {
-  const double fits = (value_kb * bytes_per_kb - tombstone_head_bytes) / longest_machine_bytes;
+  const double fits =
+      (value_kb * bytes_per_kb - tombstone_overhead_bytes) / max_machine_entry_bytes;
   return static_cast<size_t>(std::clamp(fits, 1.0, max_machines_per_tombstone));
 }
 
--- a/src/storage/record_watcher.cpp
+++ b/src/storage/record_watcher.cpp
@@ -22,10 +22,10 @@
 Task<bool> RecordWatcher::load(std::stop_token stop_token) {
   std::string after;
   std::optional<uint64_t> first_revision;
-  double begun_at = 0;
+  double listing_started_at = 0;
   std::set<std::string> listing;
   for (;;) {
-    if (!first_revision) begun_at = loop_.now();
+    if (!first_revision) listing_started_at = loop_.now();
     auto page = co_await store_.range(keys::cached_prefix, after, RequestPriority::scheduling);
     if (page.status != ReadStatus::ok) {
       if (!co_await pause_after_failure(stop_token)) co_return false;
@@ -42,7 +42,7 @@
   }
   remove_missing(listing, *first_revision);
   warning_.clear();
-  cache_.set_loaded(*first_revision, begun_at);
+  cache_.set_loaded(*first_revision, listing_started_at);
   co_return true;
 }
 
@@ -75,11 +75,11 @@
     if (result.status == ReadStatus::compacted) {
       spdlog::info("the watch fell behind at revision {}: reading all records again",
                    cache_.revision());
-      cache_.set_behind();
+      cache_.mark_not_loaded();
     }
     // Changes that come close together arrive in one answer.
-    const double gap_s = ok ? min_gap_s_ : loop_.uniform(0.1, 0.3);
-    const double pause_s = opened_at + gap_s - loop_.now();
+    const double interval_s = ok ? min_watch_interval_s_ : loop_.uniform(0.1, 0.3);
+    const double pause_s = opened_at + interval_s - loop_.now();
     if (pause_s > 0 && !co_await Sleep(loop_, pause_s, stop_token)) co_return;
   }
 }
--- a/src/storage/record_watcher.hpp
+++ b/src/storage/record_watcher.hpp
@@ -12,9 +12,10 @@
 /// One coroutine, run(), owns all the state here, and alone moves the cache's revision.
 class RecordWatcher {
  public:
-  /// `min_gap_s`: between two watch requests, so that they leave requests for other uses.
-  RecordWatcher(Loop& loop, KeyValueClient& store, RecordCache& cache, double min_gap_s)
-      : loop_(loop), store_(store), cache_(cache), min_gap_s_(min_gap_s) {}
+  /// `min_watch_interval_s`: between two watch requests, so that they leave requests for other
+  /// uses.
+  RecordWatcher(Loop& loop, KeyValueClient& store, RecordCache& cache, double min_watch_interval_s)
+      : loop_(loop), store_(store), cache_(cache), min_watch_interval_s_(min_watch_interval_s) {}
 
   /// Loads and follows until stopped.
   Task<void> run(std::stop_token stop_token);
@@ -31,7 +32,7 @@
   Loop& loop_;
   KeyValueClient& store_;
   RecordCache& cache_;
-  const double min_gap_s_;
+  const double min_watch_interval_s_;
   WarningLimiter warning_;
 };
 
--- a/src/storage/removed_keys.hpp
+++ b/src/storage/removed_keys.hpp
@@ -13,17 +13,20 @@
  public:
   /// `writes_per_s`: the most that the key-value store takes.
   explicit RemovedKeys(double writes_per_s)
-      : generation_size_(std::max(min_kept, static_cast<size_t>(writes_per_s * kept_s))) {}
+      : generation_size_(
+            std::max(min_generation_size, static_cast<size_t>(writes_per_s * min_retention_s))) {}
 
-  void note(const std::string& key, uint64_t version) {
+  void record_removal(const std::string& key, uint64_t version) {
     // Never all at once: a read under way may bring what was removed a moment ago.
-    if (newest_.size() >= generation_size_) before_ = std::exchange(newest_, {});
-    newest_[key] = version;
+    if (current_generation_.size() >= generation_size_)
+      previous_generation_ = std::exchange(current_generation_, {});
+    current_generation_[key] = version;
   }
 
-  /// Whether this version of the key is older than its removal. A newer one ends the note of it.
+  /// Whether this version of the key is older than its removal. A newer one ends the note of
+  /// it.
   bool is_stale_write(const std::string& key, uint64_t version) {
-    for (auto* generation : {&newest_, &before_}) {
+    for (auto* generation : {&current_generation_, &previous_generation_}) {
       auto removed = generation->find(key);
       if (removed == generation->end()) continue;
       if (version <= removed->second) return true;
@@ -34,12 +37,12 @@
 
  private:
   // Removals are kept at least for this long, which is longer than a read waits for its answer.
-  static constexpr double kept_s = 5;
-  static constexpr size_t min_kept = 4096;
+  static constexpr double min_retention_s = 5;
+  static constexpr size_t min_generation_size = 4096;
   const size_t generation_size_;
   // Two generations, of which the older one is dropped as a whole.
-  std::unordered_map<std::string, uint64_t> newest_;
-  std::unordered_map<std::string, uint64_t> before_;
+  std::unordered_map<std::string, uint64_t> current_generation_;
+  std::unordered_map<std::string, uint64_t> previous_generation_;
 };
 
 }  // namespace damsonport
--- a/src/storage/task_chunk.cpp
+++ b/src/storage/task_chunk.cpp
@@ -26,7 +26,7 @@
   }
   std::sort(waiting.begin(), waiting.end(),
             [](const WaitingTask& a, const WaitingTask& b) { return a.index < b.index; });
-  live.insert(first_from(live, index), {index, attempt, machine});
+  live.insert(first_at_or_after(live, index), {index, attempt, machine});
 }
 
 void TaskChunk::end_attempt(uint32_t index, TaskEnd end) {
@@ -35,7 +35,7 @@
   const uint64_t attempt = task->attempt;
   live.erase(task);
   if (end == TaskEnd::done) return;
-  waiting.insert(first_from(waiting, index), {index, attempt});
+  waiting.insert(first_at_or_after(waiting, index), {index, attempt});
 }
 
 uint64_t TaskChunk::last_attempt() const {
--- a/src/storage/task_chunk.hpp
+++ b/src/storage/task_chunk.hpp
@@ -29,7 +29,7 @@
 
 /// Iterator to the first entry, of entries ordered by their index, with at least this index.
 template <class Entries>
-auto first_from(Entries& entries, uint32_t index) {
+auto first_at_or_after(Entries& entries, uint32_t index) {
   return std::lower_bound(entries.begin(), entries.end(), index,
                           [](const auto& entry, uint32_t i) { return entry.index < i; });
 }
@@ -37,7 +37,7 @@
 /// Iterator to the entry with this index, or the end.
 template <class Entries>
 auto find_entry(Entries& entries, uint32_t index) {
-  const auto it = first_from(entries, index);
+  const auto it = first_at_or_after(entries, index);
   return it != entries.end() && it->index == index ? it : entries.end();
 }
 
@@ -45,7 +45,7 @@
 template <class Entry>
 std::span<const Entry> entries_within(const std::vector<Entry>& entries, uint32_t first,
                                       uint32_t end) {
-  return {first_from(entries, first), first_from(entries, end)};
+  return {first_at_or_after(entries, first), first_at_or_after(entries, end)};
 }
 
 /// What becomes of a task whose attempt is proven to have ended.
--- a/src/storage/unattached_chunks.cpp
+++ b/src/storage/unattached_chunks.cpp
@@ -19,7 +19,7 @@
   return std::move(chunk.mapped());
 }
 
-void UnattachedChunks::orphan_all_of(const std::string& job_id) {
+void UnattachedChunks::orphan_chunks_of(const std::string& job_id) {
   const auto prefix = keys::chunks_of(job_id);
   for (auto chunk = chunks_.lower_bound(prefix);
        chunk != chunks_.end() && chunk->first.starts_with(prefix); ++chunk)
--- a/src/storage/unattached_chunks.hpp
+++ b/src/storage/unattached_chunks.hpp
@@ -23,7 +23,7 @@
   /// Takes the chunk out, for its job; nothing when it isn't here.
   std::optional<KeyValue> take(const std::string& key);
   /// The job is gone: none of its chunks can come into use any more.
-  void orphan_all_of(const std::string& job_id);
+  void orphan_chunks_of(const std::string& job_id);
 
   bool empty() const { return chunks_.empty(); }
   /// Version of the chunk; 0, by which a precondition says that a key is absent, when it isn't
--- a/tests/storage/rate_limiter_test.cpp
+++ b/tests/storage/rate_limiter_test.cpp
@@ -48,7 +48,7 @@
   RateLimiter limit(clock, {{100, 50, 16, 12}, {100, 35, 2, 4}});
   limit.set_shares(1, 1);
   const double present = limit.writes_per_s();
-  limit.on_refused();
+  limit.on_rate_limited();
   EXPECT_NEAR(limit.writes_per_s(), present * 35 / 50, 1e-9);
   clock.time += 29;
   limit.set_shares(1, 1);
@@ -57,7 +57,7 @@
   limit.set_shares(1, 1);
   EXPECT_NEAR(limit.writes_per_s(), present, 1e-9);
   // Refused again: the announced rate is kept to for longer.
-  limit.on_refused();
+  limit.on_rate_limited();
   clock.time += 31;
   limit.set_shares(1, 1);
   EXPECT_LT(limit.writes_per_s(), present);
