--- a/src/storage/final_state_cache.hpp
+++ b/src/storage/final_state_cache.hpp
@@ -1,4 +1,5 @@
-/// Final states of jobs, of which the latest are remembered; the others are read on demand.
+/// Bounded cache of the final states of jobs. It keeps the states inserted last; the other states
+/// are read from the key-value store on demand.
 #pragma once
 #include <optional>
 #include <string>
@@ -9,14 +10,17 @@
 
 namespace damsonport {
 
+/// The final states of up to 8192 jobs, by job ID.
 class FinalStateCache {
  public:
+  /// Returns the job's final state, or nullopt when the cache doesn't have it.
   std::optional<FinalState> find(const std::string& job_id) const {
     auto it = states_.find(job_id);
     return it == states_.end() ? std::nullopt : std::optional(it->second);
   }
 
-  /// A final state never changes: one that is known stays as it is.
+  /// Inserts a final state and evicts the oldest one when the cache is full. A state that the cache
+  /// already has is kept, because a final state never changes.
   void insert(const std::string& job_id, FinalState state) {
     if (!states_.emplace(job_id, state).second) return;
     if (insertion_order_.size() < max_states) {
@@ -31,7 +35,7 @@
  private:
   static constexpr size_t max_states = 8192;
   std::unordered_map<std::string, FinalState> states_;
-  // Jobs in the order in which they were remembered: a ring once it is full.
+  // Job IDs in the order of insertion; a ring buffer when it is full.
   std::vector<std::string> insertion_order_;
   size_t oldest_index_ = 0;
 };
--- a/src/storage/job.cpp
+++ b/src/storage/job.cpp
@@ -5,8 +5,8 @@
 namespace damsonport {
 
 namespace {
-// Calls `use` with each written chunk that has tasks of the range, the chunk's number, and the part
-// of the range that lies in it.
+// Calls `use` for each written chunk that contains tasks of the range, with the chunk, the chunk's
+// number, and the part of the range that lies in the chunk, relative to the chunk's first task.
 template <class Use>
 void for_each_chunk(const Job& job, TaskRange range, Use use) {
   for (auto it = job.chunks.lower_bound(range.first / job.chunk_size); it != job.chunks.end();
--- a/src/storage/job_index.cpp
+++ b/src/storage/job_index.cpp
@@ -26,7 +26,7 @@
 }
 
 void JobIndex::update(Job& job, const JobUpdate& update) {
-  // Rechunked: the chunks of the new layout were all written before the job's record.
+  // The job was rechunked: all chunks of the new layout were written before the job's record.
   if (job.chunk_layout != update.chunk_layout) detach_chunks(job);
   job.chunk_size = update.chunk_size;
   job.chunk_layout = update.chunk_layout;
@@ -41,7 +41,7 @@
   auto it = jobs_.find(job_id);
   Job& job = *it->second;
   detach_chunks(job);
-  // Those of a layout that it never took go as well.
+  // Chunks of a layout that the job's record never had become orphaned too.
   unattached_.orphan_chunks_of(job_id);
   if (events_.on_job_removed) events_.on_job_removed(&job);
   jobs_.erase(it);
@@ -55,14 +55,14 @@
       unattached_.remove(chunk.key);
       return;
     }
-    // A chunk of a later layout waits for its job to take it.
+    // A chunk of a later layout stays unattached until the job's record has that layout.
     const bool orphaned = !job || name.chunk_layout < job->chunk_layout;
     unattached_.put(chunk, orphaned ? ChunkUse::orphaned : ChunkUse::expected);
     return;
   }
   auto known = job->chunks.find(name.number);
   if (known != job->chunks.end() && chunk.version <= known->second.version) return;
-  // A chunk is removed only together with or after its job.
+  // A chunk is removed only together with its job or after it, so removing the job covers this.
   if (chunk.value.is_null()) return;
   set_chunk(*job, name.number, decode_chunk(chunk.value), chunk.version);
   notify(job);
@@ -94,7 +94,8 @@
   return chunk == job->chunks.end() ? 0 : chunk->second.version;
 }
 
-// Only what differs is touched: a change of one task must not cost as much as the whole chunk.
+// Reports only the assignments that differ, so that a change of one task is not as expensive as a
+// change of the whole chunk.
 void JobIndex::set_chunk(Job& job, uint32_t number, TaskChunk record, uint64_t version) {
   auto& chunk = job.chunks[number];
   const uint32_t start = number * job.chunk_size;
@@ -123,7 +124,7 @@
   if (events_.on_assignment) events_.on_assignment(task.machine, job, change);
 }
 
-// The job's chunks are no longer its own: they are kept as orphaned ones, to be removed.
+// Moves the job's chunks to the unattached chunks as orphaned, to be removed from the store.
 void JobIndex::detach_chunks(Job& job) {
   for (auto& [number, chunk] : job.chunks) {
     const uint64_t version = chunk.version;
@@ -135,7 +136,8 @@
   job.chunks.clear();
 }
 
-// Takes the chunks that were read before the job's record, or before it took their layout.
+// Attaches the chunks that were read before the job's record, or before the version of the record
+// that has their layout.
 void JobIndex::attach_chunks(Job& job) {
   for (uint32_t number = 0; number < job.chunk_count() && !unattached_.empty(); ++number) {
     const auto chunk = unattached_.take(job.chunk_key(number));
--- a/src/storage/job_index.hpp
+++ b/src/storage/job_index.hpp
@@ -1,6 +1,7 @@
-/// The jobs that the records describe, with their chunks, and the tasks by machine.
+/// Index of the jobs that the records describe, with their task chunks, and of the assigned tasks
+/// by machine.
 ///
-/// Part of the RecordCache, which decodes the records and decides which of them are newer.
+/// The index is a part of the RecordCache, which decodes the job records and ignores outdated ones.
 #pragma once
 #include <functional>
 #include <map>
@@ -14,63 +15,71 @@
 
 namespace damsonport {
 
-/// A task on a machine, according to the records.
+/// A task that the records assign to a machine.
 struct Assignment {
   Job* job;
-  uint32_t index;  // in the job
-  // By name and not by address, so that equal histories are decided equally.
+  uint32_t index;  // of the task in its job
+  // Compares job IDs and not addresses, so that equal histories lead to equal decisions.
   bool operator<(const Assignment& other) const {
     return job != other.job ? job->spec.id < other.job->spec.id : index < other.index;
   }
 };
-/// The tasks on one machine, with their attempts.
+/// The tasks that the records assign to one machine, with their attempts.
 using MachineAssignments = std::map<Assignment, uint64_t>;
 
+/// Whether a change of the records adds an assignment or removes it.
 enum class AssignmentChange : uint8_t { added, removed };
 
-/// Callbacks for changes of the records. Unset functions are not called.
+/// Callbacks for changes of the records. Empty functions are not called.
 struct RecordEvents {
-  /// After every applied change; the argument is the job concerned, or null.
+  /// Called with a job after a change of its record or of one of its chunks was applied; called
+  /// with null after a job was removed, after all records were loaded, and after watched changes
+  /// were applied.
   std::function<void(Job*)> on_change;
-  /// For each task that a change puts on a machine or takes from it.
+  /// Called for each task that a change assigns to a machine or removes from it.
   std::function<void(const std::string& machine, const Job&, AssignmentChange)> on_assignment;
-  /// Before a job's object goes away.
+  /// Called before the object of a removed job is destroyed.
   std::function<void(Job*)> on_job_removed;
 };
 
+/// Owns the Job objects. Used by the coroutines of one loop.
 class JobIndex {
  public:
-  /// `events` outlives the index.
+  /// `events` must outlive the index.
   explicit JobIndex(const RecordEvents& events) : events_(events) {}
 
-  /// The state that a new version of a job's record gives.
+  /// The state of a job in a new version of its record.
   struct JobUpdate {
     uint64_t version;
     uint32_t chunk_size;
     uint32_t chunk_layout;
     bool cancelled;
-    double cancelled_since;  // only where it is cancelled
+    double cancelled_since;  // steady time in seconds; only used when `cancelled`
   };
-  /// Adds a job that is unknown so far; an update with its state follows.
+  /// Adds a job that the index doesn't have yet. The caller calls update() with the job's state
+  /// next.
   Job& add(const std::string& job_id, JobSpec spec);
+  /// Applies a new version of the job's record. When the job has a new chunk layout, its old chunks
+  /// become orphaned and the chunks of the new layout are attached.
   void update(Job& job, const JobUpdate& update);
-  /// The job's chunks are kept as orphaned ones.
+  /// Removes a job that the index has. The job's chunks become orphaned.
   void remove(const std::string& job_id);
-  /// Applies a chunk's record, or its removal.
+  /// Applies a chunk's record or its removal; outdated versions are ignored.
   void apply_chunk(const ChunkName& name, const KeyValue& chunk);
 
-  /// Null when there is no such job.
+  /// Returns the job with this ID, or null.
   Job* find(const std::string& job_id) const;
   const std::unordered_map<std::string, std::unique_ptr<Job>>& jobs() const { return jobs_; }
-  /// The tasks on this machine; empty for machines that no record names.
+  /// The tasks that the records assign to this machine; empty for machines without tasks.
   const MachineAssignments& assignments_on(const std::string& machine) const;
-  /// Machines with at least one task.
+  /// The assignments by machine, for machines with at least one task.
   const std::unordered_map<std::string, MachineAssignments>& assignments() const {
     return assignments_;
   }
-  /// Whether the records place this attempt of the task on the machine.
+  /// Whether the records assign this attempt of the task to the machine.
   bool has_assignment(const TaskId& task, uint64_t attempt, const std::string& machine) const;
-  /// Version of a chunk of the job's layout; 0, as in preconditions, when it was never written.
+  /// Version of a chunk of the job's present layout. The version is 0 when the chunk was never
+  /// written, which is also how a precondition states that a key is absent.
   uint64_t chunk_version(const std::string& job_id, uint32_t number) const;
   const UnattachedChunks& unattached() const { return unattached_; }
 
--- a/src/storage/key_value_client.cpp
+++ b/src/storage/key_value_client.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-constexpr double response_timeout_s = 1.5;  // answers usually take 10 ms, seldom 300
+constexpr double response_timeout_s = 1.5;  // responses usually take 10 ms, rarely 300 ms
 constexpr double range_timeout_s = 2 * response_timeout_s;
 constexpr int max_page_keys = 250;
-// Between repeats of a transaction whose outcome is unknown; doubled each time.
+// Delay before a transaction without a definite outcome is sent again; doubled after each attempt.
 constexpr double initial_retry_delay_s = 0.02;
 constexpr double max_retry_delay_s = 1.0;
 
-// Fields of the store's messages.
+// Field names of the store's messages.
 namespace wire {
 constexpr const char* key = "path";
 constexpr const char* value = "data";
@@ -31,13 +31,14 @@
 constexpr const char* changes = "news";
 }  // namespace wire
 
-// 0 where the field is missing.
+// Returns 0 when the field is missing or not an integer.
 uint64_t number(const Json& message, const char* field) {
   auto it = message.find(field);
   return it != message.end() && it->is_number_integer() ? it->get<uint64_t>() : 0;
 }
 
-// Takes the value out of the message: copying it was most of the work of reading all records.
+// Moves the value out of the message: copying the values took most of the time of reading all
+// records.
 KeyValue take_key_value(Json& message, const char* key_field) {
   KeyValue out;
   if (auto it = message.find(key_field); it != message.end() && it->is_string()) out.key = *it;
@@ -136,15 +137,16 @@
   co_return decode_transaction_result(reply);
 }
 
-// A transaction with no answer may be applied later, at any time. Repeating the same preconditions
-// settles it: if a repeat commits, the versions have moved and the first copy can only fail; if a
-// repeat conflicts, either the first copy was applied or somebody else changed a key, and either
-// way no copy can be applied any more. The caller reads the keys again after a conflict. This
-// holds only for transactions that write at least one of the keys they are conditional on.
+// A transaction without a response may still be applied at any later time. Sending the transaction
+// again with the same preconditions makes the outcome definite: if a repeat commits, the versions
+// of the keys have changed and earlier copies can only fail; if a repeat conflicts, either an
+// earlier copy was applied or another client changed a key, and in both cases no copy can be
+// applied any more. The caller reads the keys again after a conflict. This argument holds only for
+// transactions that write at least one of the keys of their preconditions.
 Task<TransactionResult> KeyValueClient::commit_until_resolved(Transaction transaction,
                                                               RequestPriority priority,
                                                               std::stop_token stop_token) {
-  bool may_be_applied = false;  // some earlier copy
+  bool may_be_applied = false;  // by an earlier copy
   double retry_delay_s = initial_retry_delay_s;
   for (;;) {
     auto result = co_await compare_and_swap(transaction, priority);
--- a/src/storage/quota_record.hpp
+++ b/src/storage/quota_record.hpp
@@ -1,7 +1,9 @@
-/// A region's account of its part of one team's quota limit, kept in the region's own store.
+/// The quota record: a region's part of one team's quota limit, stored in the region's own
+/// key-value store.
 ///
-/// It holds totals since the beginning. What a region may use is its initial quota, plus all that
-/// it has received, less all that it has sent (docs/regions.md has the proof that this is exact).
+/// The record holds totals since it was created. A region may use its initial quota, plus
+/// everything that it has received from other regions, minus everything that it has sent to them
+/// (docs/regions.md proves that this is exact).
 #pragma once
 #include <map>
 #include <string>
@@ -11,20 +13,24 @@
 
 namespace damsonport {
 
+/// Initial quota and transfer totals of one team in one region.
 struct QuotaRecord {
   QuotaUnits initial;
-  std::map<std::string, QuotaUnits> sent;      // by the region that they were sent to
-  std::map<std::string, QuotaUnits> received;  // by the region that sent them
+  std::map<std::string, QuotaUnits> sent;      // by receiving region
+  std::map<std::string, QuotaUnits> received;  // by sending region
 
-  /// What the region may use.
+  /// The quota units that the region may use.
   QuotaUnits available_units() const;
-  /// Zero for regions that nothing was exchanged with.
+  /// Total sent to this region; zero when nothing was sent.
   QuotaUnits sent_to(const std::string& region) const;
+  /// Total received from this region; zero when nothing was received.
   QuotaUnits received_from(const std::string& region) const;
   bool operator==(const QuotaRecord&) const = default;
 };
 
+/// Encodes the record as stored.
 Json encode_quota(const QuotaRecord& record);
+/// Decodes a stored record. Throws Json::exception when the initial quota is missing or malformed.
 QuotaRecord decode_quota(const Json& value);
 
 }  // namespace damsonport
--- a/src/storage/rate_limiter.cpp
+++ b/src/storage/rate_limiter.cpp
@@ -5,16 +5,17 @@
 namespace damsonport {
 
 namespace {
-// Stays a little under the published limits: clocks drift, and the limits are shared.
+// Stays slightly below the published limits, because clocks drift and the limits are shared.
 constexpr double limit_utilization = 0.92;
-// Of the writes, divided equally among all controllers.
+// Part of the write limit that is divided equally among all controllers.
 constexpr double equal_write_share = 0.2;
-// How long lowered rates are kept to after a refusal, at first and at the most.
+// Period of lowered limits: after the first refusal, and at most.
 constexpr double initial_lowered_s = 30;
 constexpr double max_lowered_s = 600;
-// A transaction larger than the whole bucket is sent when the bucket is nearly full, on credit.
+// A transaction with more writes than the bucket holds is sent when the bucket is filled to this
+// share. The bucket then goes negative.
 constexpr double full_bucket_share = 0.99;
-// Bounds on the wait until the waiters are looked at again.
+// Bounds on the delay until the waiters are checked again.
 constexpr double min_wait_s = 0.002;
 constexpr double max_wait_s = 1.0;
 }  // namespace
@@ -70,7 +71,7 @@
 void RateLimiter::refill() {
   const double now = loop_.now();
   const double passed_s = now - refilled_at_;
-  // Bursts of one second's worth, as the store allows.
+  // A bucket holds the tokens of one second, the burst that the store allows.
   request_tokens_ = std::min(requests_per_s_, request_tokens_ + passed_s * requests_per_s_);
   write_tokens_ = std::min(writes_per_s_, write_tokens_ + passed_s * writes_per_s_);
   refilled_at_ = now;
--- a/src/storage/rate_limiter.hpp
+++ b/src/storage/rate_limiter.hpp
@@ -1,10 +1,11 @@
-/// One controller's share of the key-value store's limits, given to its requests by priority.
+/// Client-side rate limiter of the key-value store, with priorities.
 ///
-/// The store publishes how many requests and writes it takes in a second, for now and for a later
-/// time that is not known. The controllers divide these limits among themselves: each keeps to its
-/// share by a token bucket for requests and one for writes. When the store refuses a request for
-/// its rate, the announced limits may have come into force; they are kept to for a while, longer
-/// each time, before the present ones are tried again.
+/// The operators' settings give the store's limits on requests and writes per second: the present
+/// limits, and limits announced for an unknown later time. The controllers divide these limits
+/// among themselves, and each keeps within its share by one token bucket for requests and one for
+/// writes. When the store refuses a request with 429, the announced limits may have come into
+/// force: the limiter applies the lower of the two sets of limits for a period, which doubles each
+/// time up to a bound, and then tries the present limits again.
 #pragma once
 #include <array>
 #include <coroutine>
@@ -17,31 +18,38 @@
 
 namespace damsonport {
 
-/// What a request is for; the first ones are served first. Watching goes before scheduling: a shard
-/// leader that writes all the time must still learn of cancellations. So do users' submissions and
-/// cancellations: they are few beside what a shard leader may have to write.
+/// Purpose of a request, which is also its priority; the first enumerator has the highest priority.
+/// Watching precedes scheduling because a shard leader that writes continuously must still receive
+/// cancellations. Accepting users' submissions and cancellations precedes scheduling because these
+/// writes are few compared with the writes of a shard leader.
 enum class RequestPriority : uint8_t { lease, watching, accepting, scheduling, polling };
+/// Number of enumerators of RequestPriority.
 inline constexpr size_t request_priority_count = 5;
 
-/// A controller's share of the writes, 0 to 1: a part for each controller in any case, the rest in
-/// proportion to the writes that are wanted. Shares that are computed from the same figures never
-/// add up to more than 1.
+/// A controller's share of the write limit, 0 to 1. One part of the limit is divided equally among
+/// all controllers, the rest in proportion to their demand for writes, `wanted` of this controller
+/// and `wanted_by_others` in the same unit. Shares computed from the same figures never add up to
+/// more than 1.
 double write_share(int controllers, double wanted, double wanted_by_others);
 
-/// Used by the coroutines of one loop; waiters of one priority are served in their order.
+/// Rate limiter of one controller, used by the coroutines of one loop. Waiters of equal priority
+/// resume in the order in which they started to wait.
 class RateLimiter {
  public:
+  /// `loop` must outlive the limiter.
   RateLimiter(Loop& loop, const StateLimitSettings& limits);
   RateLimiter(const RateLimiter&) = delete;
   RateLimiter& operator=(const RateLimiter&) = delete;
 
-  /// This controller's shares of the limits, 0 to 1.
+  /// Sets this controller's shares of the request limit and the write limit, 0 to 1. Also ends a
+  /// period of lowered limits that has expired.
   void set_shares(double requests, double writes);
+  /// Writes per second that this controller may use at present.
   double writes_per_s() const { return writes_per_s_; }
-  /// The store refused a request for its rate.
+  /// To be called when the store refuses a request with 429.
   void on_rate_limited();
 
-  /// Awaited: resumes when the request may be sent.
+  /// Awaitable that resumes the coroutine when its request may be sent.
   struct Permit {
     RateLimiter& limiter;
     RequestPriority priority;
@@ -50,7 +58,8 @@
     void await_suspend(std::coroutine_handle<> waiter);
     void await_resume() const {}
   };
-  /// `writes`: puts and deletes of the request.
+  /// Waits for one request token and for the tokens of `writes`, the number of puts and deletes of
+  /// the request.
   [[nodiscard]] Permit acquire(RequestPriority priority, int writes) {
     return {*this, priority, writes};
   }
@@ -64,7 +73,8 @@
   void apply_shares();
   void restore_present_limits();
   void refill();
-  // What a request with so many writes needs in the bucket.
+  // Number of write tokens that the bucket has to hold before a request with `writes` writes is
+  // sent.
   double required_write_tokens(int writes) const;
   bool try_consume(int writes);
   void resume_waiters();
@@ -72,16 +82,16 @@
 
   Loop& loop_;
   const StateLimitSettings limits_;
-  double store_requests_per_s_ = 0;  // of the whole store
+  double store_requests_per_s_ = 0;  // for all controllers
   double store_writes_per_s_ = 0;
-  double request_share_ = 1;  // of this controller
+  double request_share_ = 1;  // share of this controller
   double write_share_ = 1;
-  double requests_per_s_ = 0;  // per second, of this controller
+  double requests_per_s_ = 0;  // for this controller
   double writes_per_s_ = 0;
-  // Steady time until which the announced limits are kept to; nothing: the present ones are.
+  // Steady time until which the lowered limits apply; nullopt: the present limits apply.
   std::optional<double> lowered_until_;
   double lowered_duration_s_ = 0;
-  double request_tokens_ = 0;  // in the buckets
+  double request_tokens_ = 0;  // in the request bucket
   double write_tokens_ = 0;
   double refilled_at_;
   std::array<std::deque<Waiter>, request_priority_count> queues_;
--- a/src/storage/rechunk.cpp
+++ b/src/storage/rechunk.cpp
@@ -40,7 +40,7 @@
   chunk.next = first_never_started(tasks);
   for (uint32_t i = 0; i < chunk.next; ++i) {
     const TaskRecord& task = tasks[i];
-    // A never-started task before `next` is a waiting one that never ran.
+    // A never-started task before `next` becomes a waiting task without an attempt.
     if (task.phase == TaskPhase::waiting || task.phase == TaskPhase::never_started)
       chunk.waiting.push_back({i, task.attempt});
     if (task.phase == TaskPhase::live) chunk.live.push_back({i, task.attempt, task.machine});
--- a/src/storage/rechunk.hpp
+++ b/src/storage/rechunk.hpp
@@ -1,8 +1,8 @@
-/// Dividing a job's tasks into chunks of another size.
+/// Rechunking: divides a job's tasks into chunks of another size.
 ///
-/// A chunk's record has to fit into a value of the key-value store. When the store announces a
-/// smaller limit, the tasks of large jobs are rechunked: the records of a new layout are computed
-/// here, and the Rechunker (coordination/scheduling) writes them. Pure: nothing is read or written.
+/// A chunk's record has to fit into a value of the key-value store. When a lower value limit is
+/// announced, the tasks of large jobs are rechunked: the records of the new layout are computed
+/// here, and the Rechunker (coordination/scheduling) writes them. This module has no side effects.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -11,8 +11,8 @@
 
 namespace damsonport {
 
-/// The job's tasks, with the states and attempts that they have, in chunks of `chunk_size`, by
-/// number. Chunks none of whose tasks was ever started have no record.
+/// Returns the job's tasks in chunks of `chunk_size` tasks, by chunk number; tasks keep their
+/// states and attempts. Chunks without a task that was ever started have no entry.
 std::map<uint32_t, TaskChunk> rechunk(const Job& job, uint32_t chunk_size);
 
 }  // namespace damsonport
--- a/src/storage/record_cache.cpp
+++ b/src/storage/record_cache.cpp
@@ -68,7 +68,8 @@
     case RecordKind::quota:
       return apply_quota(key.name, key_value);
     case RecordKind::version:
-      // Never removed: the record outlives the process that wrote it (VersionRegistry).
+      // Version records are never removed: they outlive the process that wrote them
+      // (VersionRegistry).
       if (key_value.value.is_object()) versions_[key.name] = decode_version(key_value.value);
       return;
   }
@@ -87,8 +88,9 @@
   leader_version_ = key_value.version;
 }
 
-// The cancellation has to be known by its age, which outlives shard leaders. It is counted by the
-// time of day, whose error may lie on the writer's side and on ours.
+// Converts the time of a cancellation to steady time. The record has the time of day, because the
+// age of a cancellation has to remain known when the shard leader changes. The clocks of the writer
+// and of this controller may both be wrong, hence the margin of twice the clock error.
 double RecordCache::steady_time_of(double time_of_day) const {
   if (time_of_day <= 0) return never;
   const double age_s = std::max(loop_.wall() - time_of_day, 0.0);
@@ -100,8 +102,9 @@
   if (known && key_value.version <= known->version) return;
   if (key_value.value.is_null()) {
     if (!known) return;
-    // A job's record goes only when it is over. That it is done is not inferred from that: a
-    // cancellation may have been missed between two loads. The final state is read on demand.
+    // A job's record is removed only when the job is over. The removal doesn't show that the job is
+    // done: the cache may have missed a cancellation between two loads. The final state is read on
+    // demand.
     if (known->cancelled) cache_final_state(id, FinalState::cancelled);
     jobs_.remove(id);
     return;
@@ -110,7 +113,7 @@
   if (!known) {
     auto spec = decode_job(key_value.value);
     if (!spec) {
-      spdlog::error("the record of {} can't be read: {}", id, spec.error());
+      spdlog::error("record of job {} is invalid and is ignored: {}", id, spec.error());
       return;
     }
     known = &jobs_.add(id, std::move(*spec));
@@ -142,7 +145,7 @@
   }
 }
 
-// Never removed: without it the team's limit would count as undivided.
+// Quota records are never removed: without the record, the team's limit would count as undivided.
 void RecordCache::apply_quota(const std::string& team, const KeyValue& key_value) {
   auto& quota = quotas_[team];
   if (key_value.value.is_object() && key_value.version > quota.version)
--- a/src/storage/record_cache.hpp
+++ b/src/storage/record_cache.hpp
@@ -1,8 +1,8 @@
-/// Every controller's copy of the shared records.
+/// A controller's cached copy of the shared records.
 ///
-/// The copy is fed by the RecordWatcher and by what the controller itself reads and writes. It may
-/// lag behind the store, so nothing is decided on it alone: writes are conditional on versions, and
-/// answers to users are confirmed.
+/// The RecordWatcher and the controller's own reads and writes update the cache. The cache may lag
+/// behind the store, so no decision relies on it alone: writes are conditional on versions, and
+/// responses to users are confirmed by the store.
 #pragma once
 #include <map>
 #include <set>
@@ -21,42 +21,46 @@
 
 namespace damsonport {
 
-/// Decodes and applies records. The watcher's coroutine moves the revision; any coroutine of the
-/// controller's loop may apply what it read or wrote.
+/// Decodes and applies records. Only the watcher's coroutine advances the revision; any coroutine
+/// of the controller's loop may apply records that it read or wrote.
 class RecordCache {
  public:
-  /// `clock_error_s`: how far the time of day may be off. `writes_per_s`: the most that the store
-  /// takes.
+  /// `clock_error_s`: bound on the error of the time of day, in seconds. `writes_per_s`: maximum
+  /// write rate of the store.
   RecordCache(Loop& loop, double clock_error_s, double writes_per_s);
   RecordCache(const RecordCache&) = delete;
   RecordCache& operator=(const RecordCache&) = delete;
 
-  /// Applies a key as it was read; versions older than the known one are ignored.
+  /// Applies a record as it was read, or its removal; outdated versions are ignored.
   void apply(const KeyValue& key_value);
-  /// Applies our own committed writes, all at one revision.
+  /// Applies this controller's own committed writes; all have the same revision.
   void apply_writes(const std::vector<Write>& writes, uint64_t revision);
 
-  // For the watcher: how far the cache has followed the store.
-  /// Everything was read, at this revision, by a listing that began at steady time `as_of`.
+  // For the RecordWatcher: the revision up to which the cache has followed the store.
+  /// All records were read, as of this revision, by a listing that began at steady time `as_of`.
   void set_loaded(uint64_t revision, double as_of);
-  /// Changes up to this revision were applied, as a watch opened at steady time `as_of` gave them.
+  /// All changes up to this revision were applied, as returned by a watch that was opened at steady
+  /// time `as_of`.
   void advance(uint64_t revision, double as_of);
-  /// Changes were missed: the cache counts as not loaded until everything was read again.
+  /// Changes were missed: the cache is not loaded until all records were read again.
   void mark_not_loaded() { loaded_ = false; }
-  /// Keys that the cache has and a complete listing at `revision` doesn't: they were removed.
+  /// Keys that are in the cache but not in a complete listing as of `revision`: the keys were
+  /// removed from the store.
   std::vector<std::string> keys_missing_from(const std::set<std::string>& listing,
                                              uint64_t revision) const;
 
+  /// Whether all records were read and no change was missed since.
   bool loaded() const { return loaded_; }
   /// The cache holds every change up to this revision.
   uint64_t revision() const { return revision_; }
-  /// Steady time as of which the cache holds every change: when the last answered watch was opened,
-  /// or the listing begun. Other calls to the store say nothing of what was missed.
+  /// Steady time as of which the cache holds every change: the time at which the last successful
+  /// watch was opened, or the listing was started. Other calls to the store don't show whether the
+  /// cache missed changes.
   double as_of() const { return as_of_; }
-  /// Set by the controller that owns the cache.
+  /// The callbacks, which the controller that owns the cache sets.
   RecordEvents& events() { return events_; }
 
-  // Jobs and the tasks on machines: see JobIndex.
+  // Jobs and assignments: see JobIndex.
   Job* job(const std::string& id) const { return jobs_.find(id); }
   const auto& jobs() const { return jobs_.jobs(); }
   const MachineAssignments& assignments_on(const std::string& machine) const {
@@ -72,10 +76,10 @@
   uint64_t unattached_version(const std::string& key) const {
     return jobs_.unattached().version(key);
   }
-  /// Keys of chunks that are left over after their job's end, to be removed.
+  /// Keys of the chunks that no job can use any more, which are to be removed from the store.
   const std::set<std::string>& orphaned_chunks() const { return jobs_.unattached().orphaned(); }
 
-  /// Nothing where it isn't known here; it may be in the store.
+  /// The job's final state; nullopt when it isn't cached, though the store may have it.
   std::optional<FinalState> final_state(const std::string& job_id) const {
     return final_states_.find(job_id);
   }
@@ -83,6 +87,7 @@
     final_states_.insert(job_id, state);
   }
 
+  /// The shard leases; empty when the record doesn't exist.
   const ShardTable& shard_table() const { return shard_table_; }
   uint64_t shard_table_version() const { return shard_table_version_; }
   /// The last known leader; only valid while has_leader().
@@ -90,29 +95,32 @@
   uint64_t leader_version() const { return leader_version_; }
   bool has_leader() const { return has_leader_; }
 
-  /// Machines that are being returned, or were, and are never used again.
+  /// Whether the machine is being returned to the cloud or was returned, and is never used again.
   bool has_tombstone(const std::string& machine) const { return tombstones_.contains(machine); }
-  /// Machine -> key of the record that names it.
+  /// Machine ID -> key of the tombstone that names the machine.
   const std::map<std::string, std::string>& tombstones() const { return tombstones_; }
 
+  /// A scale-out request with the version of its record.
   struct StoredScaleOutRequest {
     ScaleOutRequest request;
     uint64_t version = 0;
   };
-  /// By the request's id.
+  /// The stored scale-out requests, by request ID.
   const std::map<std::string, StoredScaleOutRequest>& scale_out_requests() const {
     return scale_out_requests_;
   }
-  /// The version of the program that each controller has recorded.
+  /// The program version that each controller has recorded, by controller.
   const std::map<std::string, uint64_t>& versions() const { return versions_; }
-  /// Exits for the shard leader, by the controller that recorded them.
+  /// The exits recorded for the shard leader, by the controller that recorded them.
   const std::map<std::string, ForwardedExits>& forwarded_exits() const { return forwarded_exits_; }
 
+  /// A quota record with its version.
   struct StoredQuota {
     QuotaRecord record;
     uint64_t version = 0;
   };
-  /// This region's quotas by team; none where limits are not divided among regions.
+  /// This region's quota records by team; empty when the teams' limits are not divided among
+  /// regions.
   const std::map<std::string, StoredQuota>& quotas() const { return quotas_; }
 
  private:
--- a/src/storage/record_encoding.hpp
+++ b/src/storage/record_encoding.hpp
@@ -1,6 +1,8 @@
-/// Encoding of the shared records as the values that the key-value store keeps.
+/// Encodes the shared records as JSON values for the key-value store, and decodes them.
 ///
-/// Field names are in record_fields.hpp. Decoders accept what any deployed version has written.
+/// The field names are in record_fields.hpp. The decoders accept records written by any deployed
+/// version of the program. Optional fields have defaults; a field of the wrong JSON type throws
+/// Json::exception.
 #pragma once
 #include <string>
 #include <vector>
@@ -15,11 +17,13 @@
 Json encode_chunk(const TaskChunk& chunk);
 TaskChunk decode_chunk(const Json& value);
 
-/// The record of a job that was just accepted. Its specification is read by decode_job().
+/// Encodes the record of a newly accepted job, whose tasks are divided into chunks of `chunk_size`.
+/// decode_job() decodes the job's specification from the record, decode_job_state() the other
+/// fields.
 Json encode_job_record(const JobSpec& spec, uint32_t chunk_size);
 JobRecordState decode_job_state(const Json& value);
 
-/// `done`: how many of the job's tasks are done.
+/// `done`: number of the job's tasks that are done.
 Json encode_final_state(FinalState state, uint64_t done);
 FinalState decode_final_state(const Json& value);
 
@@ -29,20 +33,22 @@
 Json encode_leader(const LeaderRecord& leader);
 LeaderRecord decode_leader(const Json& value);
 
-/// One entry of a record of forwarded exits, for measuring how many fit.
+/// Encodes one entry of a ForwardedExits record. Callers measure the entry to find out how many
+/// entries fit into the record.
 Json encode_forwarded_exit(const ForwardedExit& exit);
 Json encode_forwarded_exits(const ForwardedExits& forwarded);
 ForwardedExits decode_forwarded_exits(const Json& value);
 
-/// A tombstone: machines that are being returned, or were, and are never used again.
+/// A tombstone lists machines that are being returned to the cloud, or were returned, and are never
+/// used again.
 Json encode_tombstone(const std::vector<std::string>& machines);
 std::vector<std::string> decode_tombstone(const Json& value);
 
-/// A scale-out request as stored; the message to the cloud is another one.
+/// The stored form of a scale-out request. The request message to the cloud has another encoding.
 Json encode_scale_out_record(const ScaleOutRequest& request);
 ScaleOutRequest decode_scale_out_record(const std::string& id, const Json& value);
 
-/// The version of the program that a controller has recorded.
+/// The program version that a controller has recorded.
 Json encode_version(uint64_t version);
 uint64_t decode_version(const Json& value);
 
--- a/src/storage/record_keys.cpp
+++ b/src/storage/record_keys.cpp
@@ -18,7 +18,7 @@
   const std::string& prefix;
   RecordKind kind;
 };
-// Jobs and chunks are most of the records.
+// Jobs and chunks come first because most records are of these kinds.
 const std::array<KindPrefix, 7> kind_prefixes{{
     {keys::job_prefix, RecordKind::job},
     {keys::chunk_prefix, RecordKind::chunk},
--- a/src/storage/record_keys.hpp
+++ b/src/storage/record_keys.hpp
@@ -1,7 +1,8 @@
 /// Keys of the records in the key-value store.
 ///
-/// Every key that the controllers share is built and parsed here. The texts are part of the stored
-/// data, which several versions of the program read during a rolling upgrade: they never change.
+/// Every key that the controllers share is built and parsed here. The key texts are part of the
+/// stored data, which several versions of the program read during a rolling upgrade, so they never
+/// change.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -12,8 +13,8 @@
 
 namespace keys {
 
-/// Everything below this prefix is kept in the RecordCache of every controller. Final states lie
-/// outside of it: there are too many, and they are read on demand.
+/// Every controller keeps all records under this prefix in its RecordCache. Final states have
+/// another prefix because there are too many of them to cache; they are read on demand.
 inline const std::string cached_prefix = "d/";
 
 inline const std::string shard_table = "d/b";
@@ -30,15 +31,16 @@
 
 inline std::string job(const std::string& id) { return job_prefix + id; }
 
-/// `layout`: how often the job was rechunked. Keys of the first layout, 0, don't contain it.
+/// Key of a task chunk. `layout` is the number of times that the job was rechunked; keys of the
+/// first layout, 0, don't contain the layout.
 inline std::string chunk(const std::string& job_id, uint32_t number, uint32_t layout = 0) {
   const std::string layout_part = layout == 0 ? "" : std::to_string(layout) + "/";
   return chunk_prefix + job_id + "/" + layout_part + std::to_string(number);
 }
-/// Common prefix of all chunks of a job, in any layout.
+/// Common prefix of the keys of all chunks of a job, in every layout.
 inline std::string chunks_of(const std::string& job_id) { return chunk_prefix + job_id + "/"; }
 
-/// One tombstone names a batch of machines.
+/// Key of a tombstone, which names a batch of machines.
 inline std::string tombstone(const std::string& batch) { return tombstone_prefix + batch; }
 inline std::string scale_out_request(const std::string& id) {
   return scale_out_request_prefix + id;
@@ -52,7 +54,7 @@
 
 }  // namespace keys
 
-/// Kinds of the records below `keys::cached_prefix`.
+/// The kinds of records under `keys::cached_prefix`.
 enum class RecordKind : uint8_t {
   shard_table,
   leader,
@@ -65,20 +67,22 @@
   quota,
 };
 
+/// A parsed record key.
 struct RecordKey {
   RecordKind kind;
-  std::string name;  // what follows the prefix; empty for the kinds with only one record
+  std::string name;  // key without the prefix of the kind; empty for kinds with a single record
 };
-/// Nothing for keys of a kind that this version doesn't know.
+/// Parses the key of a record under `keys::cached_prefix`; nullopt for keys of a kind that this
+/// version of the program doesn't know.
 std::optional<RecordKey> parse_record_key(std::string_view key);
 
-/// The job, layout and number in a chunk's key.
+/// The parts of a chunk's key: job, layout and number.
 struct ChunkName {
   std::string job;
-  uint32_t chunk_layout = 0;
-  uint32_t number = 0;
+  uint32_t chunk_layout = 0;  // number of times that the job was rechunked
+  uint32_t number = 0;        // position of the chunk in its job, from 0
 };
-/// Parses what follows `keys::chunk_prefix`; nothing when it isn't of a chunk's form.
+/// Parses a chunk's key without `keys::chunk_prefix`; nullopt when the text is malformed.
 std::optional<ChunkName> parse_chunk_name(std::string_view text);
 
 }  // namespace damsonport
--- a/src/storage/record_limits.cpp
+++ b/src/storage/record_limits.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 constexpr double bytes_per_kb = 1024;
-// The longest entry in text, [9999,1844674407370955161,"i-0000000000"], with a margin.
+// The longest entry as JSON text, [9999,1844674407370955161,"i-0000000000"], plus a margin.
 constexpr double max_chunk_entry_bytes = 48;
 constexpr double chunk_overhead_bytes = 64;
-// Where values may be large: every change of a task writes its whole chunk.
+// Upper bound for stores that accept large values: every change of a task writes its whole chunk.
 constexpr double max_chunk_size = 1024;
-// Fields that are added when the job is cancelled.
+// Upper bound for the fields that a cancellation adds to the job's record.
 constexpr size_t cancellation_bytes = 64;
 constexpr double max_machine_entry_bytes = 24;
 constexpr double tombstone_overhead_bytes = 64;
@@ -27,7 +27,7 @@
 bool chunk_fits(const TaskChunk& chunk, double value_kb) {
   const double limit = value_kb * bytes_per_kb - max_chunk_entry_bytes;
   const auto entries = static_cast<double>(chunk.live.size() + chunk.waiting.size());
-  // Most are far below, and need not be written out to be measured.
+  // Most chunks are far below the limit and don't have to be encoded to be measured.
   if (chunk_overhead_bytes + max_chunk_entry_bytes * entries <= limit) return true;
   return static_cast<double>(stored_size(encode_chunk(chunk))) <= limit;
 }
--- a/src/storage/record_limits.hpp
+++ b/src/storage/record_limits.hpp
@@ -1,6 +1,6 @@
-/// Bounds on the sizes of records, which have to fit into a value of the key-value store.
+/// Size limits of records: each record has to fit into one value of the key-value store.
 ///
-/// `value_kb` is the store's limit for one value, in KiB of its JSON form.
+/// `value_kb` is the store's limit for one value, in KiB of its JSON text.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -10,18 +10,19 @@
 
 namespace damsonport {
 
-/// Size of a value in bytes, as the key-value store counts it.
+/// Size of a value in bytes, as the key-value store measures it: the length of its JSON text.
 size_t stored_size(const Json& value);
 
-/// Whether the chunk may be written, also with one more live task.
+/// Whether the chunk's record fits and still fits after one more task is started.
 bool chunk_fits(const TaskChunk& chunk, double value_kb);
-/// How many tasks a chunk may have so that its record fits in any state.
+/// Number of tasks per chunk with which a chunk's record fits in any state of its tasks.
 uint32_t chunk_size(double value_kb);
 
-/// Whether the job's record fits for as long as the job exists.
+/// Whether the job's record fits throughout the job's lifetime, including the fields that a
+/// cancellation adds.
 bool job_record_fits(const JobSpec& spec, double value_kb);
 
-/// How many machines one tombstone may name.
+/// Maximum number of machines in one tombstone.
 size_t machines_per_tombstone(double value_kb);
 
 }  // namespace damsonport
--- a/src/storage/record_types.hpp
+++ b/src/storage/record_types.hpp
@@ -1,4 +1,5 @@
-/// The records that the controllers of a cluster share, apart from jobs and their chunks.
+/// Types of the records that the controllers of a cluster share through the key-value store, other
+/// than jobs, task chunks and quotas.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -8,22 +9,24 @@
 
 namespace damsonport {
 
-/// The right of one controller to schedule on machines and to answer them.
+/// A shard lease: the right of one controller to schedule on the machines of a shard and to answer
+/// their heartbeats.
 struct ShardLease {
   std::string controller;
   uint64_t incarnation = 0;
-  uint64_t fencing_token = 0;         // workers follow the highest one they have learned
-  std::vector<std::string> machines;  // the machines of the shard
-  bool covers_unassigned = false;     // and every machine and team that no other lease names
+  uint64_t fencing_token = 0;         // workers obey the highest token that they have seen
+  std::vector<std::string> machines;  // machines of the shard
+  bool covers_unassigned = false;     // also every machine and team named in no other lease
 };
 
-/// All leases, in one record.
+/// All shard leases, in one record.
 struct ShardTable {
   std::vector<ShardLease> leases;
-  uint64_t renewals = 0;  // grows with every write of the record
+  uint64_t renewals = 0;  // incremented by every write of the record
 };
 
-/// The cluster leader. The record is attached to a lease of the key-value store.
+/// The controller that is the cluster leader. The record is attached to a lease of the key-value
+/// store, which removes the record when the lease ends.
 struct LeaderRecord {
   std::string controller;
   uint64_t incarnation = 0;
@@ -34,25 +37,25 @@
   std::string machine;
   TaskId task;
   uint64_t attempt = 0;
-  ExitCause cause = ExitCause::none;  // stored as its number
+  ExitCause cause = ExitCause::none;  // stored as the enumerator's number
   auto operator<=>(const ForwardedExit&) const = default;
 };
 
-/// The exits that one controller has recorded for the shard leader.
+/// All exits that one controller has recorded for the shard leader.
 struct ForwardedExits {
-  uint64_t fencing_token = 0;  // the one that the machines had learned
+  uint64_t fencing_token = 0;  // token that the reporting machines had seen
   std::vector<ForwardedExit> exits;
 };
 
-/// What remains of a job that is over.
+/// Outcome of a job that is over. It is stored after the job's record is removed.
 enum class FinalState : uint8_t { done, cancelled };
 
-/// What a job's record holds beside the job's specification.
+/// The fields of a job's record other than the job's specification.
 struct JobRecordState {
-  uint32_t chunk_size = 1;
-  uint32_t chunk_layout = 0;
+  uint32_t chunk_size = 1;    // tasks per chunk
+  uint32_t chunk_layout = 0;  // number of times that the job was rechunked
   bool cancelled = false;
-  double cancelled_at = 0;  // seconds since the epoch; 0 where the record doesn't say
+  double cancelled_at = 0;  // seconds since the epoch; 0: not in the record
 };
 
 }  // namespace damsonport
--- a/src/storage/record_watcher.cpp
+++ b/src/storage/record_watcher.cpp
@@ -5,7 +5,7 @@
 namespace damsonport {
 
 namespace {
-// How long the store holds a watch open when nothing changes.
+// Time for which the store holds a watch request open when nothing changes.
 constexpr double watch_wait_s = 10;
 }  // namespace
 
@@ -31,7 +31,8 @@
       if (!co_await pause_after_failure(stop_token)) co_return false;
       continue;
     }
-    // The watch starts from the first page: what changes while the others are read comes again.
+    // The watch starts at the revision of the first page, so that it returns the changes that were
+    // made while the other pages were read.
     if (!first_revision) first_revision = page.revision;
     for (auto& key_value : page.key_values) {
       listing.insert(key_value.key);
@@ -46,14 +47,16 @@
   co_return true;
 }
 
-// After a gap in the watch, what is gone from the listing was removed meanwhile.
+// Removes the cached records that are missing from the listing: they were removed from the store
+// while the watch was interrupted.
 void RecordWatcher::remove_missing(const std::set<std::string>& listing, uint64_t revision) {
   for (auto& key : cache_.keys_missing_from(listing, revision))
     cache_.apply({key, Json(), revision, 0});
 }
 
 void RecordWatcher::apply_changes(const WatchResult& result, double opened_at) {
-  // All the changes of one transaction share a revision; none may be skipped half-way.
+  // All changes of one transaction have the same revision, so the revision advances only after all
+  // changes were applied.
   for (auto& change : result.changes) cache_.apply(change);
   cache_.advance(result.revision, opened_at);
   if (!result.changes.empty()) notify();
@@ -73,11 +76,13 @@
     const bool ok = result.status == ReadStatus::ok;
     if (ok) apply_changes(result, opened_at);
     if (result.status == ReadStatus::compacted) {
-      spdlog::info("the watch fell behind at revision {}: reading all records again",
-                   cache_.revision());
+      spdlog::info(
+          "watch interrupted: the key-value store no longer has the changes after revision {}; "
+          "reading all records again",
+          cache_.revision());
       cache_.mark_not_loaded();
     }
-    // Changes that come close together arrive in one answer.
+    // The interval makes changes that are made close together arrive in one response.
     const double interval_s = ok ? min_watch_interval_s_ : loop_.uniform(0.1, 0.3);
     const double pause_s = opened_at + interval_s - loop_.now();
     if (pause_s > 0 && !co_await Sleep(loop_, pause_s, stop_token)) co_return;
--- a/src/storage/records.hpp
+++ b/src/storage/records.hpp
@@ -1,4 +1,4 @@
-/// The shared records: keys, types, encoding and limits.
+/// Includes all headers of the shared records: keys, types, encoding and size limits.
 #pragma once
 #include "storage/record_encoding.hpp"
 #include "storage/record_fields.hpp"
--- a/src/storage/removed_keys.hpp
+++ b/src/storage/removed_keys.hpp
@@ -1,5 +1,5 @@
-/// Versions of the keys that were removed lately, so that an older copy of a record, read before
-/// the removal and applied after it, doesn't bring the record back.
+/// Versions of recently removed keys. They keep an outdated copy of a record, read before the
+/// record's removal and applied after it, from restoring the record.
 #pragma once
 #include <algorithm>
 #include <cstdint>
@@ -9,22 +9,25 @@
 
 namespace damsonport {
 
+/// Remembers removals in two generations, so that its size is bounded.
 class RemovedKeys {
  public:
-  /// `writes_per_s`: the most that the key-value store takes.
+  /// `writes_per_s`: maximum write rate of the key-value store, which bounds the rate of removals.
   explicit RemovedKeys(double writes_per_s)
       : generation_size_(
             std::max(min_generation_size, static_cast<size_t>(writes_per_s * min_retention_s))) {}
 
+  /// Records that the key was removed at this version.
   void record_removal(const std::string& key, uint64_t version) {
-    // Never all at once: a read under way may bring what was removed a moment ago.
+    // Drops only the older generation: a read in progress may still return a record that was
+    // removed a moment ago.
     if (current_generation_.size() >= generation_size_)
       previous_generation_ = std::exchange(current_generation_, {});
     current_generation_[key] = version;
   }
 
-  /// Whether this version of the key is older than its removal. A newer one ends the note of
-  /// it.
+  /// Whether this version of the key is not newer than its removal. A newer version deletes the
+  /// entry of the removal.
   bool is_stale_write(const std::string& key, uint64_t version) {
     for (auto* generation : {&current_generation_, &previous_generation_}) {
       auto removed = generation->find(key);
@@ -36,11 +39,11 @@
   }
 
  private:
-  // Removals are kept at least for this long, which is longer than a read waits for its answer.
+  // Minimum time for which a removal is kept. It is longer than a read waits for its response.
   static constexpr double min_retention_s = 5;
   static constexpr size_t min_generation_size = 4096;
   const size_t generation_size_;
-  // Two generations, of which the older one is dropped as a whole.
+  // Key -> version of the removal. The previous generation is dropped as a whole.
   std::unordered_map<std::string, uint64_t> current_generation_;
   std::unordered_map<std::string, uint64_t> previous_generation_;
 };
--- a/src/storage/task_chunk.cpp
+++ b/src/storage/task_chunk.cpp
@@ -19,7 +19,7 @@
 
 void TaskChunk::start(uint32_t index, uint64_t attempt, const std::string& machine) {
   std::erase_if(waiting, [&](const WaitingTask& w) { return w.index == index; });
-  // Untouched tasks that are passed over become waiting ones that never ran.
+  // Never-started tasks before `index` become waiting tasks without an attempt.
   while (next <= index) {
     if (next != index) waiting.push_back({next, 0});
     ++next;
--- a/src/storage/unattached_chunks.hpp
+++ b/src/storage/unattached_chunks.hpp
@@ -1,7 +1,8 @@
-/// Chunks that belong to no known job, or to a layout that their job doesn't have.
+/// Task chunks that belong to no known job, or to a layout that their job doesn't have.
 ///
-/// Chunks arrive before their job when a listing is read in the order of keys, and before their
-/// layout when a job is rechunked. Those that can't come into use any more are orphaned.
+/// A chunk is read before its job where a listing returns it earlier in the order of keys, and
+/// before its job has the chunk's layout while the job is being rechunked. Chunks that no job can
+/// use any more are orphaned.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -14,22 +15,25 @@
 
 namespace damsonport {
 
+/// Whether a job may still use an unattached chunk.
 enum class ChunkUse : uint8_t { expected, orphaned };
 
+/// Part of the JobIndex, which decides about the use of each chunk.
 class UnattachedChunks {
  public:
+  /// Adds the chunk or replaces its earlier version.
   void put(const KeyValue& chunk, ChunkUse use);
   void remove(const std::string& key);
-  /// Takes the chunk out, for its job; nothing when it isn't here.
+  /// Removes the chunk and returns it, to be attached to its job; nullopt when it isn't unattached.
   std::optional<KeyValue> take(const std::string& key);
-  /// The job is gone: none of its chunks can come into use any more.
+  /// Marks all unattached chunks of a removed job as orphaned.
   void orphan_chunks_of(const std::string& job_id);
 
   bool empty() const { return chunks_.empty(); }
-  /// Version of the chunk; 0, by which a precondition says that a key is absent, when it isn't
-  /// here.
+  /// Version of the chunk. The version is 0 when the chunk isn't unattached; in a precondition, 0
+  /// states that the key is absent.
   uint64_t version(const std::string& key) const;
-  /// Keys of chunks that are to be removed from the store.
+  /// Keys of the orphaned chunks, which are to be removed from the store.
   const std::set<std::string>& orphaned() const { return orphaned_; }
 
  private:
