--- a/tests/storage/mixed_versions_test.cpp
+++ b/tests/storage/mixed_versions_test.cpp
@@ -1,5 +1,6 @@
-// Old and new versions work on each other's data: records and messages that the production version
-// wrote, kept in fixtures/, are read here, and what is written here is identical byte for byte.
+// Compatibility with the production version during a rolling upgrade: the records and messages in
+// fixtures/production.records, which the production version wrote, can be decoded, and encoding
+// them again yields the same bytes.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -50,7 +51,7 @@
   EXPECT_EQ(encode_peer_heartbeat(heartbeat), bytes);
 }
 
-// The production version ignores keys that it doesn't know, and knows the first layout's keys only.
+// The production version reads only the chunk keys of the first layout and ignores unknown keys.
 TEST(ProductionData, ChunkKeysOfTheFirstLayoutAreUnchanged) {
   EXPECT_EQ(keys::chunk("run-1", 3), "d/t/run-1/3");
   EXPECT_EQ(keys::chunk("run-1", 3, 2), "d/t/run-1/2/3");
@@ -99,7 +100,7 @@
   EXPECT_EQ(live, 206u);
   EXPECT_EQ(done, 10u);
   EXPECT_EQ(waiting, 4u);
-  EXPECT_EQ(chunks.size(), 6u) << "chunks that were never touched have no record";
+  EXPECT_EQ(chunks.size(), 6u) << "chunks without a started task have no record";
 }
 
 TEST(Rechunk, NeverStartedTasksBeforeALiveOneBecomeWaiting) {
@@ -111,7 +112,7 @@
   const auto chunks = rechunk(job, 3);
   ASSERT_EQ(chunks.size(), 2u);
   EXPECT_EQ(chunks.at(0).next, 1u);
-  EXPECT_EQ(chunks.at(1).next, 3u);  // tasks 3 and 4 wait, 5 is live
+  EXPECT_EQ(chunks.at(1).next, 3u);  // tasks 3 and 4 are waiting, task 5 is live
   EXPECT_EQ(chunks.at(1).waiting.size(), 2u);
   EXPECT_EQ(chunks.at(1).waiting[0].attempt, 0u);
   ASSERT_EQ(chunks.at(1).live.size(), 1u);
--- a/tests/storage/rate_limiter_test.cpp
+++ b/tests/storage/rate_limiter_test.cpp
@@ -14,12 +14,13 @@
       for (int i = 0; i < 4; ++i) sum += write_share(5, other, leader + 3 * other);
       EXPECT_LE(sum, 1 + 1e-9);
     }
-  EXPECT_GT(write_share(5, 90, 0), 0.8);  // a leader alone with its work
-  EXPECT_GT(write_share(5, 0, 1000), 0);  // but no controller is left without
+  EXPECT_GT(write_share(5, 90, 0), 0.8);  // only this controller has demand
+  EXPECT_GT(write_share(5, 0, 1000), 0);  // without demand, the equal part remains
 }
 
-// Many small jobs, 12.5 a second over five controllers, beside a busy leader: by their queues alone
-// the others would get their shares only while users wait.
+// Many small jobs, 12.5 per second over five controllers, arrive beside a busy shard leader. If the
+// demand came only from the queues of the other controllers, their write shares would rise only
+// while users are already waiting.
 TEST(WriteShare, CoversArrivalsBeforeAQueueForms) {
   constexpr double writes_per_s = 46, arrivals_per_s = 2.5, leader_wants = 25;
   ArrivalRate rate(1.5);
@@ -28,10 +29,11 @@
   EXPECT_NEAR(rate.at(now), arrivals_per_s, 0.5);
   const double wanted = 2 * rate.at(now);
   EXPECT_GT(write_share(5, wanted, leader_wants + 3 * wanted) * writes_per_s, arrivals_per_s);
-  EXPECT_LT(rate.at(now + 10), 0.01);  // and the share is given back
+  EXPECT_LT(rate.at(now + 10), 0.01);  // without arrivals, the demand ends
 }
 
-// After a refusal for the rate the announced rate is kept to for a while.
+// After a 429 the limiter applies the announced limits for a period, which is longer after the next
+// 429.
 TEST(RateLimiter, LowersItsRatesForAWhileAfterARefusal) {
   class Clock : public Loop {
    public:
@@ -56,7 +58,7 @@
   clock.time += 2;
   limit.set_shares(1, 1);
   EXPECT_NEAR(limit.writes_per_s(), present, 1e-9);
-  // Refused again: the announced rate is kept to for longer.
+  // After a second refusal, the announced limits apply for a longer period.
   limit.on_rate_limited();
   clock.time += 31;
   limit.set_shares(1, 1);
--- a/tests/storage/record_cache_test.cpp
+++ b/tests/storage/record_cache_test.cpp
@@ -28,7 +28,8 @@
   return s;
 }
 
-// However many keys are removed after it, an older read does not bring a job back.
+// An outdated read, applied after the removal of its job, must not restore the job, even after many
+// other removals.
 TEST(RecordCache, StaleWriteDoesNotRestoreARemovedJob) {
   EventLoop loop;
   RecordCache cache(loop, 0, 50);
@@ -43,7 +44,7 @@
   EXPECT_EQ(cache.job("run-1"), nullptr);
 }
 
-// Only the tasks that a change moves are reported, not the whole chunk.
+// A new version of a chunk reports only the assignments that differ, not all tasks of the chunk.
 TEST(RecordCache, ReportsOnlyAssignmentsThatChanged) {
   EventLoop loop;
   RecordCache cache(loop, 0, 50);
--- a/tests/storage/record_encoding_test.cpp
+++ b/tests/storage/record_encoding_test.cpp
@@ -11,7 +11,7 @@
   const auto back = decode_forwarded_exits(encode_forwarded_exits(r));
   EXPECT_EQ(back.fencing_token, 7u);
   EXPECT_EQ(back.exits, r.exits);
-  // A cause that a later version knows is an end all the same, but never a success.
+  // An exit with a cause that only a later version knows ends the attempt, but not as a success.
   auto later = encode_forwarded_exits(r);
   later["exits"][0][4] = 99;
   EXPECT_EQ(decode_forwarded_exits(later).exits[0].cause, ExitCause::stopped);
--- a/tests/storage/record_limits_test.cpp
+++ b/tests/storage/record_limits_test.cpp
@@ -9,7 +9,8 @@
 
 std::string long_name(size_t bytes) { return std::string(bytes, 'n'); }
 
-// Every other kind of record at its largest, for the smallest limit that a store has announced.
+// The largest records of every kind except jobs, chunks and forwarded exits have to fit the
+// smallest value limit that a store has announced.
 TEST(RecordLimits, LargestRecordsFitTheAnnouncedValueLimit) {
   constexpr double kb = 2;
   const auto fits = [](const Json& value) {
@@ -37,7 +38,7 @@
   spec.types = {long_name(64), long_name(64)};
   EXPECT_TRUE(job_record_fits(spec, 2));
   EXPECT_FALSE(job_record_fits(spec, 1));
-  // Control characters are stored escaped.
+  // Control characters take more bytes because JSON escapes them.
   spec.job_class = spec.image = std::string(200, '\x01');
   EXPECT_FALSE(job_record_fits(spec, 2));
 }
--- a/tests/storage/task_chunk_test.cpp
+++ b/tests/storage/task_chunk_test.cpp
@@ -46,7 +46,7 @@
 TEST(TaskChunk, RoundTripsThroughItsEncoding) {
   TaskChunk c;
   c.start(0, 3, "i-1");
-  c.start(2, 1, "i-2");  // passes over 1, which waits
+  c.start(2, 1, "i-2");  // task 1 becomes waiting
   auto back = decode_chunk(encode_chunk(c));
   EXPECT_EQ(back.next, 3u);
   ASSERT_EQ(back.live.size(), 2u);
