--- a/tests/storage/rate_limiter_test.cpp
+++ b/tests/storage/rate_limiter_test.cpp
@@ -47,22 +47,22 @@
     void ended() override {}
   };
   Clock clock(std::seed_seq{1u});
-  RateLimiter limit(clock, {{100, 50, 16, 12}, {100, 35, 2, 4}});
-  limit.set_shares(1, 1);
-  const double present = limit.writes_per_s();
-  limit.on_rate_limited();
-  EXPECT_NEAR(limit.writes_per_s(), present * 35 / 50, 1e-9);
+  RateLimiter limiter(clock, {{100, 50, 16, 12}, {100, 35, 2, 4}});
+  limiter.set_shares(1, 1);
+  const double present = limiter.writes_per_s();
+  limiter.on_rate_limited();
+  EXPECT_NEAR(limiter.writes_per_s(), present * 35 / 50, 1e-9);
   clock.time += 29;
-  limit.set_shares(1, 1);
-  EXPECT_LT(limit.writes_per_s(), present);
+  limiter.set_shares(1, 1);
+  EXPECT_LT(limiter.writes_per_s(), present);
   clock.time += 2;
-  limit.set_shares(1, 1);
-  EXPECT_NEAR(limit.writes_per_s(), present, 1e-9);
+  limiter.set_shares(1, 1);
+  EXPECT_NEAR(limiter.writes_per_s(), present, 1e-9);
   // After a second refusal, the announced limits apply for a longer period.
-  limit.on_rate_limited();
+  limiter.on_rate_limited();
   clock.time += 31;
-  limit.set_shares(1, 1);
-  EXPECT_LT(limit.writes_per_s(), present);
+  limiter.set_shares(1, 1);
+  EXPECT_LT(limiter.writes_per_s(), present);
 }
 
 }  // namespace
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -21,7 +21,7 @@
 constexpr double accepted_at = 1.7e9;
 constexpr double cancelled_at = 1.7e9 + 60.5;
 constexpr uint32_t first_chunk_size = 340;
-constexpr uint32_t divided_chunk_size = 41;
+constexpr uint32_t rechunked_chunk_size = 41;
 
 // `name` is a record's key or a message's name, `value` the JSON text or the bytes in hex.
 struct Line {
@@ -31,7 +31,7 @@
 // GoogleTest names a line so, also in the list of tests.
 void PrintTo(const Line& line, std::ostream* out) { *out << line.name; }
 
-std::vector<Line> landed_lines() {
+std::vector<Line> fixture_lines() {
   std::vector<Line> lines;
   std::ifstream in(std::string(FIXTURES_DIR) + "/landed.records");
   for (std::string text; std::getline(in, text);) {
@@ -61,7 +61,7 @@
 Json message_of(const Line& line) { return decode_map(from_hex(line.value)); }
 
 // The part of a record's key after its prefix.
-std::string key_tail(const Line& line, std::string_view prefix) {
+std::string key_without_prefix(const Line& line, std::string_view prefix) {
   return line.name.substr(prefix.size());
 }
 
@@ -161,7 +161,7 @@
       {job("run-service", JobKind::service, Priority::normal, 3)},
       {replicated_job()},
       {job("run-cancelled", JobKind::batch, Priority::normal, 5), first_chunk_size, 0, true},
-      {job("run-divided", JobKind::batch, Priority::normal, 100), divided_chunk_size, 1, false},
+      {job("run-divided", JobKind::batch, Priority::normal, 100), rechunked_chunk_size, 1, false},
   };
 }
 
@@ -182,7 +182,7 @@
 }
 
 void check_job(const Line& line) {
-  const auto expected = stored_job(key_tail(line, "d/j/"));
+  const auto expected = stored_job(key_without_prefix(line, "d/j/"));
   ASSERT_TRUE(expected);
   EXPECT_EQ(line.name, keys::job(expected->spec.id));
   EXPECT_EQ(encode_stored_job(expected->spec, *expected).dump(), line.value);
@@ -250,7 +250,7 @@
 }
 
 void check_chunk(const Line& line) {
-  const auto name = parse_chunk_name(key_tail(line, "d/t/"));
+  const auto name = parse_chunk_name(key_without_prefix(line, "d/t/"));
   ASSERT_TRUE(name);
   EXPECT_EQ(line.name, keys::chunk(name->job, name->number, name->chunk_layout));
   const auto chunks = stored_chunks();
@@ -264,7 +264,7 @@
   const std::map<std::string, Json> states = {
       {"run-done", encode_final_state(FinalState::done, 5)},
       {"run-aborted", encode_final_state(FinalState::cancelled, 2)}};
-  const std::string id = key_tail(line, "f/");
+  const std::string id = key_without_prefix(line, "f/");
   ASSERT_TRUE(states.contains(id));
   EXPECT_EQ(line.name, keys::final_state(id));
   EXPECT_EQ(states.at(id).dump(), line.value);
@@ -340,7 +340,7 @@
   EXPECT_EQ(encode_quota(decoded).dump(), line.value);
 }
 
-PeerHeartbeat expected_heartbeat() {
+PeerHeartbeat expected_peer_heartbeat() {
   PeerHeartbeat heartbeat;
   heartbeat.controller = "quay-0";
   heartbeat.incarnation = incarnation;
@@ -361,14 +361,14 @@
   return heartbeat;
 }
 
-void check_heartbeat(const Line& line) {
+void check_peer_heartbeat(const Line& line) {
   const std::string bytes = from_hex(line.value);
   PeerHeartbeat decoded;
   size_t used = 0;
   ASSERT_EQ(decode_peer_heartbeat(bytes, decoded, used), Framed::whole);
   EXPECT_EQ(used, bytes.size());
   EXPECT_EQ(to_hex(encode_peer_heartbeat(decoded)), line.value);
-  EXPECT_EQ(to_hex(encode_peer_heartbeat(expected_heartbeat())), line.value);
+  EXPECT_EQ(to_hex(encode_peer_heartbeat(expected_peer_heartbeat())), line.value);
 }
 
 void check_region_message(const Line& line) {
@@ -393,11 +393,11 @@
           {Command::Op::remove, {"run-3", 0}, 300, 0}};
 }
 
-void check_report_answer(const Line& line) {
+void check_heartbeat_response(const Line& line) {
   EXPECT_EQ(to_hex(encode_heartbeat_response(77, commands_of_every_kind())), line.value);
 }
 
-void check_report_answer_without_commands(const Line& line) {
+void check_heartbeat_response_without_commands(const Line& line) {
   EXPECT_EQ(to_hex(encode_heartbeat_response(77, {})), line.value);
 }
 
@@ -405,11 +405,11 @@
   EXPECT_EQ(to_hex(encode_direct_commands(77, 6, commands_of_every_kind())), line.value);
 }
 
-void check_report_to_node(const Line& line) {
+void check_redirect_to_controller(const Line& line) {
   EXPECT_EQ(to_hex(encode_redirect("quay-2")), line.value);
 }
 
-void check_report_to_any_node(const Line& line) {
+void check_redirect_to_any_controller(const Line& line) {
   EXPECT_EQ(to_hex(encode_redirect("")), line.value);
 }
 
@@ -425,7 +425,7 @@
   EXPECT_EQ(to_hex(bad_request("cores is missing or invalid").body), line.value);
 }
 
-void check_rental_request(const Line& line) {
+void check_scale_out_message(const Line& line) {
   EXPECT_EQ(to_hex(encode_scale_out_request({"r-17", "g8", "a", true, 12})), line.value);
 }
 
@@ -452,20 +452,20 @@
     {TaskState::exited, ExitCause::stopped, true},
 };
 
-void check_machine_of_report(const Heartbeat& report) {
-  EXPECT_EQ(report.machine, "i-100001");
-  EXPECT_EQ(report.address, "10.1.0.1:9000");
-  EXPECT_EQ(report.type, "g8");
-  EXPECT_EQ(report.zone, "a");
-  EXPECT_EQ(report.agent_epoch, 6u);
-  EXPECT_EQ(report.sequence, 300u);
-  EXPECT_EQ(report.fencing_token, 77u);
+void check_machine_of_heartbeat(const Heartbeat& heartbeat) {
+  EXPECT_EQ(heartbeat.machine, "i-100001");
+  EXPECT_EQ(heartbeat.address, "10.1.0.1:9000");
+  EXPECT_EQ(heartbeat.type, "g8");
+  EXPECT_EQ(heartbeat.zone, "a");
+  EXPECT_EQ(heartbeat.agent_epoch, 6u);
+  EXPECT_EQ(heartbeat.sequence, 300u);
+  EXPECT_EQ(heartbeat.fencing_token, 77u);
 }
 
-void check_tasks_of_report(const Heartbeat& report) {
-  ASSERT_EQ(report.tasks.size(), std::size(expected_tasks));
-  for (uint32_t index = 0; index < report.tasks.size(); ++index) {
-    const TaskStatus& task = report.tasks[index];
+void check_tasks_of_heartbeat(const Heartbeat& heartbeat) {
+  ASSERT_EQ(heartbeat.tasks.size(), std::size(expected_tasks));
+  for (uint32_t index = 0; index < heartbeat.tasks.size(); ++index) {
+    const TaskStatus& task = heartbeat.tasks[index];
     EXPECT_EQ(task.task, (TaskId{"run-1", index}));
     EXPECT_EQ(task.attempt, index + 1);
     EXPECT_EQ(task.state, expected_tasks[index].state) << index;
@@ -474,23 +474,23 @@
   }
 }
 
-void check_report(const Line& line) {
+void check_worker_heartbeat(const Line& line) {
   EXPECT_NE(from_hex(line.value).find(encoded_sequence_key()), std::string::npos);
-  const auto report = decode_heartbeat(message_of(line));
-  ASSERT_TRUE(report) << report.error();
-  check_machine_of_report(*report);
-  check_tasks_of_report(*report);
-  EXPECT_TRUE(report->spot);
-  EXPECT_EQ(report->notice_s, 120.5);
+  const auto heartbeat = decode_heartbeat(message_of(line));
+  ASSERT_TRUE(heartbeat) << heartbeat.error();
+  check_machine_of_heartbeat(*heartbeat);
+  check_tasks_of_heartbeat(*heartbeat);
+  EXPECT_TRUE(heartbeat->spot);
+  EXPECT_EQ(heartbeat->notice_s, 120.5);
 }
 
-void check_report_of_an_idle_machine(const Line& line) {
-  const auto report = decode_heartbeat(message_of(line));
-  ASSERT_TRUE(report) << report.error();
-  check_machine_of_report(*report);
-  EXPECT_TRUE(report->tasks.empty());
-  EXPECT_FALSE(report->spot);
-  EXPECT_FALSE(report->notice_s);
+void check_heartbeat_of_an_idle_machine(const Line& line) {
+  const auto heartbeat = decode_heartbeat(message_of(line));
+  ASSERT_TRUE(heartbeat) << heartbeat.error();
+  check_machine_of_heartbeat(*heartbeat);
+  EXPECT_TRUE(heartbeat->tasks.empty());
+  EXPECT_FALSE(heartbeat->spot);
+  EXPECT_FALSE(heartbeat->notice_s);
 }
 
 // Compares every field, in the form in which it is stored.
@@ -518,7 +518,7 @@
   check_submitted_job(line, expected);
 }
 
-void check_catalogue(const Line& line) {
+void check_catalog(const Line& line) {
   const auto types = decode_catalog(message_of(line));
   ASSERT_TRUE(types) << types.error();
   ASSERT_EQ(types->size(), 1u);
@@ -550,7 +550,7 @@
   EXPECT_EQ(machine.age_s, 30.5);
 }
 
-void check_rented_machines(const Line& line) {
+void check_created_machines(const Line& line) {
   EXPECT_EQ(decode_created_machines(message_of(line)),
             (std::vector<std::string>{"i-100001", "i-100002"}));
 }
@@ -574,25 +574,25 @@
     {"d/e/", 1, check_forwarded_exits},
     {"d/q/", 1, check_quota},
     {"f/", 2, check_final_state},
-    {"heartbeat", 1, check_heartbeat},
+    {"heartbeat", 1, check_peer_heartbeat},
     {"region_message", 1, check_region_message},
     {"job_status", 1, check_job_status},
     {"job_progress", 1, check_job_progress},
     {"bad_request", 1, check_bad_request},
-    {"report_answer", 1, check_report_answer},
-    {"report_answer_without_commands", 1, check_report_answer_without_commands},
+    {"report_answer", 1, check_heartbeat_response},
+    {"report_answer_without_commands", 1, check_heartbeat_response_without_commands},
     {"direct_commands", 1, check_direct_commands},
-    {"report_to_node", 1, check_report_to_node},
-    {"report_to_any_node", 1, check_report_to_any_node},
-    {"rental_request", 1, check_rental_request},
+    {"report_to_node", 1, check_redirect_to_controller},
+    {"report_to_any_node", 1, check_redirect_to_any_controller},
+    {"rental_request", 1, check_scale_out_message},
     {"machine_return", 1, check_machine_return},
-    {"report", 1, check_report},
-    {"report_of_an_idle_machine", 1, check_report_of_an_idle_machine},
+    {"report", 1, check_worker_heartbeat},
+    {"report_of_an_idle_machine", 1, check_heartbeat_of_an_idle_machine},
     {"submission", 1, check_submission},
     {"submission_with_nulls", 1, check_submission_with_nulls},
-    {"catalogue", 1, check_catalogue},
+    {"catalogue", 1, check_catalog},
     {"machine_list", 1, check_machine_list},
-    {"rented_machines", 1, check_rented_machines},
+    {"rented_machines", 1, check_created_machines},
 };
 
 bool has_kind(const Line& line, const LineKind& kind) {
@@ -605,7 +605,7 @@
   return found == std::end(line_kinds) ? nullptr : found;
 }
 
-class LandedLine : public testing::TestWithParam<Line> {};
+class FixtureLine : public testing::TestWithParam<Line> {};
 
 // Test names have letters, digits and underscores only.
 std::string test_name(const testing::TestParamInfo<Line>& info) {
@@ -615,16 +615,16 @@
   return name;
 }
 
-TEST_P(LandedLine, DecodedAndEncoded_IsUnchanged) {
+TEST_P(FixtureLine, DecodedAndEncoded_IsUnchanged) {
   const LineKind* kind = find_kind(GetParam());
   ASSERT_NE(kind, nullptr) << "no check for a line of this kind";
   kind->check(GetParam());
 }
 
-INSTANTIATE_TEST_SUITE_P(StoredData, LandedLine, testing::ValuesIn(landed_lines()), test_name);
+INSTANTIATE_TEST_SUITE_P(StoredData, FixtureLine, testing::ValuesIn(fixture_lines()), test_name);
 
 TEST(StoredData, WholeFile_HasEveryKindOfLine) {
-  const auto lines = landed_lines();
+  const auto lines = fixture_lines();
   for (const LineKind& kind : line_kinds) {
     const auto count = std::count_if(lines.begin(), lines.end(),
                                      [&](const Line& line) { return has_kind(line, kind); });
@@ -640,7 +640,7 @@
 // A chunk of a later layout belongs to its job, whichever of the two records is read first.
 TEST(StoredData, ChunkOfLaterLayoutReadBeforeItsJob_IsTakenByTheJob) {
   CacheFixture fixture;
-  auto lines = landed_lines();
+  auto lines = fixture_lines();
   std::reverse(lines.begin(), lines.end());
   for (const Line& line : lines)
     if (line.name.find("run-divided") != std::string::npos) fixture.apply(line);
