--- a/src/storage/final_state_cache.hpp
+++ b/src/storage/final_state_cache.hpp
@@ -1,5 +1,5 @@
-/// Bounded cache of the final states of jobs. It keeps the states inserted last; the other states
-/// are read from the key-value store on demand.
+/// Bounded cache of the final states of jobs. The cache keeps the states that were inserted last;
+/// other states are read from the key-value store on demand.
 #pragma once
 #include <optional>
 #include <string>
@@ -10,7 +10,7 @@
 
 namespace damsonport {
 
-/// The final states of up to 8192 jobs, by job ID.
+/// The final states of up to `max_states` jobs, by job ID.
 class FinalStateCache {
  public:
   /// Returns the job's final state, or nullopt when the cache doesn't have it.
@@ -35,7 +35,7 @@
  private:
   static constexpr size_t max_states = 8192;
   std::unordered_map<std::string, FinalState> states_;
-  // Job IDs in the order of insertion; a ring buffer when it is full.
+  // Job IDs in the order of insertion; a ring buffer once the cache is full.
   std::vector<std::string> insertion_order_;
   size_t oldest_index_ = 0;
 };
--- a/src/storage/key_value_client.hpp
+++ b/src/storage/key_value_client.hpp
@@ -46,7 +46,7 @@
   std::vector<std::string> failed_keys;  // keys with failed preconditions, on a conflict
 };
 
-/// Outcome of reading one key; `unavailable`: the store gave no usable response.
+/// Outcome of reading one key; `unavailable`: no usable response arrived.
 enum class GetStatus : uint8_t { found, absent, unavailable };
 
 /// Result of reading one key.
@@ -116,6 +116,7 @@
   /// Requests a new lease, which ends `ttl_s` seconds after its last renewal. Returns the lease ID,
   /// or nullopt when no lease was granted.
   [[nodiscard]] Task<std::optional<uint64_t>> grant_lease(double ttl_s);
+  /// Renews the lease for the duration with which the lease was granted.
   [[nodiscard]] Task<Renewal> renew_lease(uint64_t lease);
   /// Ends the lease at once; the store removes the keys attached to it.
   Task<void> revoke_lease(uint64_t lease);
--- a/src/storage/quota_record.hpp
+++ b/src/storage/quota_record.hpp
@@ -1,7 +1,7 @@
 /// The quota record: a region's part of one team's quota limit, stored in the region's own
 /// key-value store.
 ///
-/// The record holds totals since it was created. A region may use its initial quota, plus
+/// The record holds totals since the record was created. A region may use its initial quota, plus
 /// everything that it has received from other regions, minus everything that it has sent to them
 /// (docs/regions.md proves that this is exact).
 #pragma once
--- a/src/storage/record_types.hpp
+++ b/src/storage/record_types.hpp
@@ -22,7 +22,7 @@
 /// All shard leases, in one record.
 struct ShardTable {
   std::vector<ShardLease> leases;
-  uint64_t renewals = 0;  // incremented by every write of the record
+  uint64_t renewals = 0;  // grows with every write of the record
 };
 
 /// The controller that is the cluster leader. The record is attached to a lease of the key-value
@@ -47,7 +47,8 @@
   std::vector<ForwardedExit> exits;
 };
 
-/// Outcome of a job that is over. It is stored after the job's record is removed.
+/// Outcome of a job that is over. The final state stays in the store when the job's record is
+/// removed.
 enum class FinalState : uint8_t { done, cancelled };
 
 /// The fields of a job's record other than the job's specification.
--- a/src/storage/removed_keys.hpp
+++ b/src/storage/removed_keys.hpp
@@ -1,5 +1,5 @@
-/// Versions of recently removed keys. They keep an outdated copy of a record, read before the
-/// record's removal and applied after it, from restoring the record.
+/// Versions of recently removed keys. An outdated copy of a record, read before the
+/// record's removal and applied later, must not restore the record.
 #pragma once
 #include <algorithm>
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 namespace damsonport {
 
-/// Remembers removals in two generations, so that its size is bounded.
+/// Keeps removals in two generations, which bounds the number of entries.
 class RemovedKeys {
  public:
   /// `writes_per_s`: maximum write rate of the key-value store, which bounds the rate of removals.
@@ -39,7 +39,7 @@
   }
 
  private:
-  // Minimum time for which a removal is kept. It is longer than a read waits for its response.
+  // Minimum time for which a removal is kept, longer than a read waits for a response.
   static constexpr double min_retention_s = 5;
   static constexpr size_t min_generation_size = 4096;
   const size_t generation_size_;
--- a/src/storage/unattached_chunks.hpp
+++ b/src/storage/unattached_chunks.hpp
@@ -18,7 +18,7 @@
 /// Whether a job may still use an unattached chunk.
 enum class ChunkUse : uint8_t { expected, orphaned };
 
-/// Part of the JobIndex, which decides about the use of each chunk.
+/// The unattached chunks of a JobIndex, which decides about the use of each chunk.
 class UnattachedChunks {
  public:
   /// Adds the chunk or replaces its earlier version.
