--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -1,5 +1,8 @@
-// What the version named in tests/README.md stores and sends, kept in fixtures/landed.records, is
-// read here, and is written here byte for byte the same. Each line of the file is one test.
+// Compatibility of stored records and messages with the released version named in tests/README.md:
+// fixtures/landed.records has the records and messages that the released version writes. Each line
+// of the file is one test, which decodes the line, encodes the same data, or both, and expects the
+// same bytes. A failure means that old and new controllers misread each other's data during a
+// rolling upgrade.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -23,12 +26,13 @@
 constexpr uint32_t first_chunk_size = 340;
 constexpr uint32_t rechunked_chunk_size = 41;
 
-// `name` is a record's key or a message's name, `value` the JSON text or the bytes in hex.
+// One line of the fixture. `name` is the key of a record or the name of a message; `value` is the
+// JSON text of the record or the bytes of the message in hexadecimal.
 struct Line {
   std::string name, value;
 };
 
-// GoogleTest names a line so, also in the list of tests.
+// GoogleTest prints a line by its name in failures and in the list of tests.
 void PrintTo(const Line& line, std::ostream* out) { *out << line.name; }
 
 std::vector<Line> fixture_lines() {
@@ -60,12 +64,13 @@
 
 Json message_of(const Line& line) { return decode_map(from_hex(line.value)); }
 
-// The part of a record's key after its prefix.
+// Returns a record's key without its prefix.
 std::string key_without_prefix(const Line& line, std::string_view prefix) {
   return line.name.substr(prefix.size());
 }
 
-// The cache reads the records that no decode function reads.
+// A RecordCache to which a test applies a record, for record kinds whose decoded content is checked
+// through the cache.
 struct CacheFixture {
   EventLoop loop;
   RecordCache cache{loop, 0, 50};
@@ -73,7 +78,7 @@
   void apply(const Line& line) { cache.apply({line.name, Json::parse(line.value), 1, 0}); }
 };
 
-// Shards and leadership.
+// Records of shards and leadership.
 
 void check_shard_table(const Line& line) {
   ShardTable table;
@@ -91,7 +96,7 @@
   EXPECT_EQ(encode_leader(decode_leader(Json::parse(line.value))).dump(), line.value);
 }
 
-// Jobs and their tasks.
+// Records of jobs and their tasks.
 
 JobSpec job(const std::string& id, JobKind kind, Priority priority, uint32_t tasks) {
   JobSpec spec;
@@ -112,7 +117,7 @@
   return spec;
 }
 
-// Every field has a value of its own.
+// A job with a different, non-default value in every field.
 JobSpec full_job() {
   JobSpec spec;
   spec.id = "run-full";
@@ -198,7 +203,7 @@
   EXPECT_EQ(cached->chunk_layout, expected->chunk_layout);
   EXPECT_EQ(cached->cancelled, expected->cancelled);
   if (!cached->cancelled) return;
-  constexpr double tolerance_s = 60;  // for the time that the test itself takes
+  constexpr double tolerance_s = 60;  // for the run time of the test
   const double age_s = fixture.loop.wall() - cancelled_at;
   EXPECT_NEAR(cached->cancelled_since, fixture.loop.now() - age_s, tolerance_s);
 }
@@ -270,7 +275,7 @@
   EXPECT_EQ(states.at(id).dump(), line.value);
 }
 
-// Exits by their causes, which are stored as numbers.
+// Covers every exit cause, because causes are stored as numbers.
 void check_forwarded_exits(const Line& line) {
   ForwardedExits expected;
   expected.fencing_token = 77;
@@ -292,7 +297,7 @@
   EXPECT_EQ(encode_forwarded_exits(decoded).dump(), line.value);
 }
 
-// Machines.
+// Records of machines.
 
 void check_tombstone(const Line& line) {
   EXPECT_EQ(line.name, keys::tombstone(std::to_string(incarnation) + "-1"));
@@ -318,7 +323,7 @@
   EXPECT_EQ(request.count, 12);
 }
 
-// Controllers and regions.
+// Records and messages of controllers and regions.
 
 void check_version(const Line& line) {
   EXPECT_EQ(line.name, keys::version("quay-0"));
@@ -385,7 +390,7 @@
   EXPECT_EQ(to_hex(encode_region_message(expected)), line.value);
 }
 
-// Messages that are only written here.
+// Messages that controllers only encode.
 
 std::vector<Command> commands_of_every_kind() {
   return {{Command::Op::start, {"run-1", 4}, 2, 0},
@@ -433,7 +438,7 @@
   EXPECT_EQ(to_hex(encode_return({"i-100001", "i-100002"})), line.value);
 }
 
-// Messages that are only read here.
+// Messages that controllers only decode.
 
 struct ExpectedTask {
   TaskState state;
@@ -441,7 +446,7 @@
   bool saved;
 };
 
-// The task of index n is in its attempt n + 1.
+// The states of the reported tasks, by index; the task with index n is in attempt n + 1.
 constexpr ExpectedTask expected_tasks[] = {
     {TaskState::fetching, ExitCause::none, false}, {TaskState::running, ExitCause::none, false},
     {TaskState::saving, ExitCause::none, false},   {TaskState::waiting, ExitCause::none, false},
@@ -493,7 +498,7 @@
   EXPECT_FALSE(heartbeat->notice_s);
 }
 
-// Compares every field, in the form in which it is stored.
+// Compares all fields by comparing the stored forms of the jobs.
 void check_submitted_job(const Line& line, const JobSpec& expected) {
   const auto decoded = decode_submission(message_of(line));
   ASSERT_TRUE(decoded) << decoded.error();
@@ -555,8 +560,8 @@
             (std::vector<std::string>{"i-100001", "i-100002"}));
 }
 
-// Every kind of line, and how many of it the file has. A name that ends with a slash is the prefix
-// of a record's key; every other one is a whole name.
+// The kinds of lines, with the number of lines of each kind in the file. A name that ends with a
+// slash is the prefix of a record's key; any other name is the whole name of a line.
 struct LineKind {
   std::string_view name;
   size_t lines;
@@ -607,7 +612,7 @@
 
 class FixtureLine : public testing::TestWithParam<Line> {};
 
-// Test names have letters, digits and underscores only.
+// Test names may contain only letters, digits and underscores.
 std::string test_name(const testing::TestParamInfo<Line>& info) {
   std::string name = info.param.name;
   std::replace_if(
@@ -637,7 +642,8 @@
     EXPECT_EQ(find_kind({name, "{}"}), nullptr) << name;
 }
 
-// A chunk of a later layout belongs to its job, whichever of the two records is read first.
+// A chunk of a later layout that is read before its job must be attached when the job is read, and
+// must not count as orphaned.
 TEST(StoredData, ChunkOfLaterLayoutReadBeforeItsJob_IsTakenByTheJob) {
   CacheFixture fixture;
   auto lines = fixture_lines();
