--- a/tests/storage/mixed_versions_test.cpp
+++ b/tests/storage/mixed_versions_test.cpp
@@ -84,17 +84,17 @@
   EXPECT_FALSE(chunk_fits(job.chunks.at(0).record, kb));
   const auto chunks = rechunk(job, size);
   uint64_t live = 0, done = 0, waiting = 0;
-  for (auto& [n, record] : chunks) {
+  for (auto& [number, record] : chunks) {
     EXPECT_TRUE(chunk_fits(record, kb));
     live += record.live.size();
     done += record.done_count();
     waiting += record.waiting.size();
     for (auto& task : record.live) {
       TaskChunk before = job.chunks.at(0).record;
-      auto* same = before.find_live(n * size + task.index);
-      ASSERT_NE(same, nullptr);
-      EXPECT_EQ(same->attempt, task.attempt);
-      EXPECT_EQ(same->machine, task.machine);
+      auto* before_task = before.find_live(number * size + task.index);
+      ASSERT_NE(before_task, nullptr);
+      EXPECT_EQ(before_task->attempt, task.attempt);
+      EXPECT_EQ(before_task->machine, task.machine);
     }
   }
   EXPECT_EQ(live, 206u);
--- a/tests/storage/record_cache_test.cpp
+++ b/tests/storage/record_cache_test.cpp
@@ -17,30 +17,30 @@
   EXPECT_FALSE(cache.has_tombstone("i-4"));
 }
 
-JobSpec two_tasks() {
-  JobSpec s;
-  s.id = "run-1";
-  s.job_class = "c";
-  s.team = "t";
-  s.image = "img";
-  s.tasks = 2;
-  s.cpus = 1;
-  return s;
+JobSpec two_task_job() {
+  JobSpec spec;
+  spec.id = "run-1";
+  spec.job_class = "c";
+  spec.team = "t";
+  spec.image = "img";
+  spec.tasks = 2;
+  spec.cpus = 1;
+  return spec;
 }
 
-// An outdated read, applied after the removal of its job, must not restore the job, even after many
-// other removals.
+// An outdated read, applied after the removal of its job, must not restore the job, even
+// after many other removals.
 TEST(RecordCache, StaleWriteDoesNotRestoreARemovedJob) {
   EventLoop loop;
   RecordCache cache(loop, 0, 50);
-  const KeyValue read{keys::job("run-1"), encode_job(two_tasks()), 1, 0};
-  cache.apply(read);
+  const KeyValue outdated_read{keys::job("run-1"), encode_job(two_task_job()), 1, 0};
+  cache.apply(outdated_read);
   ASSERT_NE(cache.job("run-1"), nullptr);
   for (uint64_t i = 0; i < 4095; ++i)
     cache.apply({keys::scale_out_request("r-" + std::to_string(i)), Json(), 2 + i, 0});
   cache.apply({keys::job("run-1"), Json(), 5000, 0});
   cache.apply({keys::scale_out_request("r-last"), Json(), 5001, 0});
-  cache.apply(read);
+  cache.apply(outdated_read);
   EXPECT_EQ(cache.job("run-1"), nullptr);
 }
 
@@ -53,16 +53,16 @@
                                      AssignmentChange change) {
     reported += (change == AssignmentChange::added ? "+" : "-") + machine + " ";
   };
-  auto value = encode_job(two_tasks());
+  auto value = encode_job(two_task_job());
   value["chunk"] = 10;
   cache.apply({keys::job("run-1"), value, 1, 0});
-  TaskChunk c;
-  c.start(0, 1, "i-1");
-  cache.apply({keys::chunk("run-1", 0), encode_chunk(c), 2, 0});
-  c.start(1, 1, "i-2");
-  cache.apply({keys::chunk("run-1", 0), encode_chunk(c), 3, 0});
-  c.end_attempt(0, TaskEnd::done);
-  cache.apply({keys::chunk("run-1", 0), encode_chunk(c), 4, 0});
+  TaskChunk chunk;
+  chunk.start(0, 1, "i-1");
+  cache.apply({keys::chunk("run-1", 0), encode_chunk(chunk), 2, 0});
+  chunk.start(1, 1, "i-2");
+  cache.apply({keys::chunk("run-1", 0), encode_chunk(chunk), 3, 0});
+  chunk.end_attempt(0, TaskEnd::done);
+  cache.apply({keys::chunk("run-1", 0), encode_chunk(chunk), 4, 0});
   EXPECT_EQ(reported, "+i-1 +i-2 -i-1 ");
   EXPECT_EQ(cache.job("run-1")->live, 1u);
   EXPECT_EQ(cache.job("run-1")->done, 1u);
