--- a/src/storage/final_state_cache.hpp
+++ b/src/storage/final_state_cache.hpp
@@ -1,4 +1,5 @@
-/// Final states of jobs, of which the latest are remembered; the others are read on demand.
+/// Bounded cache of the final states of jobs. The cache keeps the states that were inserted last;
+/// other states are read from the key-value store on demand.
 #pragma once
 #include <optional>
 #include <string>
@@ -9,31 +10,34 @@
 
 namespace damsonport {
 
+/// The final states of up to `max_states` jobs, by job ID.
 class FinalStateCache {
  public:
+  /// Returns the job's final state, or nullopt when the cache doesn't have it.
   std::optional<FinalState> find(const std::string& job_id) const {
     auto it = states_.find(job_id);
     return it == states_.end() ? std::nullopt : std::optional(it->second);
   }
 
-  /// A final state never changes: one that is known stays as it is.
-  void remember(const std::string& job_id, FinalState state) {
+  /// Inserts a final state and evicts the oldest one when the cache is full. A state that the cache
+  /// already has is kept, because a final state never changes.
+  void insert(const std::string& job_id, FinalState state) {
     if (!states_.emplace(job_id, state).second) return;
-    if (order_.size() < max_states) {
-      order_.push_back(job_id);
+    if (insertion_order_.size() < max_states) {
+      insertion_order_.push_back(job_id);
       return;
     }
-    states_.erase(order_[oldest_]);
-    order_[oldest_] = job_id;
-    oldest_ = (oldest_ + 1) % max_states;
+    states_.erase(insertion_order_[oldest_index_]);
+    insertion_order_[oldest_index_] = job_id;
+    oldest_index_ = (oldest_index_ + 1) % max_states;
   }
 
  private:
   static constexpr size_t max_states = 8192;
   std::unordered_map<std::string, FinalState> states_;
-  // Jobs in the order in which they were remembered: a ring once it is full.
-  std::vector<std::string> order_;
-  size_t oldest_ = 0;
+  // Job IDs in the order of insertion; a ring buffer once the cache is full.
+  std::vector<std::string> insertion_order_;
+  size_t oldest_index_ = 0;
 };
 
 }  // namespace damsonport
--- a/src/storage/key_value_client.cpp
+++ b/src/storage/key_value_client.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-constexpr double answer_timeout_s = 1.5;  // answers usually take 10 ms, seldom 300
-constexpr double range_timeout_s = 2 * answer_timeout_s;
+constexpr double response_timeout_s = 1.5;  // responses usually take 10 ms, rarely 300 ms
+constexpr double range_timeout_s = 2 * response_timeout_s;
 constexpr int max_page_keys = 250;
-// Between repeats of a transaction whose outcome is unknown; doubled each time.
-constexpr double first_pause_s = 0.02;
-constexpr double longest_pause_s = 1.0;
+// Delay before a transaction without a definite outcome is sent again; doubled after each attempt.
+constexpr double initial_retry_delay_s = 0.02;
+constexpr double max_retry_delay_s = 1.0;
 
-// Fields of the store's messages.
+// Field names of the store's messages.
 namespace wire {
 constexpr const char* key = "path";
 constexpr const char* value = "data";
@@ -31,13 +31,14 @@
 constexpr const char* changes = "news";
 }  // namespace wire
 
-// 0 where the field is missing.
+// Returns 0 when the field is missing or not an integer.
 uint64_t number(const Json& message, const char* field) {
   auto it = message.find(field);
   return it != message.end() && it->is_number_integer() ? it->get<uint64_t>() : 0;
 }
 
-// Takes the value out of the message: copying it was most of the work of reading all records.
+// Moves the value out of the message: copying the values took most of the time of reading all
+// records.
 KeyValue take_key_value(Json& message, const char* key_field) {
   KeyValue out;
   if (auto it = message.find(key_field); it != message.end() && it->is_string()) out.key = *it;
@@ -122,8 +123,8 @@
   co_await rate_limiter_.acquire(priority, writes);
   auto reply =
       co_await http_.request(endpoint_, method, std::move(target), std::move(body), timeout_s);
-  if (reply.answered() && reply.status != 503) last_contact_ = loop_.now();
-  if (reply.status == 429) rate_limiter_.on_refused();
+  if (reply.answered() && reply.status != 503) last_contact_at_ = loop_.now();
+  if (reply.status == 429) rate_limiter_.on_rate_limited();
   co_return reply;
 }
 
@@ -132,20 +133,21 @@
   const int writes = static_cast<int>(transaction.writes.size());
   auto body = encode_transaction(std::move(transaction));
   const auto reply =
-      co_await call(Method::post, "/txn", std::move(body), priority, writes, answer_timeout_s);
+      co_await call(Method::post, "/txn", std::move(body), priority, writes, response_timeout_s);
   co_return decode_transaction_result(reply);
 }
 
-// A transaction with no answer may be applied later, at any time. Repeating the same preconditions
-// settles it: if a repeat commits, the versions have moved and the first copy can only fail; if a
-// repeat conflicts, either the first copy was applied or somebody else changed a key, and either
-// way no copy can be applied any more. The caller reads the keys again after a conflict. This
-// holds only for transactions that write at least one of the keys they are conditional on.
+// A transaction without a response may still be applied at any later time. Sending the transaction
+// again with the same preconditions makes the outcome definite: if a repeat commits, the versions
+// of the keys have changed and earlier copies can only fail; if a repeat conflicts, either an
+// earlier copy was applied or another client changed a key, and in both cases no copy can be
+// applied any more. The caller reads the keys again after a conflict. This argument holds only for
+// transactions that write at least one of the keys of their preconditions.
 Task<TransactionResult> KeyValueClient::commit_until_resolved(Transaction transaction,
                                                               RequestPriority priority,
                                                               std::stop_token stop_token) {
-  bool may_be_applied = false;  // some earlier copy
-  double pause_s = first_pause_s;
+  bool may_be_applied = false;  // by an earlier copy
+  double retry_delay_s = initial_retry_delay_s;
   for (;;) {
     auto result = co_await compare_and_swap(transaction, priority);
     if (result.outcome == TransactionOutcome::unknown) may_be_applied = true;
@@ -153,13 +155,15 @@
                              result.outcome == TransactionOutcome::conflict ||
                              (result.outcome == TransactionOutcome::invalid && !may_be_applied);
     if (is_definite) co_return result;
-    if (!co_await Sleep(loop_, pause_s * loop_.uniform(0.5, 1.5), stop_token)) co_return result;
-    pause_s = std::min(pause_s * 2, longest_pause_s);
+    if (!co_await Sleep(loop_, retry_delay_s * loop_.uniform(0.5, 1.5), stop_token))
+      co_return result;
+    retry_delay_s = std::min(retry_delay_s * 2, max_retry_delay_s);
   }
 }
 
 Task<GetResult> KeyValueClient::get(std::string key, RequestPriority priority) {
-  const auto reply = co_await call(Method::get, "/keys/" + key, {}, priority, 0, answer_timeout_s);
+  const auto reply =
+      co_await call(Method::get, "/keys/" + key, {}, priority, 0, response_timeout_s);
   GetResult result;
   if (reply.status == 200) result.status = GetStatus::found;
   if (reply.status == 404) result.status = GetStatus::absent;
@@ -196,7 +200,7 @@
   std::string target = "/watch?starts=" + prefix + "&since=" + std::to_string(after) +
                        "&block_ms=" + std::to_string(static_cast<int>(wait_s * 1000));
   const auto reply = co_await call(Method::get, std::move(target), {}, RequestPriority::watching, 0,
-                                   wait_s + answer_timeout_s);
+                                   wait_s + response_timeout_s);
   WatchResult result;
   if (reply.status == 410) result.status = ReadStatus::compacted;
   if (reply.status != 200) co_return result;
@@ -212,7 +216,7 @@
   Json request = Json::object();
   request[wire::lease_ms] = static_cast<int>(ttl_s * 1000);
   const auto reply = co_await call(Method::post, "/grants", encode(request), RequestPriority::lease,
-                                   0, answer_timeout_s);
+                                   0, response_timeout_s);
   if (reply.status != 200) co_return std::nullopt;
   const auto message = decode_map(reply.body);
   const uint64_t lease = message.is_object() ? number(message, wire::lease) : 0;
@@ -223,14 +227,14 @@
 Task<KeyValueClient::Renewal> KeyValueClient::renew_lease(uint64_t lease) {
   const auto reply =
       co_await call(Method::post, "/grants/" + std::to_string(lease) + "/touch",
-                    encode(Json::object()), RequestPriority::lease, 0, answer_timeout_s);
+                    encode(Json::object()), RequestPriority::lease, 0, response_timeout_s);
   if (reply.status == 200) co_return Renewal::renewed;
   co_return reply.status == 404 ? Renewal::ended : Renewal::unknown;
 }
 
 Task<void> KeyValueClient::revoke_lease(uint64_t lease) {
   co_await call(Method::del, "/grants/" + std::to_string(lease), {}, RequestPriority::lease, 0,
-                answer_timeout_s);
+                response_timeout_s);
 }
 
 }  // namespace damsonport
