--- a/src/coordination/api/admission.cpp
+++ b/src/coordination/api/admission.cpp
@@ -25,9 +25,9 @@
 }
 
 bool exceeds_limit(const JobSpec& job, const TeamSettings& team) {
-  const double tasks_at_once = job.kind == JobKind::batch ? 1 : job.tasks;
-  return exceeds(job.cpus * tasks_at_once, team.cpus_max, team.cpus_elsewhere) ||
-         exceeds(job.gpus * tasks_at_once, team.gpus_max, team.gpus_elsewhere);
+  const double min_concurrent_tasks = job.kind == JobKind::batch ? 1 : job.tasks;
+  return exceeds(job.cpus * min_concurrent_tasks, team.cpus_max, team.cpus_elsewhere) ||
+         exceeds(job.gpus * min_concurrent_tasks, team.gpus_max, team.gpus_elsewhere);
 }
 
 }  // namespace
--- a/src/coordination/api/job_status_reader.cpp
+++ b/src/coordination/api/job_status_reader.cpp
@@ -24,7 +24,8 @@
     if (confirmation == Confirmation::unavailable) co_return JobStatus{};
     if (confirmation == Confirmation::confirmed) {
       if (version == 0) co_return JobStatus{JobStatus::State::unknown, {}};
-      if (Job* still = cache_.job(id); still && !still->cancelled) co_return cached_status(*still);
+      if (Job* current = cache_.job(id); current && !current->cancelled)
+        co_return cached_status(*current);
       continue;
     }
     if (auto status = co_await read_from_store(id)) co_return *status;
--- a/src/coordination/api/submission_batcher.cpp
+++ b/src/coordination/api/submission_batcher.cpp
@@ -21,7 +21,7 @@
   return record_bytes + spec.types.size() * machine_type_bytes;
 }
 
-bool has_failed(const TransactionResult& result, const std::string& job) {
+bool is_precondition_failed(const TransactionResult& result, const std::string& job) {
   return std::any_of(result.failed_keys.begin(), result.failed_keys.end(),
                      [&](const std::string& key) {
                        return key == keys::job(job) || key == keys::final_state(job);
@@ -44,14 +44,14 @@
   }
 }
 
-// As many of the waiting submissions as one transaction holds, in their order.
+// As many of the pending submissions as one transaction holds, in their order.
 SubmissionBatcher::Batch SubmissionBatcher::take_batch() {
   const auto max_writes = static_cast<size_t>(settings_.state_limits.always().txn_writes);
-  auto& waiting = queue_.entries();
+  auto& pending = queue_.entries();
   Batch batch;
   std::set<std::string> ids;
   size_t bytes = 0;
-  for (auto it = waiting.begin(); it != waiting.end() && batch.size() < max_writes;) {
+  for (auto it = pending.begin(); it != pending.end() && batch.size() < max_writes;) {
     auto* entry = *it;
     const size_t size = estimated_bytes(entry->request);
     // Of the same job submitted twice, the second waits for the next transaction.
@@ -61,7 +61,7 @@
     }
     bytes += size;
     batch.push_back(entry);
-    it = waiting.erase(it);
+    it = pending.erase(it);
   }
   return batch;
 }
@@ -87,9 +87,10 @@
         co_await store_.compare_and_swap(std::move(transaction), RequestPriority::accepting);
     if (result.outcome == TransactionOutcome::conflict && !result.failed_keys.empty()) {
       // The jobs whose precondition failed are known already; the others are tried again.
-      const auto first_known = std::stable_partition(
-          batch.begin(), batch.end(),
-          [&](const Queue::Entry* entry) { return !has_failed(result, entry->request.id); });
+      const auto first_known =
+          std::stable_partition(batch.begin(), batch.end(), [&](const Queue::Entry* entry) {
+            return !is_precondition_failed(result, entry->request.id);
+          });
       Batch known(first_known, batch.end());
       batch.erase(first_known, batch.end());
       if (known.empty()) std::swap(known, batch);
--- a/src/coordination/api/submission_batcher.hpp
+++ b/src/coordination/api/submission_batcher.hpp
@@ -28,7 +28,7 @@
   /// Background task: writes what waits until the token is stopped.
   Task<void> run(std::stop_token stop_token);
   /// Submissions that wait and are in no transaction yet.
-  size_t waiting() const { return queue_.size(); }
+  size_t pending() const { return queue_.size(); }
 
  private:
   using Queue = PendingQueue<JobSpec, SubmissionOutcome>;
--- a/src/coordination/api/user_api.cpp
+++ b/src/coordination/api/user_api.cpp
@@ -18,8 +18,8 @@
 constexpr int max_cancel_attempts = 4;
 
 /// Why a job can never run, as its user is told.
-const char* rejection_reason(AdmissionResult verdict) {
-  switch (verdict) {
+const char* rejection_reason(AdmissionResult admission) {
+  switch (admission) {
     case AdmissionResult::admitted:
       return "";
     case AdmissionResult::unknown_team:
@@ -57,7 +57,7 @@
 }
 
 double UserApi::wanted_writes() const {
-  return demand_.estimate(submissions_.waiting(), loop_.now());
+  return demand_.estimate(submissions_.pending(), loop_.now());
 }
 
 Task<HttpResponse> UserApi::poll(std::string id) {
@@ -81,9 +81,9 @@
     co_return co_await status_response(spec->id);
   // The policy of this moment stays with the job, whatever the operators' file says later.
   settings_.replicas.describe(*spec);
-  const AdmissionResult verdict = check_admission(*spec, settings_, catalog_.types());
-  if (verdict != AdmissionResult::admitted)
-    co_return co_await reject(spec->id, rejection_reason(verdict));
+  const AdmissionResult admission = check_admission(*spec, settings_, catalog_.types());
+  if (admission != AdmissionResult::admitted)
+    co_return co_await reject(spec->id, rejection_reason(admission));
   if (!controllers_support(*spec)) co_return unavailable();
   demand_.note_arrival(loop_.now());
   if (const auto retry_after_s = overload_retry_after()) {
@@ -113,9 +113,9 @@
 // No more submissions wait than can be written soon; nothing where one more may.
 std::optional<double> UserApi::overload_retry_after() const {
   const double rate = store_.rate_limiter().writes_per_s();
-  const double max_waiting = std::max(rate * max_submission_wait_s, 1.0);
-  if (static_cast<double>(submissions_.waiting()) < max_waiting) return std::nullopt;
-  const size_t ahead = submissions_.waiting() + demand_.rejected() + 1;
+  const double max_pending = std::max(rate * max_submission_wait_s, 1.0);
+  if (static_cast<double>(submissions_.pending()) < max_pending) return std::nullopt;
+  const size_t ahead = submissions_.pending() + demand_.rejected() + 1;
   return std::clamp(static_cast<double>(ahead) / rate, min_retry_after_s, max_retry_after_s);
 }
 
--- a/src/coordination/api/version_confirmer.cpp
+++ b/src/coordination/api/version_confirmer.cpp
@@ -12,11 +12,11 @@
 constexpr double idle_wait_s = 60;
 /// Checks that arrive within this time of the first one share its transaction.
 constexpr double batching_delay_s = 0.02;
-constexpr size_t max_waiting = 256;
+constexpr size_t max_pending = 256;
 /// The record's version, and where there is none, the absence of a final state.
 constexpr size_t max_conditions_per_check = 2;
 
-bool has_failed(const TransactionResult& result, const std::string& key) {
+bool is_precondition_failed(const TransactionResult& result, const std::string& key) {
   return std::find(result.failed_keys.begin(), result.failed_keys.end(), key) !=
          result.failed_keys.end();
 }
@@ -29,7 +29,7 @@
       max_conditions_(static_cast<size_t>(settings.state_limits.always().txn_conditions())),
       queue_(loop) {}
 
-bool VersionConfirmer::is_full() const { return queue_.size() >= max_waiting; }
+bool VersionConfirmer::is_full() const { return queue_.size() >= max_pending; }
 
 Task<void> VersionConfirmer::run(std::stop_token stop_token) {
   while (!stop_token.stop_requested()) {
@@ -50,10 +50,10 @@
 VersionConfirmer::PreparedBatch VersionConfirmer::take_batch() {
   PreparedBatch batch;
   auto& preconditions = batch.transaction.preconditions;
-  auto& waiting = queue_.entries();
-  while (!waiting.empty() && preconditions.size() + max_conditions_per_check <= max_conditions_) {
-    auto* entry = waiting.front();
-    waiting.pop_front();
+  auto& pending = queue_.entries();
+  while (!pending.empty() && preconditions.size() + max_conditions_per_check <= max_conditions_) {
+    auto* entry = pending.front();
+    pending.pop_front();
     const auto& [job, version] = entry->request;
     // One transaction confirms one version of a job: the cache changed between these two checks.
     const auto [condition, inserted] = preconditions.try_emplace(keys::job(job), version);
@@ -76,8 +76,8 @@
       entry->resolve(Confirmation::confirmed);
     } else if (result.outcome != TransactionOutcome::conflict) {
       entry->resolve(Confirmation::unavailable);
-    } else if (result.failed_keys.empty() || has_failed(result, keys::job(job)) ||
-               has_failed(result, keys::final_state(job))) {
+    } else if (result.failed_keys.empty() || is_precondition_failed(result, keys::job(job)) ||
+               is_precondition_failed(result, keys::final_state(job))) {
       entry->resolve(Confirmation::changed);
     } else {
       // A conflict need not name every precondition that failed. Nothing is known of those that it
--- a/src/coordination/api/write_demand.hpp
+++ b/src/coordination/api/write_demand.hpp
@@ -22,10 +22,10 @@
 
   /// Rejected in this period and the one before it.
   size_t rejected() const { return rejected_in_last_period_ + rejected_in_period_; }
-  /// `waiting`: submissions that wait for their write. By these alone a controller would get its
+  /// `pending`: submissions that wait for their write. By these alone a controller would get its
   /// share only once its users wait, so the arrivals count too.
-  double estimate(size_t waiting, double now) const {
-    return static_cast<double>(waiting + rejected_in_last_period_) +
+  double estimate(size_t pending, double now) const {
+    return static_cast<double>(pending + rejected_in_last_period_) +
            arrival_headroom * arrivals_.at(now);
   }
 
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -222,12 +222,12 @@
   const bool is_leading = election_.is_leading();
   const bool is_leader_alive =
       cache_.has_leader() && peer_network_.is_alive(cache_.leader().controller);
-  double wanted_by_others = static_cast<double>(peer_network_.wanted_writes());
+  double demand_of_others = static_cast<double>(peer_network_.wanted_writes());
   if (!is_leading && !is_leader_alive)
-    wanted_by_others += settings_.state_limits.present().writes_per_s;
+    demand_of_others += settings_.state_limits.present().writes_per_s;
   store_.rate_limiter().set_shares(
       request_share(is_leading, settings_.controller_count),
-      write_share(settings_.controller_count, wanted_writes(), wanted_by_others));
+      write_share(settings_.controller_count, wanted_writes(), demand_of_others));
 }
 
 Task<void> Controller::run_housekeeping(std::stop_token stop_token) {
--- a/src/coordination/machines/command_dispatcher.cpp
+++ b/src/coordination/machines/command_dispatcher.cpp
@@ -5,15 +5,15 @@
 namespace damsonport {
 
 void CommandDispatcher::dispatch(Machine& machine, Command command) {
-  machine.outbox.push_back(std::move(command));
+  machine.pending_commands.push_back(std::move(command));
   enqueue(machine);
 }
 
 void CommandDispatcher::enqueue(Machine& machine) {
-  if (machine.sending || machine.agent_epoch == 0 || machine.outbox.empty()) return;
+  if (machine.sending || machine.agent_epoch == 0 || machine.pending_commands.empty()) return;
   // Its next heartbeat is answered with what is still wanted, and no socket waits for it until
   // then.
-  if (callbacks_.is_suspected(machine)) return machine.outbox.clear();
+  if (callbacks_.is_suspected(machine)) return machine.pending_commands.clear();
   machine.sending = true;
   queue_.push_back(machine.id);
   start_sends();
@@ -37,7 +37,7 @@
 }
 
 std::vector<Command> CommandDispatcher::take_wanted_commands(Machine& machine) const {
-  auto commands = std::exchange(machine.outbox, {});
+  auto commands = std::exchange(machine.pending_commands, {});
   std::erase_if(commands,
                 [&](const Command& command) { return !callbacks_.is_wanted(machine, command); });
   return commands;
@@ -65,7 +65,7 @@
     std::set<AttemptKey> starts;
     for (auto& command : commands)
       if (command.op == Command::Op::start) starts.insert({command.task, command.attempt});
-    machine->in_flight.insert(starts.begin(), starts.end());
+    machine->starts_in_flight.insert(starts.begin(), starts.end());
     const uint64_t agent_epoch = machine->agent_epoch;
     const uint64_t fencing_token = callbacks_.fencing_token();
     const double requested_at = loop_.now();
@@ -75,36 +75,37 @@
     if (!machine || fencing_token != callbacks_.fencing_token()) co_return;
     if (machine->agent_epoch == agent_epoch) {
       for (auto& start : starts) {
-        machine->in_flight.erase(start);
+        machine->starts_in_flight.erase(start);
         // The agent may still receive it at any time in this epoch.
-        if (!reply.answered()) machine->in_limbo.insert(start);
+        if (!reply.answered()) machine->starts_unacknowledged.insert(start);
       }
     }
     if (!reply.answered()) {
-      note_no_answer(*machine);
+      handle_missing_response(*machine);
       co_return;
     }
-    process_answer(*machine, reply, requested_at);
+    handle_response(*machine, reply, requested_at);
   }
 }
 
-void CommandDispatcher::note_no_answer(Machine& machine) {
+void CommandDispatcher::handle_missing_response(Machine& machine) {
   ++machine.failed_sends;
   callbacks_.on_send_failed(machine.id);
   machine.sending = false;
-  machine.outbox.clear();
+  machine.pending_commands.clear();
   spdlog::debug("{} does not answer commands", machine.id);
 }
 
-void CommandDispatcher::process_answer(Machine& machine, const HttpReply& reply,
-                                       double requested_at) {
+void CommandDispatcher::handle_response(Machine& machine, const HttpReply& reply,
+                                        double requested_at) {
   machine.failed_sends = 0;
   const auto status = decode_heartbeat(decode_map(reply.body));
   if (!status || status->machine != machine.id) return;
   // Only removals are sent at once. A stop whose answer still shows the task saving, and the like,
   // wait for the next heartbeat.
   for (auto& command : callbacks_.on_status(machine, *status, requested_at))
-    if (reply.status == 200 && command.op == Command::Op::remove) machine.outbox.push_back(command);
+    if (reply.status == 200 && command.op == Command::Op::remove)
+      machine.pending_commands.push_back(command);
 }
 
 void CommandDispatcher::start_probe(const std::string& machine_id) {
--- a/src/coordination/machines/command_dispatcher.hpp
+++ b/src/coordination/machines/command_dispatcher.hpp
@@ -18,14 +18,15 @@
 
 namespace damsonport {
 
-/// Sends each machine its pending commands (`Machine::outbox`), one request at a time for each
-/// machine and a bounded number of requests in all.
+/// Sends each machine its pending commands (`Machine::pending_commands`), one request at a time for
+/// each machine and a bounded number of requests in all.
 ///
 /// Invariants:
 /// - A machine is in the queue, or one request to it is in progress, exactly while
 ///   `Machine::sending` is set (within one lease: see begin_lease()).
-/// - Every start command in a request without a response is in `Machine::in_flight`; if the request
-///   fails it moves to `Machine::in_limbo`, because the agent may still receive it.
+/// - Every start command in a request without a response is in `Machine::starts_in_flight`; if the
+/// request
+///   fails it moves to `Machine::starts_unacknowledged`, because the agent may still receive it.
 /// - Commands that could not be delivered are dropped. The next heartbeat of the machine is
 ///   reconciled with the records, which yields again what is still wanted.
 ///
@@ -86,8 +87,8 @@
   std::vector<Command> take_wanted_commands(Machine& machine) const;
   Task<HttpReply> post_commands(std::string address, uint64_t agent_epoch,
                                 std::vector<Command> commands);
-  void note_no_answer(Machine& machine);
-  void process_answer(Machine& machine, const HttpReply& reply, double requested_at);
+  void handle_missing_response(Machine& machine);
+  void handle_response(Machine& machine, const HttpReply& reply, double requested_at);
   Task<void> probe(std::string machine_id);
 
   Loop& loop_;
--- a/src/coordination/machines/failure_detector.cpp
+++ b/src/coordination/machines/failure_detector.cpp
@@ -6,30 +6,30 @@
 
 namespace {
 // Periods between two ticks after which the process counts as held up.
-constexpr double held_up_periods = 3;
+constexpr double stall_periods = 3;
 // A worker that gets no answer in 4 s goes to the next controller a second later.
 constexpr double worker_retry_s = 5;
 // Heartbeat intervals that an idle machine which was never heard is waited for in addition.
-constexpr double booting_heartbeats = 2;
+constexpr double boot_grace_heartbeats = 2;
 // Heartbeats that are missing before a zone counts as unreachable, and the shortest time for it in
 // heartbeat intervals.
-constexpr double missing_heartbeats = 10;
-constexpr double least_heartbeat_share = 0.25;
+constexpr double zone_timeout_heartbeats = 10;
+constexpr double min_zone_timeout_heartbeats = 0.25;
 }  // namespace
 
 void FailureDetector::begin_lease(double now) {
-  liveness_base_ = now;
+  counting_since_ = now;
   last_tick_ = now;
   dead_machine_timeout_ = {};
 }
 
 void FailureDetector::note_tick(double now, double period_s) {
-  if (now - last_tick_ > held_up_periods * period_s) liveness_base_ = now;
+  if (now - last_tick_ > stall_periods * period_s) counting_since_ = now;
   last_tick_ = now;
 }
 
 double FailureDetector::since_last_heartbeat_s(const Machine& machine, double now) const {
-  return now - std::max(machine.last_heartbeat_at, liveness_base_);
+  return now - std::max(machine.last_heartbeat_at, counting_since_);
 }
 
 bool FailureDetector::is_suspected(const Machine& machine, double now) const {
@@ -66,32 +66,34 @@
   }
   std::set<std::string> unreachable;
   for (auto& [name, zone] : zones) {
-    const double timeout_s = settings_.heartbeat_interval_s *
-                             std::max(missing_heartbeats / zone.machines, least_heartbeat_share);
-    const double silent_s = now - std::max(zone.last_heartbeat_at, liveness_base_);
-    if (silent_s > std::min(timeout_s, suspect_after_s())) unreachable.insert(name);
+    const double timeout_s =
+        settings_.heartbeat_interval_s *
+        std::max(zone_timeout_heartbeats / zone.machines, min_zone_timeout_heartbeats);
+    const double heartbeat_age_s = now - std::max(zone.last_heartbeat_at, counting_since_);
+    if (heartbeat_age_s > std::min(timeout_s, suspect_after_s())) unreachable.insert(name);
   }
   return unreachable;
 }
 
 double FailureDetector::timeout_s(const std::map<std::string, Machine>& machines,
                                   const FleetFacts& facts, double now) {
-  size_t known = 0;
-  size_t silent = 0;
+  size_t known_machines = 0;
+  size_t suspected_machines = 0;
   for (auto& [id, machine] : machines) {
     if (facts.has_tombstone(id)) continue;
-    ++known;
-    silent += is_suspected(machine, now);
+    ++known_machines;
+    suspected_machines += is_suspected(machine, now);
   }
-  return dead_machine_timeout_.limit(now, known, silent, dead_after_s(), settings_.lease_s);
+  return dead_machine_timeout_.timeout_s(now, known_machines, suspected_machines, dead_after_s(),
+                                         settings_.lease_s);
 }
 
 // It may be booting, or still be looking for the new shard leader, past controllers that don't
 // answer.
 double FailureDetector::first_heartbeat_grace_s(const std::string& machine,
                                                 const FleetFacts& facts) const {
-  return facts.has_assignments(machine) ? worker_retry_s * (1 + facts.silent_peers)
-                                        : settings_.heartbeat_interval_s * booting_heartbeats;
+  return facts.has_assignments(machine) ? worker_retry_s * (1 + facts.unreachable_peers)
+                                        : settings_.heartbeat_interval_s * boot_grace_heartbeats;
 }
 
 std::vector<FailureDetector::SuspectedMachine> FailureDetector::detect(
@@ -100,13 +102,13 @@
   std::vector<SuspectedMachine> suspected;
   for (auto& [id, machine] : machines) {
     if (facts.is_leaving(id) || !is_suspected(machine, now)) continue;
-    const double silent_s = since_last_heartbeat_s(machine, now);
-    const double since_direct_answer_s =
-        now - std::max(machine.last_direct_response_at, liveness_base_);
+    const double heartbeat_age_s = since_last_heartbeat_s(machine, now);
+    const double direct_response_age_s =
+        now - std::max(machine.last_direct_response_at, counting_since_);
     double limit_s = timeout;
     if (machine.agent_epoch == 0) limit_s += first_heartbeat_grace_s(id, facts);
-    const bool is_dead = silent_s > limit_s && since_direct_answer_s > dead_after_s();
-    suspected.push_back({id, silent_s, is_dead});
+    const bool is_dead = heartbeat_age_s > limit_s && direct_response_age_s > dead_after_s();
+    suspected.push_back({id, heartbeat_age_s, is_dead});
   }
   return suspected;
 }
--- a/src/coordination/machines/failure_detector.hpp
+++ b/src/coordination/machines/failure_detector.hpp
@@ -45,11 +45,11 @@
     Predicate has_tombstone;    ///< no longer part of the fleet
     Predicate is_leaving;       ///< has a tombstone or is to get one: not examined
     Predicate has_assignments;  ///< the records place tasks there
-    int silent_peers = 0;       ///< controllers that don't answer
+    int unreachable_peers = 0;  ///< controllers that don't answer
   };
   struct SuspectedMachine {
     std::string id;
-    double silent_s = 0;  ///< since its last heartbeat
+    double heartbeat_age_s = 0;  ///< since its last heartbeat
     bool is_dead = false;
   };
   /// The suspected machines in the order of their ids, and whether each is to be declared dead.
@@ -63,7 +63,7 @@
   double first_heartbeat_grace_s(const std::string& machine, const FleetFacts& facts) const;
 
   const Settings& settings_;
-  double liveness_base_ = 0;
+  double counting_since_ = 0;
   double last_tick_ = 0;
   DeadMachineTimeout dead_machine_timeout_;
 };
--- a/src/coordination/machines/fault_attribution.cpp
+++ b/src/coordination/machines/fault_attribution.cpp
@@ -6,54 +6,57 @@
 
 namespace {
 // Machines on which a job must have failed, and jobs that must have failed on a machine.
-constexpr size_t machines_against_a_job = 3;
-constexpr size_t jobs_against_a_machine = 2;
+constexpr size_t min_machines_of_faulty_job = 3;
+constexpr size_t min_jobs_of_faulty_machine = 2;
 }  // namespace
 
-void FaultAttribution::failed(const std::string& job, const std::string& machine, double now) {
+void FaultAttribution::note_failure(const std::string& job, const std::string& machine,
+                                    double now) {
   jobs_[job].failed_on.insert(machine);
   machines_[machine].failed_jobs.insert(job);
   machines_[machine].last_failure = now;
 }
 
-void FaultAttribution::worked(const std::string& job, const std::string& machine, double started) {
+void FaultAttribution::note_success(const std::string& job, const std::string& machine,
+                                    double started) {
   if (auto it = machines_.find(machine); it != machines_.end() && started > it->second.last_failure)
     machines_.erase(it);
   // Only of jobs that have failed somewhere anything needs to be known.
-  if (auto it = jobs_.find(job); it != jobs_.end()) it->second.worked = true;
+  if (auto it = jobs_.find(job); it != jobs_.end()) it->second.has_succeeded = true;
 }
 
-void FaultAttribution::suspect(const std::string& job) { jobs_[job].suspected = true; }
+void FaultAttribution::suspect_job(const std::string& job) { jobs_[job].suspected = true; }
 
 bool FaultAttribution::is_job_faulty(const std::string& job) const {
   auto it = jobs_.find(job);
-  if (it == jobs_.end() || it->second.worked) return false;
-  return it->second.suspected || it->second.failed_on.size() >= machines_against_a_job;
+  if (it == jobs_.end() || it->second.has_succeeded) return false;
+  return it->second.suspected || it->second.failed_on.size() >= min_machines_of_faulty_job;
 }
 
-bool FaultAttribution::attributes_to_machine(const std::string& job) const {
+bool FaultAttribution::counts_against_machine(const std::string& job) const {
   auto it = jobs_.find(job);
   if (it == jobs_.end() || is_job_faulty(job)) return false;
-  return it->second.worked || it->second.failed_on.size() == 1;
+  return it->second.has_succeeded || it->second.failed_on.size() == 1;
 }
 
 bool FaultAttribution::is_machine_faulty(const std::string& machine) const {
   auto it = machines_.find(machine);
   if (it == machines_.end()) return false;
   auto& jobs = it->second.failed_jobs;
-  auto blaming = std::count_if(jobs.begin(), jobs.end(),
-                               [&](const std::string& job) { return attributes_to_machine(job); });
-  return static_cast<size_t>(blaming) + it->second.ended_jobs >= jobs_against_a_machine;
+  auto against_machine = std::count_if(jobs.begin(), jobs.end(), [&](const std::string& job) {
+    return counts_against_machine(job);
+  });
+  return static_cast<size_t>(against_machine) + it->second.ended_jobs >= min_jobs_of_faulty_machine;
 }
 
 // A machine that fails everything meets jobs that are done elsewhere within seconds.
 void FaultAttribution::forget_job(const std::string& job) {
   auto it = jobs_.find(job);
-  const bool worked = it != jobs_.end() && it->second.worked;
+  const bool has_succeeded = it != jobs_.end() && it->second.has_succeeded;
   if (it != jobs_.end()) jobs_.erase(it);
   for (auto& [machine, record] : machines_) {
-    if (record.failed_jobs.erase(job) == 0 || !worked) continue;
-    record.ended_jobs = std::min(record.ended_jobs + 1, jobs_against_a_machine);
+    if (record.failed_jobs.erase(job) == 0 || !has_succeeded) continue;
+    record.ended_jobs = std::min(record.ended_jobs + 1, min_jobs_of_faulty_machine);
   }
   std::erase_if(machines_, [](auto& entry) { return entry.second.empty(); });
 }
--- a/src/coordination/machines/heartbeat_deduplicator.cpp
+++ b/src/coordination/machines/heartbeat_deduplicator.cpp
@@ -8,32 +8,33 @@
 
 namespace {
 
-struct Masked {
+struct MaskedHeartbeat {
   std::string heartbeat;
   uint64_t sequence = 0;
 };
 
 // Bytes that follow the first one of an unsigned integer in CBOR (RFC 8949, 3); none: not one.
-std::optional<size_t> following_bytes(uint8_t first) {
+std::optional<size_t> following_bytes(uint8_t initial_byte) {
   constexpr uint8_t largest_in_place = 23, one_byte = 24, eight_bytes = 27;
-  if (first <= largest_in_place) return 0;
-  if (first < one_byte || first > eight_bytes) return std::nullopt;
-  return size_t{1} << (first - one_byte);
+  if (initial_byte <= largest_in_place) return 0;
+  if (initial_byte < one_byte || initial_byte > eight_bytes) return std::nullopt;
+  return size_t{1} << (initial_byte - one_byte);
 }
 
 // Its encoded length stays in the report, so that all masked ones of a machine are of equal length.
-std::optional<Masked> mask_sequence(const std::string& body) {
+std::optional<MaskedHeartbeat> mask_sequence(const std::string& body) {
   const std::string_view key = encoded_sequence_key();
-  const size_t at = body.find(key);
-  if (at == std::string::npos || body.find(key, at + 1) != std::string::npos) return std::nullopt;
-  const size_t first = at + key.size();
-  if (first >= body.size()) return std::nullopt;
-  const auto head = static_cast<uint8_t>(body[first]);
-  const auto following = following_bytes(head);
-  if (!following || first + *following >= body.size()) return std::nullopt;
-  Masked out{body, *following == 0 ? head : uint64_t{0}};
-  if (*following == 0) out.heartbeat[first] = 0;
-  for (size_t i = first + 1; i <= first + *following; ++i) {
+  const size_t key_at = body.find(key);
+  if (key_at == std::string::npos || body.find(key, key_at + 1) != std::string::npos)
+    return std::nullopt;
+  const size_t value_at = key_at + key.size();
+  if (value_at >= body.size()) return std::nullopt;
+  const auto initial_byte = static_cast<uint8_t>(body[value_at]);
+  const auto following = following_bytes(initial_byte);
+  if (!following || value_at + *following >= body.size()) return std::nullopt;
+  MaskedHeartbeat out{body, *following == 0 ? initial_byte : uint64_t{0}};
+  if (*following == 0) out.heartbeat[value_at] = 0;
+  for (size_t i = value_at + 1; i <= value_at + *following; ++i) {
     out.sequence = out.sequence << 8 | static_cast<uint8_t>(body[i]);
     out.heartbeat[i] = 0;
   }
@@ -48,19 +49,19 @@
   auto masked = mask_sequence(body);
   if (!masked || masked->sequence != sequence) return;
   auto [entry, fresh] = machine_of_.try_emplace(std::move(masked->heartbeat), machine);
-  if (fresh) report_of_[machine] = &entry->first;
+  if (fresh) heartbeat_of_[machine] = &entry->first;
 }
 
 void HeartbeatDeduplicator::forget(const std::string& machine) {
-  auto it = report_of_.find(machine);
-  if (it == report_of_.end()) return;
+  auto it = heartbeat_of_.find(machine);
+  if (it == heartbeat_of_.end()) return;
   machine_of_.erase(machine_of_.find(*it->second));
-  report_of_.erase(it);
+  heartbeat_of_.erase(it);
 }
 
 void HeartbeatDeduplicator::clear() {
   machine_of_.clear();
-  report_of_.clear();
+  heartbeat_of_.clear();
 }
 
 std::optional<HeartbeatDeduplicator::Repeat> HeartbeatDeduplicator::find(
--- a/src/coordination/machines/heartbeat_deduplicator.hpp
+++ b/src/coordination/machines/heartbeat_deduplicator.hpp
@@ -33,7 +33,7 @@
  private:
   // By the heartbeat with its sequence number masked.
   std::unordered_map<std::string, std::string> machine_of_;
-  std::unordered_map<std::string, const std::string*> report_of_;  // by machine: the key above
+  std::unordered_map<std::string, const std::string*> heartbeat_of_;  // by machine: the key above
 };
 
 }  // namespace damsonport
--- a/src/coordination/machines/machine.cpp
+++ b/src/coordination/machines/machine.cpp
@@ -2,7 +2,7 @@
 
 namespace damsonport {
 
-void ImageCache::used(const std::string& image, double gb, double now, double cache_gb) {
+void ImageCache::note_use(const std::string& image, double gb, double now, double cache_gb) {
   auto& entry = images_[image];
   entry = {std::max(entry.first, now), gb};
   for (;;) {
@@ -17,35 +17,36 @@
   }
 }
 
-bool apply_heartbeat(Machine& m, const Heartbeat& r, double now, bool direct, double as_of) {
+bool apply_heartbeat(Machine& machine, const Heartbeat& heartbeat, double now, bool direct,
+                     double as_of) {
   // Late copies, from seconds to more than a lease, prove nothing.
-  if (!r.newer_than(m.agent_epoch, m.sequence)) return false;
-  if (r.agent_epoch != m.agent_epoch) {
+  if (!heartbeat.newer_than(machine.agent_epoch, machine.sequence)) return false;
+  if (heartbeat.agent_epoch != machine.agent_epoch) {
     // Everything of the older session is gone and none of its orders can arrive any more.
-    if (m.agent_epoch != 0) ++m.agent_restarts;
-    m.in_flight.clear();
-    m.in_limbo.clear();
-    m.starts_in_response.clear();
-    m.outbox.clear();
+    if (machine.agent_epoch != 0) ++machine.agent_epoch_changes;
+    machine.starts_in_flight.clear();
+    machine.starts_unacknowledged.clear();
+    machine.starts_in_response.clear();
+    machine.pending_commands.clear();
   }
-  m.agent_epoch = r.agent_epoch;
-  m.sequence = r.sequence;
-  m.fencing_token = std::max(m.fencing_token, r.fencing_token);
-  m.address = r.address;
-  m.type = r.type;
-  m.zone = r.zone;
-  m.spot = r.spot;
-  (direct ? m.last_direct_response_at : m.last_heartbeat_at) = now;
-  m.tasks_as_of = std::max(m.tasks_as_of, as_of);
-  if (m.first_heartbeat_at == 0) m.first_heartbeat_at = now;
-  if (r.notice_s) {
-    m.preempted_at = now + *r.notice_s;
+  machine.agent_epoch = heartbeat.agent_epoch;
+  machine.sequence = heartbeat.sequence;
+  machine.fencing_token = std::max(machine.fencing_token, heartbeat.fencing_token);
+  machine.address = heartbeat.address;
+  machine.type = heartbeat.type;
+  machine.zone = heartbeat.zone;
+  machine.spot = heartbeat.spot;
+  (direct ? machine.last_direct_response_at : machine.last_heartbeat_at) = now;
+  machine.tasks_as_of = std::max(machine.tasks_as_of, as_of);
+  if (machine.first_heartbeat_at == 0) machine.first_heartbeat_at = now;
+  if (heartbeat.notice_s) {
+    machine.preempted_at = now + *heartbeat.notice_s;
   } else {
-    m.preempted_at.reset();
+    machine.preempted_at.reset();
   }
-  m.tasks.clear();
-  for (auto& t : r.tasks) {
-    auto [it, fresh] = m.tasks.emplace(t.task, t);
+  machine.tasks.clear();
+  for (auto& t : heartbeat.tasks) {
+    auto [it, fresh] = machine.tasks.emplace(t.task, t);
     // The same task may stand there twice: an exited attempt and a later one.
     if (!fresh && (it->second.state == TaskState::exited || it->second.attempt < t.attempt))
       it->second = t;
--- a/src/coordination/machines/machine.hpp
+++ b/src/coordination/machines/machine.hpp
@@ -20,7 +20,7 @@
  public:
   /// The image, of this size, was used at this time. Others are dropped until all fit into
   /// `cache_gb`.
-  void used(const std::string& image, double gb, double now, double cache_gb);
+  void note_use(const std::string& image, double gb, double now, double cache_gb);
   bool holds(const std::string& image) const { return images_.contains(image); }
   const std::map<std::string, std::pair<double, double>>& images() const { return images_; }
   void clear() { images_.clear(); }
@@ -30,7 +30,7 @@
 };
 
 /// State of the straggler detection for one machine (straggler.hpp).
-struct StragglerAverage {
+struct StragglerState {
   double average = 1.0;
   int updates = 0;
   bool flagged = false;
@@ -51,16 +51,16 @@
   std::map<TaskId, TaskStatus> tasks;
 
   // Start commands of this lease that may still reach the worker in its present epoch.
-  std::set<AttemptKey> in_flight;           ///< in a request that is not answered yet
-  std::set<AttemptKey> in_limbo;            ///< in a request that failed: may arrive any time
-  std::set<AttemptKey> starts_in_response;  ///< in the response to the last heartbeat
-  std::vector<Command> outbox;              ///< for the next request to the worker
-  bool sending = false;                     ///< a request is queued or under way
-  int failed_sends = 0;                     ///< requests without response since the last response
+  std::set<AttemptKey> starts_in_flight;       ///< in a request that is not answered yet
+  std::set<AttemptKey> starts_unacknowledged;  ///< in a request that failed: may arrive any time
+  std::set<AttemptKey> starts_in_response;     ///< in the response to the last heartbeat
+  std::vector<Command> pending_commands;       ///< for the next request to the worker
+  bool sending = false;                        ///< a request is queued or under way
+  int failed_sends = 0;  ///< requests without response since the last response
 
   ImageCache images;
   std::map<std::string, double> fetching;  ///< image -> since
-  StragglerAverage straggler;
+  StragglerState straggler;
   double straggler_since = 0;          ///< when it was found to be one; replaced, then drained
   bool replacement_requested = false;  ///< of the autoscaler, for this straggler
   bool is_replacement = false;         ///< it came for a straggler
@@ -68,14 +68,15 @@
   bool draining = false;                      ///< takes no new tasks, returned when empty
   double faulty_since = 0;                    ///< drained because tasks failed here
   std::string drain_reason;                   ///< for the log
-  int agent_restarts = 0;                     ///< changes of agent_epoch seen
+  int agent_epoch_changes = 0;                ///< changes of agent_epoch seen
   double tasks_as_of = 0;                     ///< `tasks` is the state at this time or later
   double idle_since = 0;                      ///< it last had tasks
-  double last_repeat_at = 0;  ///< of a heartbeat that repeated the last processed one
+  double last_repeated_heartbeat_at = 0;  ///< of a heartbeat that repeated the last processed one
 
   /// A start command of this attempt may still reach the worker.
   [[nodiscard]] bool has_outstanding_start(const AttemptKey& key) const {
-    return in_flight.contains(key) || in_limbo.contains(key) || starts_in_response.contains(key);
+    return starts_in_flight.contains(key) || starts_unacknowledged.contains(key) ||
+           starts_in_response.contains(key);
   }
 };
 
@@ -83,7 +84,7 @@
 /// `direct`: it came as the response to a request of this controller, and renews no lease.
 /// `as_of`: it was made at this time or later, as its connection or the request shows; 0: it may
 /// have been delayed for any time.
-[[nodiscard]] bool apply_heartbeat(Machine& m, const Heartbeat& r, double now, bool direct,
-                                   double as_of = 0);
+[[nodiscard]] bool apply_heartbeat(Machine& machine, const Heartbeat& heartbeat, double now,
+                                   bool direct, double as_of = 0);
 
 }  // namespace damsonport
--- a/src/coordination/machines/machine_capacity.cpp
+++ b/src/coordination/machines/machine_capacity.cpp
@@ -13,9 +13,9 @@
 scheduling::Resources free_resources(const Machine& machine, const MachineTypeCatalog& catalog,
                                      RecordCache& cache) {
   auto free = total_resources(machine, catalog);
-  auto take = [&](const JobSpec& spec) { free -= {spec.cpus, spec.gpus, spec.memory_gb}; };
+  auto subtract = [&](const JobSpec& spec) { free -= {spec.cpus, spec.gpus, spec.memory_gb}; };
   const auto& assigned = cache.assigned(machine.id);
-  for (auto& [assignment, attempt] : assigned) take(assignment.job->spec);
+  for (auto& [assignment, attempt] : assigned) subtract(assignment.job->spec);
   for (auto& [name, task] : machine.tasks) {
     if (task.state == TaskState::exited) continue;
     Job* job = cache.job(name.job);
@@ -23,7 +23,7 @@
       free.cpus = std::min(free.cpus, 0.0);
       continue;
     }
-    if (!assigned.contains({job, name.index})) take(job->spec);
+    if (!assigned.contains({job, name.index})) subtract(job->spec);
   }
   return free;
 }
--- a/src/coordination/machines/orphan_cleanup.hpp
+++ b/src/coordination/machines/orphan_cleanup.hpp
@@ -15,10 +15,11 @@
 /// Run by the maintenance coroutine of a controller that does not lead the shard.
 class OrphanCleanup {
  public:
-  /// `most_sockets`: the most requests to workers at once.
+  /// `max_concurrent_requests`: the most requests to workers at once.
   OrphanCleanup(Loop& loop, const Settings& settings, RecordCache& cache, HttpClient& http,
                 PeerNetwork& peer_network, const CancellationGossip& cancellations,
-                const StoreContact& contact, MachineListReader& machine_list, int most_sockets);
+                const StoreContact& contact, MachineListReader& machine_list,
+                int max_concurrent_requests);
 
   /// Asks each machine that may run a cancelled task, stops such tasks under the fencing token of
   /// the shard leader in the records, and returns the machine to the cloud if it doesn't answer.
@@ -28,16 +29,16 @@
 
  private:
   // A machine that may run cancelled tasks.
-  struct OrphanHost {
+  struct OrphanMachine {
     std::string id, address;
     std::vector<std::pair<TaskId, uint64_t>> tasks;
-    bool out_of_reach = false;
+    bool is_unreachable = false;
   };
   bool no_shard_leader_reachable() const;
-  std::vector<OrphanHost> orphan_hosts() const;
-  Task<void> stop_orphans_on(OrphanHost& host, uint64_t fencing_token, size_t& left);
-  Task<void> stop_orphans(std::vector<OrphanHost>& hosts, std::stop_token stop_token);
-  Task<void> return_out_of_reach(const std::vector<OrphanHost>& hosts);
+  std::vector<OrphanMachine> machines_with_orphans() const;
+  Task<void> stop_orphans_on(OrphanMachine& machine, uint64_t fencing_token, size_t& remaining);
+  Task<void> stop_orphans(std::vector<OrphanMachine>& machines, std::stop_token stop_token);
+  Task<void> return_unreachable(const std::vector<OrphanMachine>& machines);
 
   Loop& loop_;
   const Settings& settings_;
@@ -47,8 +48,8 @@
   const CancellationGossip& cancellations_;
   const StoreContact& contact_;
   MachineListReader& machine_list_;
-  const size_t most_sockets_;
-  double next_check_ = 0;
+  const size_t max_concurrent_requests_;
+  double next_check_at_ = 0;
 };
 
 }  // namespace damsonport
--- a/src/coordination/machines/reconcile.cpp
+++ b/src/coordination/machines/reconcile.cpp
@@ -2,62 +2,63 @@
 
 namespace damsonport {
 
-ReconcileResult reconcile(const Machine& m, const std::vector<DesiredTask>& expected,
+ReconcileResult reconcile(const Machine& machine, const std::vector<DesiredTask>& desired_tasks,
                           uint64_t own_fencing_token, bool records_current) {
-  ReconcileResult out;
+  ReconcileResult result;
   // Before the machine has learned our term an older holder's orders may still reach it, and before
   // our records are current a start of theirs may be unknown to us.
-  const bool proof = m.fencing_token >= own_fencing_token && records_current;
-  if (!proof) return out;
-  std::map<TaskId, const DesiredTask*> by_task;
-  for (auto& e : expected) by_task[e.task] = &e;
+  const bool is_conclusive = machine.fencing_token >= own_fencing_token && records_current;
+  if (!is_conclusive) return result;
+  std::map<TaskId, const DesiredTask*> desired_by_task;
+  for (auto& desired : desired_tasks) desired_by_task[desired.task] = &desired;
 
-  size_t as_expected = 0;
-  for (auto& [name, t] : m.tasks) {
-    auto it = by_task.find(name);
-    const DesiredTask* e = it == by_task.end() ? nullptr : it->second;
-    const bool ours = e && e->attempt == t.attempt;
-    if (t.state == TaskState::exited) {
-      if (ours) {
-        out.exits.push_back({name, t.attempt, t.cause, t.saved});
-      } else if (!m.has_outstanding_start({name, t.attempt})) {
+  size_t matching_tasks = 0;
+  for (auto& [name, reported] : machine.tasks) {
+    auto it = desired_by_task.find(name);
+    const DesiredTask* desired = it == desired_by_task.end() ? nullptr : it->second;
+    const bool is_desired_attempt = desired && desired->attempt == reported.attempt;
+    if (reported.state == TaskState::exited) {
+      if (is_desired_attempt) {
+        result.exits.push_back({name, reported.attempt, reported.cause, reported.saved});
+      } else if (!machine.has_outstanding_start({name, reported.attempt})) {
         // Once forgotten, a late copy of the start order would run the attempt again, so this
         // waits until no such copy can be under way.
-        out.commands.push_back({Command::Op::remove, name, t.attempt, 0});
+        result.commands.push_back({Command::Op::remove, name, reported.attempt, 0});
       }
-    } else if (!ours || e->cancelled) {
-      out.commands.push_back({Command::Op::stop, name, t.attempt, 0});
-    } else if (e->stop && t.state != TaskState::saving) {
-      out.commands.push_back({Command::Op::stop, name, t.attempt, *e->stop});
-    } else if (!e->stop) {
-      ++as_expected;
+    } else if (!is_desired_attempt || desired->cancelled) {
+      result.commands.push_back({Command::Op::stop, name, reported.attempt, 0});
+    } else if (desired->stop && reported.state != TaskState::saving) {
+      result.commands.push_back({Command::Op::stop, name, reported.attempt, *desired->stop});
+    } else if (!desired->stop) {
+      ++matching_tasks;
     }
   }
-  out.agrees = as_expected == m.tasks.size() && as_expected == expected.size();
+  result.in_sync = matching_tasks == machine.tasks.size() && matching_tasks == desired_tasks.size();
 
-  for (auto& e : expected) {
-    auto it = m.tasks.find(e.task);
-    if (it != m.tasks.end() && it->second.attempt == e.attempt) continue;
+  for (auto& desired : desired_tasks) {
+    auto it = machine.tasks.find(desired.task);
+    if (it != machine.tasks.end() && it->second.attempt == desired.attempt) continue;
     // An attempt of the same task that has to go first; it is dealt with above.
-    if (it != m.tasks.end() && it->second.state != TaskState::exited) continue;
-    const AttemptKey key{e.task, e.attempt};
-    if (m.in_flight.contains(key)) continue;
-    if (e.cancelled || e.stop) {
-      if (m.has_outstanding_start(key)) {
+    if (it != machine.tasks.end() && it->second.state != TaskState::exited) continue;
+    const AttemptKey key{desired.task, desired.attempt};
+    if (machine.starts_in_flight.contains(key)) continue;
+    if (desired.cancelled || desired.stop) {
+      if (machine.has_outstanding_start(key)) {
         // The start may still arrive, and a stop before it would have no effect. Starting and
         // stopping in one message makes the attempt known as exited; a late copy is then ignored.
-        out.commands.push_back({Command::Op::start, e.task, e.attempt, 0});
-        out.commands.push_back({Command::Op::stop, e.task, e.attempt, 0});
+        result.commands.push_back({Command::Op::start, desired.task, desired.attempt, 0});
+        result.commands.push_back({Command::Op::stop, desired.task, desired.attempt, 0});
       } else {
         // Not there, and no order for it under way: it is gone.
-        out.exits.push_back({e.task, e.attempt, ExitCause::stopped, false});
+        result.exits.push_back({desired.task, desired.attempt, ExitCause::stopped, false});
       }
       continue;
     }
-    // Lost on the way, or with a session: the same attempt on the same machine can't run twice.
-    out.commands.push_back({Command::Op::start, e.task, e.attempt, 0});
+    // Lost on the way, or with a session: the same attempt on the same machine can't run
+    // twice.
+    result.commands.push_back({Command::Op::start, desired.task, desired.attempt, 0});
   }
-  return out;
+  return result;
 }
 
 }  // namespace damsonport
--- a/src/coordination/machines/reconcile.hpp
+++ b/src/coordination/machines/reconcile.hpp
@@ -29,14 +29,15 @@
   std::vector<ProvenExit> exits;  ///< to be committed
   /// The machine runs what the records place on it and nothing else, and none of it is to be
   /// stopped.
-  bool agrees = false;
+  bool in_sync = false;
 };
 
-/// `expected`: the tasks that the records place on this machine. `own_fencing_token`: that of the
-/// present lease; until the machine has learned it, commands of an earlier shard leader may still
-/// reach it. `records_current`: the records include every write of earlier shard leaders. The
+/// `desired_tasks`: the tasks that the records place on this machine. `own_fencing_token`: that of
+/// the present lease; until the machine has learned it, commands of an earlier shard leader may
+/// still reach it. `records_current`: the records include every write of earlier shard leaders. The
 /// result is empty unless both hold, since nothing is proven before.
-[[nodiscard]] ReconcileResult reconcile(const Machine& m, const std::vector<DesiredTask>& expected,
+[[nodiscard]] ReconcileResult reconcile(const Machine& machine,
+                                        const std::vector<DesiredTask>& desired_tasks,
                                         uint64_t own_fencing_token, bool records_current);
 
 }  // namespace damsonport
--- a/src/coordination/machines/straggler.hpp
+++ b/src/coordination/machines/straggler.hpp
@@ -14,17 +14,18 @@
 /// Run times of the successful tasks of one job, as one controller saw them.
 class RunTimes {
  public:
-  /// Adds a run time in seconds. Yields the fraction median / run time, or nothing before there are
-  /// `min_successes` run times.
+  /// Adds a run time in seconds. Yields the relative speed median / run time, or nothing before
+  /// there are `min_successes` run times.
   std::optional<double> add(double run_s, int min_successes);
 
  private:
   std::vector<double> sorted_;
 };
 
-/// Updates the machine's moving average with a fraction from RunTimes::add(). True if this update
-/// made the machine a straggler.
-[[nodiscard]] bool fold(StragglerAverage& s, double fraction, const Tuning& tuning);
+/// Updates the machine's moving average with a relative speed from RunTimes::add(). True if
+/// this update made the machine a straggler.
+[[nodiscard]] bool update_straggler_state(StragglerState& state, double relative_speed,
+                                          const Tuning& tuning);
 
 /// Detects stragglers from the run times of successful tasks. Owned by the shard leader, for the
 /// time of one lease.
@@ -33,7 +34,7 @@
   explicit StragglerDetector(const Tuning& tuning) : tuning_(tuning) {}
   /// A task of the job succeeded after this time on the machine with this average. True if that
   /// made the machine a straggler.
-  [[nodiscard]] bool note_success(const std::string& job, double run_s, StragglerAverage& average);
+  [[nodiscard]] bool note_success(const std::string& job, double run_s, StragglerState& state);
   void forget_job(const std::string& job) { run_times_.erase(job); }
   void clear() { run_times_.clear(); }
 
--- a/src/coordination/machines/task_failure_tracker.cpp
+++ b/src/coordination/machines/task_failure_tracker.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 // The backoff doubles at most so often, and is at most so many leases.
-constexpr int most_doublings = 6;
-constexpr double longest_backoff_leases = 2;
+constexpr int max_doublings = 6;
+constexpr double max_backoff_leases = 2;
 // Heartbeat intervals for which a job is held back after a refusal.
 constexpr double refusal_backoff_heartbeats = 0.5;
 // Share of the fleet that may be drained as faulty at once.
-constexpr double most_faulty_share = 0.25;
+constexpr double max_faulty_share = 0.25;
 // Leases after which failures of ended jobs are forgotten.
-constexpr double remembered_leases = 5;
+constexpr double failure_memory_leases = 5;
 }  // namespace
 
 void TaskFailureTracker::clear() {
@@ -34,11 +34,11 @@
                                     double now) {
   Backoff& backoff = backoffs_[job];
   ++backoff.errors;
-  attribution_.failed(job, machine, now);
+  attribution_.note_failure(job, machine, now);
   if (!attribution_.is_job_faulty(job)) return false;
   const double backoff_s =
-      settings_.heartbeat_interval_s * (1 << std::min(backoff.errors, most_doublings));
-  backoff.until = now + std::min(backoff_s, settings_.lease_s * longest_backoff_leases);
+      settings_.heartbeat_interval_s * (1 << std::min(backoff.errors, max_doublings));
+  backoff.until = now + std::min(backoff_s, settings_.lease_s * max_backoff_leases);
   return true;
 }
 
@@ -46,29 +46,29 @@
   backoffs_[job].until = now + settings_.heartbeat_interval_s * refusal_backoff_heartbeats;
 }
 
-bool TaskFailureTracker::is_held_back(const std::string& job, double now) const {
+bool TaskFailureTracker::is_backing_off(const std::string& job, double now) const {
   auto backoff = backoffs_.find(job);
   return backoff != backoffs_.end() && backoff->second.until > now;
 }
 
 TaskFailureTracker::Review TaskFailureTracker::review(
     const std::map<std::string, Machine>& machines,
-    const std::function<bool(const std::string&)>& is_requested, double now) {
-  attribution_.forget_failures_before(now - settings_.lease_s * remembered_leases);
+    const std::function<bool(const std::string&)>& is_return_requested, double now) {
+  attribution_.forget_failures_before(now - settings_.lease_s * failure_memory_leases);
   Review review;
   size_t faulty = 0;
   for (auto& [id, machine] : machines) {
     if (machine.faulty_since == 0) continue;
-    if (!is_requested(id) && !attribution_.is_machine_faulty(id)) {
+    if (!is_return_requested(id) && !attribution_.is_machine_faulty(id)) {
       review.recovered.push_back(id);
     } else {
       ++faulty;
     }
   }
-  const auto most =
-      static_cast<size_t>(std::max(1.0, most_faulty_share * static_cast<double>(machines.size())));
+  const auto max_faulty =
+      static_cast<size_t>(std::max(1.0, max_faulty_share * static_cast<double>(machines.size())));
   for (auto& [id, machine] : machines) {
-    if (faulty >= most) break;
+    if (faulty >= max_faulty) break;
     if (machine.draining || !attribution_.is_machine_faulty(id)) continue;
     review.faulty.push_back(id);
     ++faulty;
--- a/src/coordination/machines/task_failure_tracker.hpp
+++ b/src/coordination/machines/task_failure_tracker.hpp
@@ -25,19 +25,19 @@
   void forget_machine(const std::string& machine);
 
   /// The records show many attempts and no success of this job.
-  void suspect_job(const std::string& job) { attribution_.suspect(job); }
+  void suspect_job(const std::string& job) { attribution_.suspect_job(job); }
   /// A task of the job ended in error on the machine. A faulty job is held back, each time for
   /// twice as long. Yields whether the job is faulty; otherwise it avoids the machine.
   [[nodiscard]] bool note_error(const std::string& job, const std::string& machine, double now);
   /// The machine refused a task of the job: the job is held back for a short time.
   void note_refusal(const std::string& job, double now);
-  /// See FaultAttribution::worked().
+  /// See FaultAttribution::note_success().
   void note_success(const std::string& job, const std::string& machine, double started) {
-    attribution_.worked(job, machine, started);
+    attribution_.note_success(job, machine, started);
   }
 
   /// No task of the job is to be started now.
-  [[nodiscard]] bool is_held_back(const std::string& job, double now) const;
+  [[nodiscard]] bool is_backing_off(const std::string& job, double now) const;
   [[nodiscard]] const FaultAttribution& attribution() const { return attribution_; }
 
   /// Which machines change between faulty (Machine::faulty_since) and not; both lists in the order
@@ -46,10 +46,10 @@
     std::vector<std::string> recovered;
     std::vector<std::string> faulty;  ///< a bounded share of the fleet at a time
   };
-  /// Forgets old failures and judges the machines. `is_requested`: the machine is to be returned to
-  /// the cloud, and stays drained.
+  /// Forgets old failures and judges the machines. `is_return_requested`: the machine is to be
+  /// returned to the cloud, and stays drained.
   [[nodiscard]] Review review(const std::map<std::string, Machine>& machines,
-                              const std::function<bool(const std::string&)>& is_requested,
+                              const std::function<bool(const std::string&)>& is_return_requested,
                               double now);
 
  private:
--- a/src/coordination/shard_leader/shard_leader.cpp
+++ b/src/coordination/shard_leader/shard_leader.cpp
@@ -75,7 +75,7 @@
   SnapshotBuilder::Facts facts;
   facts.is_cancelled = [this](const Job& job) { return is_cancelled(job); };
   facts.is_backing_off = [this](const std::string& job) {
-    return task_failures_.is_held_back(job, loop_.now());
+    return task_failures_.is_backing_off(job, loop_.now());
   };
   facts.startable_gang_tasks = [this](const Job& job, TaskRange gang) {
     return startable_gang_tasks(job, gang);
@@ -293,7 +293,7 @@
 std::optional<HttpResponse> ShardLeader::answer_repeated_heartbeat(const HttpRequest& request) {
   if (!is_leading() || lease_.is_deposed()) return std::nullopt;
   const auto repeat = deduplicator_.find(request.body);
-  if (!repeat || task_failures_.attribution().any() ||
+  if (!repeat || task_failures_.attribution().has_failures() ||
       scale_in_.tracker().is_declared_dead(repeat->machine))
     return std::nullopt;
   auto it = machines_.find(repeat->machine);
@@ -302,7 +302,7 @@
   if (auto no = refusal(m.id, m.fencing_token)) return no;
   const double now = loop_.now();
   m.sequence = repeat->sequence;
-  m.last_heartbeat_at = m.last_repeat_at = now;
+  m.last_heartbeat_at = m.last_repeated_heartbeat_at = now;
   m.tasks_as_of = std::max(m.tasks_as_of, request.previous_answer_at);
   if (!m.tasks.empty()) m.idle_since = now;
   m.starts_in_response.clear();
--- a/src/coordination/shard_leader/shard_leader.hpp
+++ b/src/coordination/shard_leader/shard_leader.hpp
@@ -222,7 +222,7 @@
   // Enough for a task that saves, with some room for the message; 0 for one that never does.
   double stop_grace(const JobSpec& s) const;
 
-  /// Whether the command, which was decided before, still agrees with the records.
+  /// Whether the command, which was decided before, still in_sync with the records.
   bool is_still_wanted(const Machine& m, const Command& command) const;
   CommandDispatcher::Callbacks dispatcher_callbacks();
 
--- a/src/coordination/shard_leader/shard_leader_drains.cpp
+++ b/src/coordination/shard_leader/shard_leader_drains.cpp
@@ -57,7 +57,7 @@
     if (m.draining && empty && !in_dispute)
       scale_in_.request(id, "empty and drained (" + m.drain_reason + ")");
     // Responses don't reach it: its epochs end although every heartbeat is answered.
-    if (m.failed_sends >= failed_sends_of_unreachable && m.agent_restarts >= 1)
+    if (m.failed_sends >= failed_sends_of_unreachable && m.agent_epoch_changes >= 1)
       scale_in_.request(id, "it can't be answered");
   }
 }
--- a/src/coordination/shard_leader/shard_leader_failures.cpp
+++ b/src/coordination/shard_leader/shard_leader_failures.cpp
@@ -16,14 +16,15 @@
   facts.has_tombstone = [this](auto& id) { return cache_.has_tombstone(id); };
   facts.is_leaving = [this](auto& id) { return scale_in_.is_leaving(id); };
   facts.has_assignments = [this](auto& id) { return !cache_.assigned(id).empty(); };
-  facts.silent_peers = deps_.peer_network.unreachable_peers();
+  facts.unreachable_peers = deps_.peer_network.unreachable_peers();
   for (auto& machine : failure_detector_.detect(machines_, facts, loop_.now())) {
     scheduling_requested_ = true;
     commands_.start_probe(machine.id);
     if (!machine.is_dead) continue;
-    scale_in_.request(machine.id,
-                      "silent for " + std::to_string(static_cast<int>(machine.silent_s)) + " s",
-                      ScaleInCause::declared_dead);
+    scale_in_.request(
+        machine.id,
+        "silent for " + std::to_string(static_cast<int>(machine.heartbeat_age_s)) + " s",
+        ScaleInCause::declared_dead);
   }
 }
 
--- a/src/coordination/shard_leader/shard_leader_heartbeats.cpp
+++ b/src/coordination/shard_leader/shard_leader_heartbeats.cpp
@@ -62,7 +62,7 @@
     const Job* job = cache_.job(task.first.job);
     return !job || job->spec.kind == JobKind::gang;
   });
-  return outcome.agrees && r.tasks.size() == m.tasks.size() && !r.notice_s && !any_gang &&
+  return outcome.in_sync && r.tasks.size() == m.tasks.size() && !r.notice_s && !any_gang &&
          deps_.catalog.type(m.type);
 }
 
@@ -70,8 +70,8 @@
                                     std::vector<Command>& commands) {
   const auto epoch_before = m.agent_epoch;
   // What ran until the last repetition of the report before this one used its images until then.
-  const double last_repeat_at = std::exchange(m.last_repeat_at, 0);
-  if (last_repeat_at > 0) note_images(m, last_repeat_at);
+  const double last_repeated_heartbeat_at = std::exchange(m.last_repeated_heartbeat_at, 0);
+  if (last_repeated_heartbeat_at > 0) note_images(m, last_repeated_heartbeat_at);
   if (!apply_heartbeat(m, r, loop_.now(), direct, as_of)) return false;
   mark_changed(m.id);
   scale_in_.note_heartbeat(m.id);
@@ -108,7 +108,7 @@
   // How much a machine holds depends on its type, which is not known here: as much as any.
   double most = 0;
   for (auto& type : deps_.catalog.types()) most = std::max(most, type.cache_gb);
-  images_seen_[machine].used(job.spec.image, job.spec.image_gb, loop_.now(), most);
+  images_seen_[machine].note_use(job.spec.image, job.spec.image_gb, loop_.now(), most);
 }
 
 // At a machine's first report to a new holder. Without it every start after a takeover seemed to
@@ -122,7 +122,7 @@
   for (auto& [image, use] : seen->second.images()) dispatch.emplace_back(use.first, &image);
   std::sort(dispatch.begin(), dispatch.end());
   for (auto& [at, image] : dispatch)
-    m.images.used(*image, seen->second.images().at(*image).second, at, type->cache_gb);
+    m.images.note_use(*image, seen->second.images().at(*image).second, at, type->cache_gb);
 }
 
 void ShardLeader::note_images(Machine& m, double at) {
@@ -132,7 +132,7 @@
     const bool had_it = t.state != TaskState::fetching &&
                         (t.state != TaskState::exited || t.cause == ExitCause::done);
     const Job* job = cache_.job(name.job);
-    if (had_it && job) m.images.used(job->spec.image, job->spec.image_gb, at, type->cache_gb);
+    if (had_it && job) m.images.note_use(job->spec.image, job->spec.image_gb, at, type->cache_gb);
   }
 }
 
@@ -189,7 +189,7 @@
     running_at = now;
     spdlog::debug("{} attempt {} runs on {}", task.text(), attempt, m.id);
   } else if (now - running_at > settings_.heartbeat_interval_s &&
-             task_failures_.attribution().any()) {
+             task_failures_.attribution().has_failures()) {
     // What is at fault fails at its start.
     task_failures_.note_success(task.job, m.id, running_at);
   }
--- a/src/coordination/shard_leader/shard_leader_machine_list.cpp
+++ b/src/coordination/shard_leader/shard_leader_machine_list.cpp
@@ -15,11 +15,11 @@
         !deps_.catalog.known())
       continue;
     next_list_ = loop_.now() + settings_.list_lag_s / 2;
-    MachineListReader::Take take = [this](auto& listed) { note_listed(listed); };
+    MachineListReader::OnMachine on_machine = [this](auto& listed) { note_listed(listed); };
     MachineListReader::KeepGoing keep_going = [this, fencing_token = lease_.fencing_token()] {
       return fencing_token == lease_.fencing_token() && lease_.leads_cluster_and_shard();
     };
-    co_await machine_list_.read(std::move(take), std::move(keep_going), stop_token);
+    co_await machine_list_.read(std::move(on_machine), std::move(keep_going), stop_token);
   }
 }
 
--- a/tests/bad_requests_test.cpp
+++ b/tests/api/request_handling_test.cpp
@@ -9,7 +9,7 @@
 namespace damsonport::simulation {
 namespace {
 
-Settings lone_controller() {
+Settings single_controller_settings() {
   Settings s;
   s.controller_name = "n0", s.zone = "a", s.zones = {"a"}, s.controller_count = 1;
   s.listen = {"10.0.0.1", 8080}, s.peer_listen = {"10.0.0.1", 8081};
@@ -25,7 +25,7 @@
 HttpReply submit(const std::string& body) {
   World world(1);
   VirtualNetwork::Streams streams;
-  VirtualController controller(world, streams, lone_controller(), std::nullopt, 1);
+  VirtualController controller(world, streams, single_controller_settings(), std::nullopt, 1);
   controller.start();
   HttpReply out;
   world.at(0.5, [&] {
@@ -36,7 +36,7 @@
   return out;
 }
 
-std::string complaint(const HttpReply& reply) {
+std::string error_text(const HttpReply& reply) {
   const auto m = decode_map(reply.body);
   return m.is_object() ? m.value("error", std::string()) : "no CBOR map";
 }
@@ -45,15 +45,15 @@
   for (auto& body : {encode("a text"), encode(7), encode(Json::array({1})), std::string("\xff")}) {
     const auto reply = submit(body);
     EXPECT_EQ(reply.status, 400);
-    EXPECT_EQ(complaint(reply), "the body is not a CBOR map");
+    EXPECT_EQ(error_text(reply), "the body is not a CBOR map");
   }
-  EXPECT_EQ(complaint(submit(encode(Json::object()))), "accelerators is missing or invalid");
+  EXPECT_EQ(error_text(submit(encode(Json::object()))), "accelerators is missing or invalid");
 }
 
 TEST(Submission, BodyTooLong_BadRequestWithReason) {
   const auto reply = submit(encode({{"ref", std::string(70000, 'x')}}));
   EXPECT_EQ(reply.status, 400);
-  EXPECT_EQ(complaint(reply), "the body is longer than 65536 bytes");
+  EXPECT_EQ(error_text(reply), "the body is longer than 65536 bytes");
 }
 
 TEST(Route, PathKnown_ResourceMethodAndJob) {
@@ -101,16 +101,16 @@
 
 TEST(WarningLimiter, TextRepeated_LoggedAtOnceThenAtDoublingIntervals) {
   WarningLimiter limiter;
-  std::vector<std::pair<double, uint64_t>> said;
-  auto warn = [&](const char* words, double from, double until) {
+  std::vector<std::pair<double, uint64_t>> logged;
+  auto warn = [&](const char* text, double from, double until) {
     for (double t = from; t < until; t += 0.5)
-      if (auto times = limiter.note(words, t)) said.emplace_back(t, *times);
+      if (auto times = limiter.note(text, t)) logged.emplace_back(t, *times);
   };
   warn("status 0", 0, 40);
   warn("status 503", 40, 41);
   const std::vector<std::pair<double, uint64_t>> expected = {
       {0, 1}, {5, 10}, {15, 20}, {35, 40}, {40, 1}};
-  EXPECT_EQ(said, expected);
+  EXPECT_EQ(logged, expected);
   limiter.clear();
   EXPECT_EQ(limiter.note("status 503", 41), 1u);
 }
--- a/tests/machines/command_dispatcher_test.cpp
+++ b/tests/machines/command_dispatcher_test.cpp
@@ -101,7 +101,7 @@
   ASSERT_EQ(requests_.size(), 1u);
   EXPECT_EQ(requests_[0].target, "/commands");
   EXPECT_EQ(requests_[0].body, encode_direct_commands(fencing_token_, agent_epoch, commands));
-  EXPECT_EQ(machine.in_flight, (std::set<AttemptKey>{{{"run-1", 0}, 1}}));
+  EXPECT_EQ(machine.starts_in_flight, (std::set<AttemptKey>{{{"run-1", 0}, 1}}));
 }
 
 TEST_F(CommandDispatcherTest, AMachineHasOneRequestInProgressAtATime) {
@@ -136,7 +136,7 @@
   dispatcher_.dispatch(unknown, command(Command::Op::stop, 0));
   run();
   EXPECT_TRUE(requests_.empty());
-  EXPECT_TRUE(suspected.outbox.empty());
+  EXPECT_TRUE(suspected.pending_commands.empty());
 }
 
 TEST_F(CommandDispatcherTest, NothingIsSentAfterTheLeaseIsLost) {
@@ -155,9 +155,10 @@
   run(5);  // past the time limit of the request
   EXPECT_EQ(machine.failed_sends, 1);
   EXPECT_EQ(failed_, std::vector<std::string>{"i-1"});
-  EXPECT_TRUE(machine.in_flight.empty());
-  EXPECT_EQ(machine.in_limbo, (std::set<AttemptKey>{{{"run-1", 0}, 1}}));
-  EXPECT_TRUE(machine.outbox.empty()) << "the next heartbeat yields anew what is still wanted";
+  EXPECT_TRUE(machine.starts_in_flight.empty());
+  EXPECT_EQ(machine.starts_unacknowledged, (std::set<AttemptKey>{{{"run-1", 0}, 1}}));
+  EXPECT_TRUE(machine.pending_commands.empty())
+      << "the next heartbeat yields anew what is still wanted";
   EXPECT_FALSE(machine.sending);
 }
 
@@ -210,7 +211,7 @@
 
 TEST_F(CommandDispatcherTest, AProbeReportsTheStatusAndIsNotRepeatedMeanwhile) {
   add_machine("i-1");
-  const double asked_at = loop_.now();
+  const double requested_at = loop_.now();
   dispatcher_.start_probe("i-1");
   dispatcher_.start_probe("i-1");
   run();
@@ -218,7 +219,7 @@
   EXPECT_EQ(requests_[0].target, "/show");
   requests_[0].answer({200, status_of("i-1")});
   run();
-  EXPECT_EQ(status_requested_at_, std::vector<double>{asked_at});
+  EXPECT_EQ(status_requested_at_, std::vector<double>{requested_at});
   dispatcher_.start_probe("i-1");
   run();
   EXPECT_EQ(requests_.size(), 2u);
--- a/tests/machines/failure_detector_test.cpp
+++ b/tests/machines/failure_detector_test.cpp
@@ -32,7 +32,7 @@
     return ids;
   }
   // A time without heartbeats after which a machine is surely dead where there is no mass silence.
-  double long_s() const { return settings_.lease_s * 2; }
+  double sure_timeout_s() const { return settings_.lease_s * 2; }
 
   Settings settings_;
   FailureDetector detector_{settings_};
@@ -64,14 +64,14 @@
 }
 
 TEST_F(FailureDetectorTest, ASilentMachineIsDeclaredDeadAloneOfItsFleet) {
-  for (auto* id : {"i-1", "i-2", "i-3"}) add(id, 100 + long_s());
+  for (auto* id : {"i-1", "i-2", "i-3"}) add(id, 100 + sure_timeout_s());
   add("i-2", 100);
-  EXPECT_EQ(dead(100 + long_s()), std::vector<std::string>{"i-2"});
+  EXPECT_EQ(dead(100 + sure_timeout_s()), std::vector<std::string>{"i-2"});
 }
 
 TEST_F(FailureDetectorTest, AMachineThatAnswersDirectMessagesIsNotDeclaredDead) {
-  add("i-1", 100).last_direct_response_at = 100 + long_s();
-  auto suspected = detector_.detect(machines_, facts_, 100 + long_s());
+  add("i-1", 100).last_direct_response_at = 100 + sure_timeout_s();
+  auto suspected = detector_.detect(machines_, facts_, 100 + sure_timeout_s());
   ASSERT_EQ(suspected.size(), 1U);
   EXPECT_FALSE(suspected[0].is_dead);
 }
@@ -79,12 +79,12 @@
 TEST_F(FailureDetectorTest, MachinesThatLeaveAreNotExamined) {
   add("i-1", 100);
   leaving_.insert("i-1");
-  EXPECT_TRUE(detector_.detect(machines_, facts_, 100 + long_s()).empty());
+  EXPECT_TRUE(detector_.detect(machines_, facts_, 100 + sure_timeout_s()).empty());
 }
 
 TEST_F(FailureDetectorTest, NobodyIsDeclaredDeadWhileMostOfTheFleetIsSilent) {
   for (auto* id : {"i-1", "i-2", "i-3", "i-4"}) add(id, 100);
-  EXPECT_TRUE(dead(100 + long_s()).empty());
+  EXPECT_TRUE(dead(100 + sure_timeout_s()).empty());
   EXPECT_EQ(dead(100 + settings_.lease_s * 3.1).size(), 4U);
 }
 
@@ -92,9 +92,9 @@
   Machine& machine = add("i-1", 100);
   machine.agent_epoch = 0;
   assigned_.insert("i-1");
-  EXPECT_FALSE(dead(100 + long_s()).empty());
-  facts_.silent_peers = 1 + static_cast<int>(long_s());
-  EXPECT_TRUE(dead(100 + long_s()).empty());
+  EXPECT_FALSE(dead(100 + sure_timeout_s()).empty());
+  facts_.unreachable_peers = 1 + static_cast<int>(sure_timeout_s());
+  EXPECT_TRUE(dead(100 + sure_timeout_s()).empty());
 }
 
 TEST_F(FailureDetectorTest, AZoneWithoutHeartbeatsIsUnreachableBeforeItsMachinesAreSuspected) {
--- a/tests/machines/task_failure_tracker_test.cpp
+++ b/tests/machines/task_failure_tracker_test.cpp
@@ -21,48 +21,48 @@
   }
   TaskFailureTracker::Review review(double now) {
     return tracker_.review(
-        machines_, [this](auto& id) { return requested_.contains(id); }, now);
+        machines_, [this](auto& id) { return return_requested_.contains(id); }, now);
   }
 
   Settings settings_;
   TaskFailureTracker tracker_{settings_};
   std::map<std::string, Machine> machines_;
-  std::set<std::string> requested_;
+  std::set<std::string> return_requested_;
 };
 
 TEST_F(TaskFailureTrackerTest, AJobThatFailsOnOneMachineIsNotHeldBack) {
   EXPECT_FALSE(tracker_.note_error("run", "i-1", 100));
-  EXPECT_FALSE(tracker_.is_held_back("run", 100));
+  EXPECT_FALSE(tracker_.is_backing_off("run", 100));
 }
 
 TEST_F(TaskFailureTrackerTest, AFaultyJobIsHeldBackForLongerAndLongerUpToTwoLeases) {
   EXPECT_FALSE(tracker_.note_error("run", "i-1", 100));
   EXPECT_FALSE(tracker_.note_error("run", "i-2", 100));
   EXPECT_TRUE(tracker_.note_error("run", "i-3", 100));
-  EXPECT_TRUE(tracker_.is_held_back("run", 179));  // 10 s * 2^3
-  EXPECT_FALSE(tracker_.is_held_back("run", 180));
+  EXPECT_TRUE(tracker_.is_backing_off("run", 179));  // 10 s * 2^3
+  EXPECT_FALSE(tracker_.is_backing_off("run", 180));
   EXPECT_TRUE(tracker_.note_error("run", "i-3", 200));
-  EXPECT_TRUE(tracker_.is_held_back("run", 279));
-  EXPECT_FALSE(tracker_.is_held_back("run", 280));
+  EXPECT_TRUE(tracker_.is_backing_off("run", 279));
+  EXPECT_FALSE(tracker_.is_backing_off("run", 280));
 }
 
 TEST_F(TaskFailureTrackerTest, ASuspectedJobIsHeldBackFromItsFirstErrorOn) {
   tracker_.suspect_job("run");
   EXPECT_TRUE(tracker_.note_error("run", "i-1", 100));
-  EXPECT_TRUE(tracker_.is_held_back("run", 119));  // 10 s * 2^1
-  EXPECT_FALSE(tracker_.is_held_back("run", 120));
+  EXPECT_TRUE(tracker_.is_backing_off("run", 119));  // 10 s * 2^1
+  EXPECT_FALSE(tracker_.is_backing_off("run", 120));
 }
 
 TEST_F(TaskFailureTrackerTest, ARefusedJobIsHeldBackForHalfAHeartbeatInterval) {
   tracker_.note_refusal("run", 100);
-  EXPECT_TRUE(tracker_.is_held_back("run", 104));
-  EXPECT_FALSE(tracker_.is_held_back("run", 105));
+  EXPECT_TRUE(tracker_.is_backing_off("run", 104));
+  EXPECT_FALSE(tracker_.is_backing_off("run", 105));
 }
 
 TEST_F(TaskFailureTrackerTest, AnEndedJobIsForgotten) {
   tracker_.note_refusal("run", 100);
   tracker_.forget_job("run");
-  EXPECT_FALSE(tracker_.is_held_back("run", 101));
+  EXPECT_FALSE(tracker_.is_backing_off("run", 101));
 }
 
 TEST_F(TaskFailureTrackerTest, AMachineOnWhichTwoSoundJobsFailIsFaulty) {
@@ -95,9 +95,9 @@
 TEST_F(TaskFailureTrackerTest, AMachineThatIsToBeReturnedDoesNotRecover) {
   machines_["i-3"].draining = true;
   machines_["i-3"].faulty_since = 101;
-  requested_.insert("i-3");
+  return_requested_.insert("i-3");
   EXPECT_EQ(review(111).recovered, Ids{});
-  requested_.clear();
+  return_requested_.clear();
   EXPECT_EQ(review(111).recovered, Ids{"i-3"});
 }
 
--- a/tests/scheduling/snapshot_builder_test.cpp
+++ b/tests/scheduling/snapshot_builder_test.cpp
@@ -175,7 +175,7 @@
 
 TEST_F(SnapshotBuilderTest, AFaultyJobIsTriedByOneTaskAtATime) {
   add_job("run-1");
-  for (auto* machine : {"i-7", "i-8", "i-9"}) faults_.failed("run-1", machine, 1);
+  for (auto* machine : {"i-7", "i-8", "i-9"}) faults_.note_failure("run-1", machine, 1);
   ASSERT_TRUE(faults_.is_job_faulty("run-1"));
   refresh();
   EXPECT_TRUE(job_view("run-1").faulty);
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -58,8 +58,9 @@
     if (verb == "silent") {  // silent N now=S known=N give_up=S lease=S
       in >> name;
       auto w = pairs(in);
-      double limit = patience_.limit(num(w, "now"), static_cast<size_t>(num(w, "known")),
-                                     std::stoul(name), num(w, "give_up"), num(w, "lease"));
+      double limit =
+          dead_machine_timeout_.timeout_s(num(w, "now"), static_cast<size_t>(num(w, "known")),
+                                          std::stoul(name), num(w, "give_up"), num(w, "lease"));
       actual_.push_back("given up after " + std::to_string(static_cast<int>(limit)));
       return;
     }
@@ -109,8 +110,8 @@
       ASSERT_TRUE(parse_task_id(name, key.first));
       key.second = static_cast<uint64_t>(num(w, "attempt", 1));
       auto how = str(w, "how");
-      (how == "flight"  ? machine_.in_flight
-       : how == "limbo" ? machine_.in_limbo
+      (how == "flight"  ? machine_.starts_in_flight
+       : how == "limbo" ? machine_.starts_unacknowledged
                         : machine_.starts_in_response)
           .insert(key);
     } else if (verb == "type") {  // type NAME cpus=N gpus=N price=N spot_price=N zones=Z,... boot=S
@@ -171,13 +172,15 @@
     } else if (verb == "replace") {  // replace TYPE zone=Z [spot]
       fleet_.replacements.push_back({name, str(w, "zone"), w.contains("spot")});
     } else if (verb == "successes") {  // successes MACHINE run=S median=S count=N
-      StragglerAverage s;
+      StragglerState s;
       RunTimes times;
       Tuning tuning;
       for (int i = 0; i < 50; ++i) times.add(num(w, "median"), tuning.straggler_min_successes);
       int n = static_cast<int>(num(w, "count")), at = 0;
       for (int i = 1; i <= n && !at; ++i)
-        if (fold(s, *times.add(num(w, "run"), tuning.straggler_min_successes), tuning)) at = i;
+        if (update_straggler_state(s, *times.add(num(w, "run"), tuning.straggler_min_successes),
+                                   tuning))
+          at = i;
       actual_.push_back(at ? "straggler " + name + " after " + std::to_string(at)
                            : "sound " + name);
     } else {
@@ -331,7 +334,7 @@
   }
   scheduling::SchedulerSnapshot input_;
   autoscaling::AutoscalerInput fleet_;
-  DeadMachineTimeout patience_;
+  DeadMachineTimeout dead_machine_timeout_;
   Machine machine_;
   std::vector<DesiredTask> records_;
   std::vector<std::string> expected_, actual_;
