--- a/src/coordination/machines/command_dispatcher.cpp
+++ b/src/coordination/machines/command_dispatcher.cpp
@@ -11,15 +11,16 @@
 
 void CommandDispatcher::enqueue(Machine& machine) {
   if (machine.sending || machine.agent_epoch == 0 || machine.pending_commands.empty()) return;
-  // Its next heartbeat is answered with what is still wanted, and no socket waits for it until
-  // then.
+  // The response to the machine's next heartbeat carries the commands that are still needed. Until
+  // then no socket waits for a response of a suspected machine.
   if (callbacks_.is_suspected(machine)) return machine.pending_commands.clear();
   machine.sending = true;
   queue_.push_back(machine.id);
   start_sends();
 }
 
-// Bounded, so that commands to many unreachable machines leave sockets to everybody else.
+// The number of sends is limited, so that commands to many unreachable machines leave enough
+// sockets for users, other workers and the key-value store.
 void CommandDispatcher::start_sends() {
   while (sends_in_progress_ < max_concurrent_sends(settings_) && !queue_.empty()) {
     ++sends_in_progress_;
@@ -29,7 +30,7 @@
 }
 
 Task<void> CommandDispatcher::send(std::string machine_id) {
-  // Lets the other commands of this turn join the request.
+  // The commands of the rest of this loop iteration join the request.
   co_await Sleep(loop_, 0, {});
   co_await send_until_empty(std::move(machine_id));
   --sends_in_progress_;
@@ -76,7 +77,7 @@
     if (machine->agent_epoch == agent_epoch) {
       for (auto& start : starts) {
         machine->starts_in_flight.erase(start);
-        // The agent may still receive it at any time in this epoch.
+        // The worker may still receive the command at any time in this epoch.
         if (!reply.answered()) machine->starts_unacknowledged.insert(start);
       }
     }
@@ -93,7 +94,8 @@
   callbacks_.on_send_failed(machine.id);
   machine.sending = false;
   machine.pending_commands.clear();
-  spdlog::debug("{} does not answer commands", machine.id);
+  spdlog::debug("{} did not respond to a request with commands ({} in a row)", machine.id,
+                machine.failed_sends);
 }
 
 void CommandDispatcher::handle_response(Machine& machine, const HttpReply& reply,
@@ -101,8 +103,8 @@
   machine.failed_sends = 0;
   const auto status = decode_heartbeat(decode_map(reply.body));
   if (!status || status->machine != machine.id) return;
-  // Only removals are sent at once. A stop whose answer still shows the task saving, and the like,
-  // wait for the next heartbeat.
+  // Only removals are sent at once. Other commands wait for the next heartbeat: the response to a
+  // stop, for example, may still show the task as saving.
   for (auto& command : callbacks_.on_status(machine, *status, requested_at))
     if (reply.status == 200 && command.op == Command::Op::remove)
       machine.pending_commands.push_back(command);
@@ -127,7 +129,7 @@
   machine = callbacks_.find_machine(machine_id);
   if (reply.status != 200 || !machine || fencing_token != callbacks_.fencing_token()) co_return;
   const auto status = decode_heartbeat(decode_map(reply.body));
-  // What follows from it is sent with the response to the next heartbeat.
+  // The response to the next heartbeat carries the resulting commands.
   if (status && status->machine == machine_id)
     callbacks_.on_status(*machine, *status, requested_at);
 }
--- a/src/coordination/machines/command_dispatcher.hpp
+++ b/src/coordination/machines/command_dispatcher.hpp
@@ -1,8 +1,8 @@
-/// Delivery of commands to worker agents, and liveness probes, over connections that the shard
-/// leader opens itself.
+/// Sends commands and liveness probes to workers over connections that the shard leader opens
+/// itself.
 ///
-/// Commands also travel in the responses to heartbeats; those are made by the heartbeat handler and
-/// don't pass through here.
+/// Commands are also delivered in the responses to heartbeats; the heartbeat handler creates those
+/// responses without the dispatcher.
 #pragma once
 #include <algorithm>
 #include <deque>
@@ -25,57 +25,61 @@
 /// - A machine is in the queue, or one request to it is in progress, exactly while
 ///   `Machine::sending` is set (within one lease: see begin_lease()).
 /// - Every start command in a request without a response is in `Machine::starts_in_flight`; if the
-/// request
-///   fails it moves to `Machine::starts_unacknowledged`, because the agent may still receive it.
-/// - Commands that could not be delivered are dropped. The next heartbeat of the machine is
-///   reconciled with the records, which yields again what is still wanted.
+///   request fails, the command moves to `Machine::starts_unacknowledged`, because the worker may
+///   still receive it.
+/// - Undelivered commands are dropped. Reconciling the machine's next heartbeat with the records
+///   generates again the commands that are still needed.
 ///
-/// Each send and each probe is a coroutine of its own, which looks the machine up anew after each
-/// wait and does nothing more when the machine is gone or the lease has changed. The dispatcher
-/// has to outlive its loop's coroutines.
+/// Each send and each probe is a separate coroutine. After each wait the coroutine looks up the
+/// machine again, and ends if the machine was removed or the lease has changed. The dispatcher must
+/// outlive the coroutines of its loop.
 class CommandDispatcher {
  public:
-  /// What the dispatcher needs to know of its shard leader. All are called on the loop's thread,
-  /// and none may suspend.
+  /// Queries and notifications to the shard leader. All are called on the loop's thread, and none
+  /// may suspend.
   struct Callbacks {
-    /// Fencing token of the latest lease; 0: the lease has gone to another controller.
+    /// Fencing token of the latest lease; 0 if another controller has acquired the lease.
     std::function<uint64_t()> fencing_token;
-    /// Whether the lease is held now.
+    /// Whether this controller holds the lease.
     std::function<bool()> is_leading;
-    /// Null: the machine is not known (any more).
+    /// Returns null if the machine is unknown or was removed.
     std::function<Machine*(const std::string& id)> find_machine;
-    /// The machine has missed heartbeats and is probably unreachable.
+    /// Whether the machine has missed heartbeats and is probably unreachable.
     std::function<bool(const Machine&)> is_suspected;
-    /// The command still has a use. Asked right before it is sent, because the records may have
-    /// changed since it was made.
+    /// Whether the command is still needed. Called right before the command is sent, because the
+    /// records may have changed since its creation.
     std::function<bool(const Machine&, const Command&)> is_wanted;
-    /// The machine did not answer: whether it may be given tasks has to be looked at anew.
+    /// The machine did not respond, so the leader has to check again whether the machine is
+    /// schedulable.
     std::function<void(const std::string& id)> on_send_failed;
-    /// The machine's status, from a response to a request that was sent at `requested_at`. Returns
-    /// the commands that follow from it.
+    /// Processes the machine's status from a response to a request that was sent at
+    /// `requested_at`. Returns the commands that result from reconciling the status.
     std::function<std::vector<Command>(Machine&, const Heartbeat&, double requested_at)> on_status;
   };
 
   CommandDispatcher(Loop& loop, const Settings& settings, HttpClient& http, Callbacks callbacks)
       : loop_(loop), settings_(settings), http_(http), callbacks_(std::move(callbacks)) {}
 
-  /// The most requests that may be in progress at once.
+  /// Maximum number of concurrent requests with commands.
   static int max_concurrent_sends(const Settings& settings) {
     return std::max(min_concurrent_sends, settings.max_sockets / sockets_per_send);
   }
 
-  /// A new lease knows no machines yet: forgets the queue. Requests of the lease before end by
-  /// themselves and count against the bounds until then.
+  /// Starts a new lease, which knows no machines yet, by clearing the queue. Requests of the
+  /// previous lease continue until their response or timeout and count against the limits until
+  /// then.
   void begin_lease() { queue_.clear(); }
-  /// Sends the command, together with others for the machine that come in the same turn of the
-  /// loop. Dropped where the machine is suspected or has not sent a heartbeat yet.
+  /// Sends the command in one request with the other commands for the machine that are dispatched
+  /// in the same iteration of the loop. The command is dropped if the machine is suspected or has
+  /// not sent a heartbeat yet.
   void dispatch(Machine& machine, Command command);
-  /// Asks the machine for its status, unless it is being asked already, or too many are.
+  /// Requests the machine's status, unless a probe of this machine or the maximum number of probes
+  /// is in progress.
   void start_probe(const std::string& machine_id);
 
  private:
   static constexpr int min_concurrent_sends = 8;
-  /// Sends get this part of the controller's sockets.
+  /// One concurrent send is allowed for this many sockets of the controller.
   static constexpr int sockets_per_send = 16;
   static constexpr double min_send_timeout_s = 1.0;
 
@@ -83,7 +87,7 @@
   void start_sends();
   Task<void> send(std::string machine_id);
   Task<void> send_until_empty(std::string machine_id);
-  /// The machine's pending commands that are still wanted.
+  /// Removes the machine's pending commands and returns those that are still needed.
   std::vector<Command> take_wanted_commands(Machine& machine) const;
   Task<HttpReply> post_commands(std::string address, uint64_t agent_epoch,
                                 std::vector<Command> commands);
@@ -95,9 +99,9 @@
   const Settings& settings_;
   HttpClient& http_;
   const Callbacks callbacks_;
-  std::deque<std::string> queue_;  ///< Machines with pending commands.
+  std::deque<std::string> queue_;  ///< ids of machines with pending commands
   int sends_in_progress_ = 0;
-  std::set<std::string> probes_in_progress_;  ///< By machine.
+  std::set<std::string> probes_in_progress_;  ///< ids of machines
 };
 
 }  // namespace damsonport
--- a/src/coordination/machines/dead_machine_timeout.cpp
+++ b/src/coordination/machines/dead_machine_timeout.cpp
@@ -3,6 +3,7 @@
 namespace damsonport {
 
 namespace {
+// A mass outage: more than this share of the fleet is suspected, and at least this many machines.
 constexpr double mass_outage_share = 0.35;
 constexpr size_t mass_outage_min_machines = 4;
 constexpr double mass_outage_timeout_leases = 3;
--- a/src/coordination/machines/failure_detector.cpp
+++ b/src/coordination/machines/failure_detector.cpp
@@ -5,14 +5,14 @@
 namespace damsonport {
 
 namespace {
-// Periods between two ticks after which the process counts as held up.
+// A gap of more than this many periods between two ticks shows that the process was stalled.
 constexpr double stall_periods = 3;
-// A worker that gets no answer in 4 s goes to the next controller a second later.
+// A worker without a response after 4 s contacts the next controller 1 s later.
 constexpr double worker_retry_s = 5;
-// Heartbeat intervals that an idle machine which was never heard is waited for in addition.
+// Additional heartbeat intervals for an idle machine that has not sent a heartbeat yet.
 constexpr double boot_grace_heartbeats = 2;
-// Heartbeats that are missing before a zone counts as unreachable, and the shortest time for it in
-// heartbeat intervals.
+// A zone is unreachable after this many missed heartbeats of its machines together, but not before
+// this many heartbeat intervals.
 constexpr double zone_timeout_heartbeats = 10;
 constexpr double min_zone_timeout_heartbeats = 0.25;
 }  // namespace
@@ -88,8 +88,9 @@
                                          settings_.lease_s);
 }
 
-// It may be booting, or still be looking for the new shard leader, past controllers that don't
-// answer.
+// Additional time for a machine that has not sent a heartbeat yet. An idle machine may still be
+// booting. The worker of a machine with tasks may still be searching for the new shard leader and
+// waits for a timeout at each unreachable controller.
 double FailureDetector::first_heartbeat_grace_s(const std::string& machine,
                                                 const FleetFacts& facts) const {
   return facts.has_assignments(machine) ? worker_retry_s * (1 + facts.unreachable_peers)
--- a/src/coordination/machines/failure_detector.hpp
+++ b/src/coordination/machines/failure_detector.hpp
@@ -1,5 +1,5 @@
-/// Failure detection from missed heartbeats: which machines are suspected, which zones are cut off
-/// and which machines are declared dead. Pure: the time and the machines are passed in.
+/// Detects failures from missed heartbeats: suspected machines, unreachable zones and dead
+/// machines. Pure: the caller passes in the time and the machines.
 #pragma once
 #include <functional>
 #include <map>
@@ -13,46 +13,52 @@
 
 namespace damsonport {
 
-/// Owned by the shard leader. Times are seconds of the loop's clock.
+/// Detects suspected and dead machines. Owned by the shard leader. Times are seconds of the loop's
+/// clock.
 ///
-/// Invariant: time in which this process itself heard nobody is never counted against a machine.
-/// Missed heartbeats are counted from the liveness base at the earliest: the beginning of the
-/// lease, or the last time at which the process was held up.
+/// Invariant: time in which this process could not receive heartbeats never counts against a
+/// machine. Missed heartbeats are counted from the beginning of the lease or the end of the last
+/// stall of the process at the earliest.
 class FailureDetector {
  public:
   explicit FailureDetector(const Settings& settings) : settings_(settings) {}
 
-  /// A lease begins: no machine has missed a heartbeat yet.
+  /// Starts a new lease, in which no machine has missed a heartbeat yet.
   void begin_lease(double now);
-  /// To be called every `period_s`. A call that comes much later shows that the process was held
-  /// up; that is no machine's fault.
+  /// Must be called every `period_s` seconds. A much later call shows that the process was stalled;
+  /// missed heartbeats are counted from that call on.
   void note_tick(double now, double period_s);
 
-  /// Seconds since the machine's last heartbeat, counted from the liveness base at the earliest.
+  /// Seconds since the machine's last heartbeat, or since the beginning of the lease or the end of
+  /// the last stall if that was later.
   [[nodiscard]] double since_last_heartbeat_s(const Machine& machine, double now) const;
-  /// Without a heartbeat for too long to be given new tasks.
+  /// Whether the machine has missed too many heartbeats to get new tasks.
   [[nodiscard]] bool is_suspected(const Machine& machine, double now) const;
   /// Seconds without a heartbeat after which a machine is suspected.
   [[nodiscard]] double suspect_after_s() const;
-  /// Zones none of whose machines was heard for a time in which several should have been: cut off,
-  /// most likely, long before each machine alone is suspected.
+  /// Zones without a heartbeat or response of any machine for a time in which several were due.
+  /// Such a zone is most likely disconnected; this is detected long before each machine is
+  /// suspected.
   [[nodiscard]] std::set<std::string> unreachable_zones(
       const std::map<std::string, Machine>& machines, double now) const;
 
-  /// What the detector has to know of machines from elsewhere.
+  /// Inputs of detect() that come from other components.
   struct FleetFacts {
     using Predicate = std::function<bool(const std::string& machine)>;
-    Predicate has_tombstone;    ///< no longer part of the fleet
-    Predicate is_leaving;       ///< has a tombstone or is to get one: not examined
-    Predicate has_assignments;  ///< the records place tasks there
-    int unreachable_peers = 0;  ///< controllers that don't answer
+    Predicate has_tombstone;    ///< the machine is no longer part of the fleet
+    Predicate is_leaving;       ///< has a tombstone or will get one; not examined
+    Predicate has_assignments;  ///< the records place tasks on the machine
+    int unreachable_peers = 0;  ///< number of unreachable controllers
   };
+  /// Result of detect() for one machine.
   struct SuspectedMachine {
     std::string id;
-    double heartbeat_age_s = 0;  ///< since its last heartbeat
-    bool is_dead = false;
+    double heartbeat_age_s = 0;  ///< see since_last_heartbeat_s()
+    bool is_dead = false;        ///< to be declared dead
   };
-  /// The suspected machines in the order of their ids, and whether each is to be declared dead.
+  /// Returns the suspected machines in the order of their ids, with the decision whether to declare
+  /// each of them dead. A machine that responded to a recent request of this controller is not
+  /// declared dead.
   [[nodiscard]] std::vector<SuspectedMachine> detect(const std::map<std::string, Machine>& machines,
                                                      const FleetFacts& facts, double now);
 
--- a/src/coordination/machines/fault_attribution.cpp
+++ b/src/coordination/machines/fault_attribution.cpp
@@ -5,7 +5,8 @@
 namespace damsonport {
 
 namespace {
-// Machines on which a job must have failed, and jobs that must have failed on a machine.
+// Number of machines on which a job must fail to be faulty, and number of jobs that must fail on a
+// machine for the machine to be faulty.
 constexpr size_t min_machines_of_faulty_job = 3;
 constexpr size_t min_jobs_of_faulty_machine = 2;
 }  // namespace
@@ -21,7 +22,7 @@
                                     double started) {
   if (auto it = machines_.find(machine); it != machines_.end() && started > it->second.last_failure)
     machines_.erase(it);
-  // Only of jobs that have failed somewhere anything needs to be known.
+  // Successes are recorded only for jobs with a failure; the others can't be faulty.
   if (auto it = jobs_.find(job); it != jobs_.end()) it->second.has_succeeded = true;
 }
 
@@ -49,7 +50,8 @@
   return static_cast<size_t>(against_machine) + it->second.ended_jobs >= min_jobs_of_faulty_machine;
 }
 
-// A machine that fails everything meets jobs that are done elsewhere within seconds.
+// The failures of an ended job are kept because a machine on which all tasks fail gets tasks of
+// jobs that complete on other machines within seconds.
 void FaultAttribution::forget_job(const std::string& job) {
   auto it = jobs_.find(job);
   const bool has_succeeded = it != jobs_.end() && it->second.has_succeeded;
--- a/src/coordination/machines/fault_attribution.hpp
+++ b/src/coordination/machines/fault_attribution.hpp
@@ -1,4 +1,5 @@
-/// Attributes failures of tasks to their machine or to their job. Pure: the time is passed in.
+/// Attributes failures of tasks either to the machine or to the job. Pure: the caller passes in the
+/// time.
 #pragma once
 #include <map>
 #include <set>
@@ -6,32 +7,36 @@
 
 namespace damsonport {
 
-/// A machine is faulty if several jobs failed on it that work elsewhere, or that have failed
-/// nowhere else yet. A job is faulty if it failed on several machines and worked on none.
-/// What is learned of a job later changes what its failures say of machines; so every verdict is
-/// worked out when it is asked for, and may be withdrawn.
+/// Decides which machines and which jobs are faulty.
 ///
-/// Owned by the shard leader, for the time of one lease.
+/// A machine is faulty if several jobs failed on it that succeed elsewhere or have failed on no
+/// other machine yet. A job is faulty if it failed on several machines and succeeded on none. Later
+/// results of a job change the attribution of its earlier failures, so each query evaluates all
+/// recorded results, and a machine or a job may stop being faulty.
+///
+/// Owned by the shard leader, for the duration of one lease.
 class FaultAttribution {
  public:
-  /// A task of the job ended in error on the machine.
+  /// Records that a task of the job ended in error on the machine.
   void note_failure(const std::string& job, const std::string& machine, double now);
-  /// A task of the job, running since `started`, succeeded on the machine or ran for longer than a
-  /// failing one does. It clears the machine only if it began after the last failure there.
+  /// Records that a task of the job, running since `started`, succeeded on the machine, or ran for
+  /// longer than a failing task does. The machine's failures are cleared only if the task started
+  /// after the last of them.
   void note_success(const std::string& job, const std::string& machine, double started);
-  /// The records of an earlier shard leader show many attempts and no success of this job.
+  /// Marks the job as faulty until its first success: the records from an earlier shard leader show
+  /// many attempts without a success.
   void suspect_job(const std::string& job);
 
   [[nodiscard]] bool is_job_faulty(const std::string& job) const;
   [[nodiscard]] bool is_machine_faulty(const std::string& machine) const;
 
-  /// Whether any failure is remembered.
+  /// Whether any failure is recorded.
   [[nodiscard]] bool has_failures() const { return !jobs_.empty() || !machines_.empty(); }
 
-  /// The job has ended. Its failures still count against machines if it worked elsewhere,
-  /// since the job can't turn out to be faulty any more.
+  /// Removes a job that has ended. If it succeeded on any machine, its failures still count against
+  /// machines, since the job can no longer become faulty.
   void forget_job(const std::string& job);
-  /// Forgets the failures of ended jobs on machines on which nothing has failed since `before`.
+  /// Removes the failures of ended jobs on machines whose last failure was before `before`.
   void forget_failures_before(double before);
   void forget_machine(const std::string& machine);
   void clear();
@@ -43,11 +48,11 @@
   };
   bool counts_against_machine(const std::string& job) const;
   std::map<std::string, JobRecord> jobs_;
-  // Failures since a task last succeeded there.
+  // Failures on the machine since the last success that cleared them.
   struct MachineRecord {
     std::set<std::string> failed_jobs;
-    // Ended jobs that failed here and worked elsewhere; counted no further than a verdict
-    // needs.
+    // Ended jobs that failed on this machine and succeeded on another one; counted up to the number
+    // that makes the machine faulty.
     size_t ended_jobs = 0;
     double last_failure = 0;
     bool empty() const { return failed_jobs.empty() && ended_jobs == 0; }
--- a/src/coordination/machines/heartbeat_deduplicator.cpp
+++ b/src/coordination/machines/heartbeat_deduplicator.cpp
@@ -8,12 +8,14 @@
 
 namespace {
 
+// An encoded heartbeat whose sequence number is overwritten with zeros, and that number.
 struct MaskedHeartbeat {
   std::string heartbeat;
   uint64_t sequence = 0;
 };
 
-// Bytes that follow the first one of an unsigned integer in CBOR (RFC 8949, 3); none: not one.
+// Number of bytes that follow the initial byte of an unsigned integer in CBOR (RFC 8949, section
+// 3); nullopt if the initial byte doesn't begin an unsigned integer.
 std::optional<size_t> following_bytes(uint8_t initial_byte) {
   constexpr uint8_t largest_in_place = 23, one_byte = 24, eight_bytes = 27;
   if (initial_byte <= largest_in_place) return 0;
@@ -21,7 +23,9 @@
   return size_t{1} << (initial_byte - one_byte);
 }
 
-// Its encoded length stays in the report, so that all masked ones of a machine are of equal length.
+// Masks the bytes of the sequence number and keeps their count, so that masked heartbeats are equal
+// only if their sequence numbers have the same encoded length. Returns nullopt unless the key of
+// the sequence number occurs exactly once and a complete unsigned integer follows it.
 std::optional<MaskedHeartbeat> mask_sequence(const std::string& body) {
   const std::string_view key = encoded_sequence_key();
   const size_t key_at = body.find(key);
--- a/src/coordination/machines/machine.cpp
+++ b/src/coordination/machines/machine.cpp
@@ -19,10 +19,11 @@
 
 bool apply_heartbeat(Machine& machine, const Heartbeat& heartbeat, double now, bool direct,
                      double as_of) {
-  // Late copies, from seconds to more than a lease, prove nothing.
+  // Copies of older messages may arrive seconds or more than a lease late and say nothing about the
+  // current state.
   if (!heartbeat.newer_than(machine.agent_epoch, machine.sequence)) return false;
   if (heartbeat.agent_epoch != machine.agent_epoch) {
-    // Everything of the older session is gone and none of its orders can arrive any more.
+    // All tasks of the previous epoch have ended, and the worker rejects its commands from now on.
     if (machine.agent_epoch != 0) ++machine.agent_epoch_changes;
     machine.starts_in_flight.clear();
     machine.starts_unacknowledged.clear();
@@ -47,7 +48,7 @@
   machine.tasks.clear();
   for (auto& t : heartbeat.tasks) {
     auto [it, fresh] = machine.tasks.emplace(t.task, t);
-    // The same task may stand there twice: an exited attempt and a later one.
+    // A heartbeat can list a task twice: with an exited attempt and with a later one.
     if (!fresh && (it->second.state == TaskState::exited || it->second.attempt < t.attempt))
       it->second = t;
   }
--- a/src/coordination/machines/machine.hpp
+++ b/src/coordination/machines/machine.hpp
@@ -1,5 +1,5 @@
-/// What the shard leader knows of a machine from its heartbeats. Nothing of it is stored: a new
-/// shard leader learns it anew.
+/// The shard leader's view of a machine, built from the heartbeats of its worker. The view is kept
+/// in memory only: a new shard leader rebuilds it from the next heartbeats.
 #pragma once
 #include <map>
 #include <optional>
@@ -11,79 +11,84 @@
 
 namespace damsonport {
 
-/// One attempt of a task.
+/// Identifies one attempt of a task.
 using AttemptKey = std::pair<TaskId, uint64_t>;
 
-/// The images on a machine: a model of the workers' cache, which drops the least recently used
-/// ones.
+/// Model of the image cache on a machine, which evicts the least recently used images.
 class ImageCache {
  public:
-  /// The image, of this size, was used at this time. Others are dropped until all fit into
-  /// `cache_gb`.
+  /// Records that `image`, of `gb` GB, was used at `now`, and evicts other images until the total
+  /// size is at most `cache_gb` GB.
   void note_use(const std::string& image, double gb, double now, double cache_gb);
   bool holds(const std::string& image) const { return images_.contains(image); }
   const std::map<std::string, std::pair<double, double>>& images() const { return images_; }
   void clear() { images_.clear(); }
 
  private:
-  std::map<std::string, std::pair<double, double>> images_;  // -> (last use, GB)
+  std::map<std::string, std::pair<double, double>> images_;  // by image: time of last use, GB
 };
 
 /// State of the straggler detection for one machine (straggler.hpp).
 struct StragglerState {
-  double average = 1.0;
-  int updates = 0;
-  bool flagged = false;
+  double average = 1.0;  ///< moving average of the relative speed; 1: as fast as the median
+  int updates = 0;       ///< relative speeds added to the average
+  bool flagged = false;  ///< result of the last test: the machine is a straggler
 };
 
-/// Written by the shard leader's handlers of heartbeats and command responses, and by its
-/// maintenance coroutine. Times are seconds of the loop's clock; 0 stands for never.
+/// One machine of the fleet. Owned by the shard leader for the duration of one lease; written by
+/// its handlers of heartbeats and command responses and by its maintenance coroutine. Times are
+/// seconds of the loop's clock; 0 means never.
 struct Machine {
   std::string id, address, type, zone;
   bool spot = false;
-  std::optional<size_t> slot;  ///< its index in SchedulerSnapshot::machines
-  // Of the newest message that was processed.
+  std::optional<size_t> slot;  ///< index in SchedulerSnapshot::machines
+  // From the newest processed message of the worker.
   uint64_t agent_epoch = 0, sequence = 0, fencing_token = 0;
   double first_heartbeat_at = 0;
   double last_heartbeat_at = 0;
-  double last_direct_response_at = 0;  ///< to a request of this controller; renews no lease
-  std::optional<double> preempted_at;  ///< when the cloud will take it, as it has announced
+  double last_direct_response_at = 0;  ///< response to a request; renews no lease
+  std::optional<double> preempted_at;  ///< announced time of the preemption
   std::map<TaskId, TaskStatus> tasks;
 
-  // Start commands of this lease that may still reach the worker in its present epoch.
-  std::set<AttemptKey> starts_in_flight;       ///< in a request that is not answered yet
-  std::set<AttemptKey> starts_unacknowledged;  ///< in a request that failed: may arrive any time
+  // Start commands of this lease that may still reach the worker in its current epoch.
+  std::set<AttemptKey> starts_in_flight;       ///< in a request without a response yet
+  std::set<AttemptKey> starts_unacknowledged;  ///< in a failed request, may arrive late
   std::set<AttemptKey> starts_in_response;     ///< in the response to the last heartbeat
-  std::vector<Command> pending_commands;       ///< for the next request to the worker
-  bool sending = false;                        ///< a request is queued or under way
-  int failed_sends = 0;  ///< requests without response since the last response
+  std::vector<Command> pending_commands;       ///< commands of the next request
+  bool sending = false;                        ///< a request is queued or in progress
+  int failed_sends = 0;                        ///< consecutive requests without a response
 
   ImageCache images;
-  std::map<std::string, double> fetching;  ///< image -> since
+  std::map<std::string, double> fetching;  ///< by image: start of the fetch
   StragglerState straggler;
-  double straggler_since = 0;          ///< when it was found to be one; replaced, then drained
-  bool replacement_requested = false;  ///< of the autoscaler, for this straggler
-  bool is_replacement = false;         ///< it came for a straggler
-  std::map<std::string, double> failed_jobs;  ///< jobs whose tasks ended in error here, and when
-  bool draining = false;                      ///< takes no new tasks, returned when empty
-  double faulty_since = 0;                    ///< drained because tasks failed here
-  std::string drain_reason;                   ///< for the log
-  int agent_epoch_changes = 0;                ///< changes of agent_epoch seen
-  double tasks_as_of = 0;                     ///< `tasks` is the state at this time or later
-  double idle_since = 0;                      ///< it last had tasks
-  double last_repeated_heartbeat_at = 0;  ///< of a heartbeat that repeated the last processed one
+  /// Time at which the machine was found to be a straggler. A straggler is drained once a
+  /// replacement has arrived, or if none is available.
+  double straggler_since = 0;
+  bool replacement_requested = false;  ///< the autoscaler was asked to replace this straggler
+  bool is_replacement = false;         ///< replaces a straggler
+  /// Jobs whose tasks ended in error here, and jobs with gangs or replicas of which the machine
+  /// refused a task; with the time of the failure. Their tasks avoid the machine.
+  std::map<std::string, double> failed_jobs;
+  bool draining = false;        ///< takes no new tasks and is returned to the cloud when empty
+  double faulty_since = 0;      ///< start of the drain because of failed tasks
+  std::string drain_reason;     ///< text for the log
+  int agent_epoch_changes = 0;  ///< changes of agent_epoch in this lease
+  double tasks_as_of = 0;       ///< `tasks` is the state at this time or later
+  double idle_since = 0;        ///< last time with tasks
+  /// Arrival of the last heartbeat that repeated the last processed one.
+  double last_repeated_heartbeat_at = 0;
 
-  /// A start command of this attempt may still reach the worker.
+  /// Whether a start command of this attempt may still reach the worker.
   [[nodiscard]] bool has_outstanding_start(const AttemptKey& key) const {
     return starts_in_flight.contains(key) || starts_unacknowledged.contains(key) ||
            starts_in_response.contains(key);
   }
 };
 
-/// Applies a worker's message if it is newer than the last one. False: a late copy, to be ignored.
-/// `direct`: it came as the response to a request of this controller, and renews no lease.
-/// `as_of`: it was made at this time or later, as its connection or the request shows; 0: it may
-/// have been delayed for any time.
+/// Updates the machine from a worker's message. Returns false, without any change, if the message
+/// is not newer than the last processed one. `direct`: the message is the response to a request of
+/// this controller and renews no lease. `as_of`: earliest time at which the worker can have created
+/// the message, known from its connection or from the request; 0 if the delay is unknown.
 [[nodiscard]] bool apply_heartbeat(Machine& machine, const Heartbeat& heartbeat, double now,
                                    bool direct, double as_of = 0);
 
--- a/src/coordination/machines/machine_capacity.hpp
+++ b/src/coordination/machines/machine_capacity.hpp
@@ -1,4 +1,5 @@
-/// What a machine has and what of it is left, from its type, the records and its last heartbeat.
+/// Computes the total and the free resources of a machine from its type, the records and its last
+/// heartbeat.
 #pragma once
 #include "coordination/autoscaling/machine_type_catalog.hpp"
 #include "coordination/machines/machine.hpp"
@@ -7,12 +8,13 @@
 
 namespace damsonport {
 
-/// All of the machine's resources; none where its type is unknown.
+/// All resources of the machine; zero if the catalogue doesn't list its type.
 scheduling::Resources total_resources(const Machine& machine, const MachineTypeCatalog& catalog);
 
-/// The resources that no task holds. Everything that is or may be there counts as held: what the
-/// records place there, and whatever else the machine reports. No CPUs are free as long as a task
-/// of an unknown job runs there, whose size is unknown.
+/// The resources of the machine that no task occupies. The tasks that the records place on the
+/// machine count as occupying it, and so do all other tasks of its last heartbeat that have not
+/// exited. While the machine reports a task of an unknown job, whose size is unknown, no CPUs are
+/// free.
 scheduling::Resources free_resources(const Machine& machine, const MachineTypeCatalog& catalog,
                                      RecordCache& cache);
 
--- a/src/coordination/machines/machine_list_reader.cpp
+++ b/src/coordination/machines/machine_list_reader.cpp
@@ -5,11 +5,12 @@
 namespace damsonport {
 
 namespace {
-constexpr int max_page_size = 500;  // the most that the protocol allows
+constexpr int max_page_size = 500;  // maximum of the protocol
 constexpr double page_timeout_s = 3.0;
-// Of the cloud's calls: rentals and returns need the others.
+// Share of the cloud's call rate for the list; creating and returning machines needs the rest.
 constexpr double cloud_rate_share = 0.5;
-// Pause after a refused page, in page gaps: it grows by one with each refusal in a row.
+// Maximum pause after a failed request, in page gaps. The pause grows by one page gap with each
+// consecutive failure.
 constexpr int max_pause_gaps = 8;
 }  // namespace
 
--- a/src/coordination/machines/machine_list_reader.hpp
+++ b/src/coordination/machines/machine_list_reader.hpp
@@ -1,4 +1,4 @@
-/// Reads the cloud's list of machines, page by page, at a share of the cloud's call rate.
+/// Reads the cloud's list of machines page by page, with a share of the cloud's call rate.
 #pragma once
 #include <functional>
 #include <stop_token>
@@ -10,23 +10,27 @@
 
 namespace damsonport {
 
-/// Has no state of its own between calls; several coroutines may read at once.
+/// Reads the machine list of the cloud. Keeps no state between calls; several coroutines may read
+/// concurrently.
 class MachineListReader {
  public:
+  /// Called for each machine of the list.
   using OnMachine = std::function<void(const ListedMachine&)>;
+  /// Returns false to end the reading early.
   using KeepGoing = std::function<bool()>;
 
   MachineListReader(Loop& loop, const Settings& settings, HttpClient& http)
       : loop_(loop), settings_(settings), http_(http) {}
 
-  /// Reads the whole list once and calls `on_machine` with every machine in it. A page that is
-  /// refused or not answered is asked for again, so a list of any length is read to its end. Ends
-  /// early, with false, when a stop is requested or `keep_going`, called after each wait, returns
-  /// false.
+  /// Reads the whole list once and calls `on_machine` for each machine in it. A page that is
+  /// refused or gets no response is requested again, so that a list of any length is read to its
+  /// end. Returns false if the reading ended early, because a stop was requested or `keep_going`,
+  /// called after each wait, returned false.
   [[nodiscard]] Task<bool> read(OnMachine on_machine, KeepGoing keep_going,
                                 std::stop_token stop_token);
 
-  /// Seconds between two pages. The rest of the cloud's call rate is left to other calls.
+  /// Seconds between the requests for two pages. The rest of the cloud's call rate is left to other
+  /// calls.
   static double page_gap_s(const Settings& settings);
 
  private:
--- a/src/coordination/machines/orphan_cleanup.cpp
+++ b/src/coordination/machines/orphan_cleanup.cpp
@@ -8,8 +8,10 @@
 namespace damsonport {
 
 namespace {
-constexpr double min_age_share = 0.65;  // of cancel_s; before that a holder has time to act
-constexpr double max_age_share = 1.1;   // likewise; beyond it nothing is gained
+// Age of a cancellation, as a share of cancel_s, from which and up to which its tasks are cleaned
+// up. Earlier, a shard leader still has time to act; later, the cleanup no longer helps.
+constexpr double min_age_share = 0.65;
+constexpr double max_age_share = 1.1;
 constexpr size_t max_machines_per_return = 100;
 constexpr double return_timeout_s = 3;
 }  // namespace
@@ -28,14 +30,16 @@
       machine_list_(machine_list),
       max_concurrent_requests_(static_cast<size_t>(max_concurrent_requests)) {}
 
-// Without state service, peers that have it, and the holder: then what was confirmed here may be
-// unknown to everybody else. A holder that doesn't know stops answering in time, which ends
-// the tasks of every machine that runs on; one that hangs keeps them.
+// True if neither this controller nor any live peer is in contact with the key-value store, and no
+// live peer holds the shard lease: then no other controller may know of a cancellation that was
+// confirmed here. An unreachable shard leader that doesn't know of it stops responding to
+// heartbeats in time, which ends the tasks on every machine that still runs; a machine that hangs
+// keeps its tasks.
 bool OrphanCleanup::no_shard_leader_reachable() const {
   if (!cache_.loaded() || contact_.in_contact() ||
       peer_network_.any_peer_reaches_store(contact_.limit_s()))
     return false;
-  // Not whom the records name: it may be up again and hold nothing.
+  // The leader that the records name doesn't count: it may have restarted without the lease.
   return peer_network_.newest_shard_leader() == std::nullopt;
 }
 
@@ -84,8 +88,9 @@
     size_t remaining = count;
     for (size_t i = done; i < done + count; ++i)
       loop_.spawn("orphan cleanup", stop_orphans_on(machines[i], fencing_token, remaining));
-    // Each ends by its own time-outs; their results stand in what this routine holds.
-    // NOLINTNEXTLINE(bugprone-infinite-loop): those routines count `remaining` down
+    // Each coroutine ends within the timeouts of its requests. The coroutines refer to `machines`
+    // and `remaining`, so this coroutine must wait for all of them.
+    // NOLINTNEXTLINE(bugprone-infinite-loop): the spawned coroutines count `remaining` down
     while (remaining > 0) co_await Sleep(loop_, settings_.heartbeat_interval_s / 10, {});
     done += count;
   }
--- a/src/coordination/machines/orphan_cleanup.hpp
+++ b/src/coordination/machines/orphan_cleanup.hpp
@@ -1,5 +1,5 @@
-/// Cleanup of orphaned tasks: where no shard leader can be told of a cancellation, every controller
-/// that knows of it stops the job's tasks on the machines itself.
+/// Cleanup of orphaned tasks: while no shard leader is reachable, each controller that knows of a
+/// job's cancellation stops the job's tasks on the machines itself.
 #pragma once
 #include <string>
 #include <utility>
@@ -12,23 +12,25 @@
 
 namespace damsonport {
 
-/// Run by the maintenance coroutine of a controller that does not lead the shard.
+/// Stops tasks of cancelled jobs. Run by the maintenance coroutine of a controller that does not
+/// lead the shard.
 class OrphanCleanup {
  public:
-  /// `max_concurrent_requests`: the most requests to workers at once.
+  /// `max_concurrent_requests`: maximum number of machines that are contacted at the same time.
   OrphanCleanup(Loop& loop, const Settings& settings, RecordCache& cache, HttpClient& http,
                 PeerNetwork& peer_network, const CancellationGossip& cancellations,
                 const StoreContact& contact, MachineListReader& machine_list,
                 int max_concurrent_requests);
 
-  /// Asks each machine that may run a cancelled task, stops such tasks under the fencing token of
-  /// the shard leader in the records, and returns the machine to the cloud if it doesn't answer.
-  /// Nothing is committed, and no exit is proven by it. Does nothing while a shard leader can be
-  /// reached, and at most once in a heartbeat interval.
+  /// Requests the status of each machine that may run a task of a cancelled job, stops such tasks
+  /// with the fencing token of the latest shard lease in the records, and returns the machine to
+  /// the cloud if it doesn't respond. Nothing is committed to the records, and no exit is
+  /// considered proven. Does nothing while a shard leader is reachable, and runs at most once per
+  /// heartbeat interval.
   Task<void> run_once(std::stop_token stop_token);
 
  private:
-  // A machine that may run cancelled tasks.
+  // A machine that may run tasks of cancelled jobs.
   struct OrphanMachine {
     std::string id, address;
     std::vector<std::pair<TaskId, uint64_t>> tasks;
--- a/src/coordination/machines/reconcile.cpp
+++ b/src/coordination/machines/reconcile.cpp
@@ -5,8 +5,9 @@
 ReconcileResult reconcile(const Machine& machine, const std::vector<DesiredTask>& desired_tasks,
                           uint64_t own_fencing_token, bool records_current) {
   ReconcileResult result;
-  // Before the machine has learned our term an older holder's orders may still reach it, and before
-  // our records are current a start of theirs may be unknown to us.
+  // Until the worker has received this lease's fencing token, commands of an earlier shard leader
+  // may still reach it; until the records are current, a start by an earlier leader may be missing
+  // here.
   const bool is_conclusive = machine.fencing_token >= own_fencing_token && records_current;
   if (!is_conclusive) return result;
   std::map<TaskId, const DesiredTask*> desired_by_task;
@@ -21,8 +22,8 @@
       if (is_desired_attempt) {
         result.exits.push_back({name, reported.attempt, reported.cause, reported.saved});
       } else if (!machine.has_outstanding_start({name, reported.attempt})) {
-        // Once forgotten, a late copy of the start order would run the attempt again, so this
-        // waits until no such copy can be under way.
+        // After the removal a late copy of the start command would run the attempt again, so the
+        // removal waits until no such copy can be in transit.
         result.commands.push_back({Command::Op::remove, name, reported.attempt, 0});
       }
     } else if (!is_desired_attempt || desired->cancelled) {
@@ -38,24 +39,26 @@
   for (auto& desired : desired_tasks) {
     auto it = machine.tasks.find(desired.task);
     if (it != machine.tasks.end() && it->second.attempt == desired.attempt) continue;
-    // An attempt of the same task that has to go first; it is dealt with above.
+    // Another attempt of the task has to end first; the loop above stops it.
     if (it != machine.tasks.end() && it->second.state != TaskState::exited) continue;
     const AttemptKey key{desired.task, desired.attempt};
     if (machine.starts_in_flight.contains(key)) continue;
     if (desired.cancelled || desired.stop) {
       if (machine.has_outstanding_start(key)) {
-        // The start may still arrive, and a stop before it would have no effect. Starting and
-        // stopping in one message makes the attempt known as exited; a late copy is then ignored.
+        // The start command may still arrive, and a stop before it would have no effect. A start
+        // and a stop in one message make the worker report the attempt as exited and
+        // ignore a late copy of the start.
         result.commands.push_back({Command::Op::start, desired.task, desired.attempt, 0});
         result.commands.push_back({Command::Op::stop, desired.task, desired.attempt, 0});
       } else {
-        // Not there, and no order for it under way: it is gone.
+        // The attempt is not on the machine and no start command for it is in transit, so it has
+        // ended or will never start.
         result.exits.push_back({desired.task, desired.attempt, ExitCause::stopped, false});
       }
       continue;
     }
-    // Lost on the way, or with a session: the same attempt on the same machine can't run
-    // twice.
+    // The start command was lost, or the task ended with an earlier epoch of the worker. The start
+    // can be repeated, since the same attempt can't run twice on the same machine.
     result.commands.push_back({Command::Op::start, desired.task, desired.attempt, 0});
   }
   return result;
--- a/src/coordination/machines/reconcile.hpp
+++ b/src/coordination/machines/reconcile.hpp
@@ -1,5 +1,5 @@
-/// Compares the tasks that a machine reports with those that the records place on it: which
-/// commands to send, and which exits are proven. Pure.
+/// Compares the tasks that a machine reports with the tasks that the records place on it, to decide
+/// which commands to send and which exits are proven. Pure.
 #pragma once
 #include <functional>
 #include <vector>
@@ -12,30 +12,32 @@
 struct DesiredTask {
   TaskId task;
   uint64_t attempt = 0;
-  bool cancelled = false;      ///< its job is cancelled
-  std::optional<double> stop;  ///< to be stopped, with this grace in seconds
+  bool cancelled = false;      ///< the task's job is cancelled
+  std::optional<double> stop;  ///< if to be stopped: grace period, s
 };
 
-/// An attempt that certainly has ended, or never will start, on the machine.
+/// An attempt that has certainly ended on the machine or will certainly never start there.
 struct ProvenExit {
   TaskId task;
   uint64_t attempt = 0;
   ExitCause cause = ExitCause::none;
-  bool saved = false;  ///< a checkpoint was written at the end
+  bool saved = false;  ///< a checkpoint was saved at the end
 };
 
+/// Result of reconcile().
 struct ReconcileResult {
-  std::vector<Command> commands;
-  std::vector<ProvenExit> exits;  ///< to be committed
-  /// The machine runs what the records place on it and nothing else, and none of it is to be
-  /// stopped.
+  std::vector<Command> commands;  ///< to be sent to the worker
+  std::vector<ProvenExit> exits;  ///< to be committed to the records
+  /// Whether the machine runs exactly the tasks that the records place on it, and none of them is
+  /// to be stopped.
   bool in_sync = false;
 };
 
-/// `desired_tasks`: the tasks that the records place on this machine. `own_fencing_token`: that of
-/// the present lease; until the machine has learned it, commands of an earlier shard leader may
-/// still reach it. `records_current`: the records include every write of earlier shard leaders. The
-/// result is empty unless both hold, since nothing is proven before.
+/// Reconciles the machine with `desired_tasks`, the tasks that the records place on it.
+/// `own_fencing_token`: token of the current lease; a worker that has not received it yet may still
+/// accept commands of an earlier shard leader. `records_current`: whether the records include all
+/// writes of earlier shard leaders. Unless the machine has received the token and the records are
+/// current, nothing is proven and the result is empty.
 [[nodiscard]] ReconcileResult reconcile(const Machine& machine,
                                         const std::vector<DesiredTask>& desired_tasks,
                                         uint64_t own_fencing_token, bool records_current);
--- a/src/coordination/machines/straggler.cpp
+++ b/src/coordination/machines/straggler.cpp
@@ -5,7 +5,7 @@
 namespace damsonport {
 
 namespace {
-// A job's median is settled long before this many; more would only cost memory.
+// A job's median is stable long before this number of run times; more would only use memory.
 constexpr size_t max_run_times = 512;
 }  // namespace
 
--- a/src/coordination/machines/task_failure_tracker.cpp
+++ b/src/coordination/machines/task_failure_tracker.cpp
@@ -5,14 +5,15 @@
 namespace damsonport {
 
 namespace {
-// The backoff doubles at most so often, and is at most so many leases.
+// The backoff is doubled at most this many times and lasts at most this many leases.
 constexpr int max_doublings = 6;
 constexpr double max_backoff_leases = 2;
-// Heartbeat intervals for which a job is held back after a refusal.
+// Duration of the backoff after a refused task, in heartbeat intervals.
 constexpr double refusal_backoff_heartbeats = 0.5;
-// Share of the fleet that may be drained as faulty at once.
+// Maximum share of the fleet that is drained as faulty at the same time.
 constexpr double max_faulty_share = 0.25;
-// Leases after which failures of ended jobs are forgotten.
+// Time after a machine's last failure, in leases, after which its failures of ended jobs are
+// removed.
 constexpr double failure_memory_leases = 5;
 }  // namespace
 
