--- a/src/coordination/api/admission.cpp
+++ b/src/coordination/api/admission.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Tolerance of sums of decimal fractions, in CPUs or accelerators.
+/// Tolerance for rounding errors in sums of decimal fractions, in CPUs or GPUs.
 constexpr double rounding_tolerance = 1e-9;
 
 bool contains(const std::vector<std::string>& names, const std::string& name) {
@@ -19,7 +19,7 @@
   return job.cpus <= type.cpus && job.gpus <= type.gpus && job.memory_gb <= type.memory_gb;
 }
 
-/// A limit of 0 stands for none.
+/// A `limit` of 0 means that there is no limit.
 bool exceeds(double wanted, double limit, double kept_elsewhere) {
   return limit > 0 && wanted > limit - kept_elsewhere + rounding_tolerance;
 }
--- a/src/coordination/api/arrival_rate.hpp
+++ b/src/coordination/api/arrival_rate.hpp
@@ -1,23 +1,23 @@
-/// Estimate of how many events arrive per second. Pure: the time is passed in.
+/// Estimates how many events arrive per second. Pure: the caller passes in the time.
 #pragma once
 #include <cmath>
 
 namespace damsonport {
 
-/// Exponentially weighted average of the arrival rate: an event's weight falls to 1/e within one
-/// window.
+/// Exponentially weighted moving average of the arrival rate. The weight of an event falls to 1/e
+/// within one window.
 class ArrivalRate {
  public:
   /// `window_s`: the averaging window in seconds.
   explicit ArrivalRate(double window_s) : window_s_(window_s) {}
 
-  /// Counts one event at `now` (seconds of any steady clock, never decreasing).
+  /// Counts one event at `now`, in seconds of a steady clock; `now` must not decrease.
   void note(double now) {
     per_s_ = at(now) + 1 / window_s_;
     noted_at_ = now;
   }
 
-  /// Events per second as of `now`.
+  /// Estimated events per second at `now`.
   double at(double now) const { return per_s_ * std::exp((noted_at_ - now) / window_s_); }
 
  private:
--- a/src/coordination/api/job_status.cpp
+++ b/src/coordination/api/job_status.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-// Of a replica of several parts the tasks count only when all of them run.
+// Number of running tasks. The tasks of a replica of several parts count only if all its parts run
+// under the same attempt.
 uint64_t serving_tasks(const Job& job) {
   if (!job.spec.replicated()) return job.live;
   uint64_t serving = 0;
@@ -30,7 +31,7 @@
       return "aborted";
     case JobStatus::State::unavailable:
     case JobStatus::State::unknown:
-      break;  // have a status code and no body
+      break;  // reported by the status code, without a body
   }
   return {};
 }
--- a/src/coordination/api/job_status.hpp
+++ b/src/coordination/api/job_status.hpp
@@ -1,4 +1,4 @@
-/// The state of a job as users see it, and its form on the wire.
+/// The status of a job as shown to users, and its encoding as an HTTP response.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -9,33 +9,37 @@
 
 namespace damsonport {
 
+/// Task counts of a job that has not ended.
 struct JobProgress {
-  uint64_t done = 0;     ///< tasks that have finished
-  uint64_t running = 0;  ///< tasks that serve: of a replica of several parts only when it is whole
+  uint64_t done = 0;  ///< completed tasks
+  /// Running tasks. The tasks of a replica of several parts count only while all its parts run.
+  uint64_t running = 0;
 };
 
+/// Status of a job.
 struct JobStatus {
   enum class State : uint8_t {
-    unavailable,  ///< can't be told for now
-    unknown,      ///< no job of this id was accepted
-    queued,       ///< accepted, and no task serves yet
-    running,      ///< at least one task serves
+    unavailable,  ///< can't be determined at the moment
+    unknown,      ///< no job with this id was accepted
+    queued,       ///< accepted, no task counts as running yet
+    running,      ///< at least one task counts as running
     done,
     aborted,  ///< cancelled by its user
   };
   State state = State::unavailable;
-  /// Absent where the job has ended, or where only its cancellation is known.
+  /// Not set if the job has ended or only its cancellation is known.
   std::optional<JobProgress> progress;
 };
 
-/// From the cached record: of a job that was not cancelled when it was read from the store.
+/// Status of a job whose record, as just read from the key-value store, is not cancelled. The task
+/// counts come from the cached record `job`.
 JobStatus unfinished_status(const Job& job);
-/// From the cached record, with its cancellation.
+/// Status from the cached record, including a cancellation.
 JobStatus cached_status(const Job& job);
-/// Of a job that has ended.
+/// Status of a job that has ended.
 JobStatus final_status(FinalState state);
 
-/// The response to the user who asks for the job.
+/// The HTTP response that reports this status of job `id` to a user.
 HttpResponse to_response(const std::string& id, const JobStatus& status);
 
 }  // namespace damsonport
--- a/src/coordination/api/job_status_reader.cpp
+++ b/src/coordination/api/job_status_reader.cpp
@@ -19,7 +19,7 @@
     if (job && job->cancelled) co_return cached_status(*job);
     if (confirmer_.is_full()) co_return JobStatus{};
     const uint64_t version = job ? job->version : 0;
-    // The record may leave the cache meanwhile: `job` is not used after this.
+    // The record may be removed from the cache during the wait, so `job` is not used after it.
     const Confirmation confirmation = co_await confirmer_.confirm(id, version);
     if (confirmation == Confirmation::unavailable) co_return JobStatus{};
     if (confirmation == Confirmation::confirmed) {
@@ -33,8 +33,8 @@
   co_return JobStatus{};
 }
 
-// For a cached version that was not confirmed: reads that begin after the question. Nothing where
-// the cache has to be looked at again.
+// Reads the records of a job whose cached version was not confirmed. Returns nullopt if the cache
+// has to be read again.
 Task<std::optional<JobStatus>> JobStatusReader::read_from_store(std::string id) {
   const auto final_record = co_await store_.get(keys::final_state(id), RequestPriority::polling);
   if (!final_record.answered()) co_return JobStatus{};
@@ -44,12 +44,14 @@
   }
   const auto record = co_await store_.get(keys::job(id), RequestPriority::polling);
   if (!record.answered()) co_return JobStatus{};
-  if (!record.found()) co_return std::nullopt;  // ended between the two reads
-  // Read just now, so no older than any answer given before the question. The cache itself takes
-  // changes only in their order, from the watch.
+  if (!record.found()) co_return std::nullopt;  // the job ended between the two reads
+  // The record was read after the request arrived, so it is not older than any status that was
+  // reported before. Except for a cancellation, the cache is not updated from the record, because
+  // it applies changes in their order, from the watch.
   if (!decode_job(record.key_value.value)) co_return JobStatus{};
   if (record.key_value.value.value(fields::cancelled, 0) != 0) {
-    // Known here before any user is told: the other controllers rely on it.
+    // The cache must contain the cancellation before a user is told of it, because the other
+    // controllers rely on that.
     cache_.apply(record.key_value);
     co_return JobStatus{JobStatus::State::aborted, {}};
   }
--- a/src/coordination/api/responses.hpp
+++ b/src/coordination/api/responses.hpp
@@ -1,4 +1,4 @@
-/// The HTTP responses of the user API that more than one of its handlers gives.
+/// HTTP responses that several handlers of the user API share.
 #pragma once
 #include <string>
 
@@ -6,17 +6,19 @@
 
 namespace damsonport {
 
-/// 400: the request is malformed; clients do not repeat it. `reason` becomes the body's `error`.
+/// 400: the request is malformed, and clients do not repeat it. `reason` is the `error` of the
+/// body.
 HttpResponse bad_request(const std::string& reason);
-/// 404: there is no such job, or no such path.
+/// 404: the job or the path doesn't exist.
 HttpResponse not_found();
 /// 405: the path does not support the method.
 HttpResponse method_not_allowed();
-/// 422: the request is well formed, but can never be carried out for `reason`.
+/// 422: the request is well formed, but can never be fulfilled, because of `reason`.
 HttpResponse unprocessable(const std::string& reason);
-/// 429: too much is queued; the client may repeat the request after `retry_after_s` seconds.
+/// 429: too many submissions are pending; the client may repeat the request after `retry_after_s`
+/// seconds.
 HttpResponse too_many_requests(double retry_after_s);
-/// 503: this controller cannot answer for now; the client may repeat the request shortly.
+/// 503: this controller can't process the request at the moment; the client may repeat it shortly.
 HttpResponse unavailable();
 
 }  // namespace damsonport
--- a/src/coordination/api/routes.cpp
+++ b/src/coordination/api/routes.cpp
@@ -9,7 +9,7 @@
 constexpr std::string_view health_path = "/healthz";
 constexpr std::string_view cancel_suffix = "/cancel";
 
-// `rest`: what stands behind "/api/jobs/".
+// `rest`: the path after "/api/jobs/".
 Route match_job_route(std::string_view rest) {
   const auto slash = rest.find('/');
   std::string job(rest.substr(0, slash));
--- a/src/coordination/api/routes.hpp
+++ b/src/coordination/api/routes.hpp
@@ -1,4 +1,4 @@
-/// The paths that a controller serves, and the methods that each of them takes. Pure.
+/// The paths that a controller serves and the method that each of them supports. Pure.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -8,6 +8,7 @@
 
 namespace damsonport {
 
+/// What a path refers to.
 enum class Resource : uint8_t {
   unknown,
   worker_heartbeat,  ///< POST /hello
@@ -17,18 +18,19 @@
   job_cancellation,  ///< POST /api/jobs/ID/cancel
 };
 
+/// Result of match_route().
 struct Route {
   Resource resource = Resource::unknown;
-  Method method = Method::other;  ///< the only one that the resource takes
-  std::string job;                ///< the ID in the path, not checked
+  Method method = Method::other;  ///< the only method that the resource supports
+  std::string job;                ///< ID in the path, not validated
 };
 
-/// `path`: without the query. An unknown path yields Resource::unknown.
+/// Matches `path`, without the query. Returns Resource::unknown for an unknown path.
 Route match_route(std::string_view path);
 
-/// Whether the path lies within the user API, known or not.
+/// Whether the path belongs to the user API; true also for unknown paths below it.
 bool is_user_path(std::string_view path);
-/// Whether the path is that of the workers' heartbeats.
+/// Whether the path is the one for heartbeats of workers.
 bool is_worker_path(std::string_view path);
 
 }  // namespace damsonport
--- a/src/coordination/api/submission_batcher.cpp
+++ b/src/coordination/api/submission_batcher.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-/// How long run() sleeps without a submission before it looks at the stop token again.
+/// Maximum time for which run() waits for a submission before it checks the stop token again.
 constexpr double idle_wait_s = 60;
-/// Body size of one transaction, well below what the key-value store takes.
+/// Maximum body size of one transaction, well below the limit of the key-value store.
 constexpr size_t max_transaction_bytes = size_t{48} * 1024;
-/// Upper bounds for a job's record without its machine types, and for each of those.
+/// Upper bounds of the size of a job's record without its machine types, and of each machine type.
 constexpr size_t record_bytes = 1024;
 constexpr size_t machine_type_bytes = 210;
 
@@ -44,7 +44,7 @@
   }
 }
 
-// As many of the pending submissions as one transaction holds, in their order.
+// Removes as many pending submissions from the queue as fit into one transaction, in their order.
 SubmissionBatcher::Batch SubmissionBatcher::take_batch() {
   const auto max_writes = static_cast<size_t>(settings_.state_limits.always().txn_writes);
   auto& pending = queue_.entries();
@@ -54,7 +54,7 @@
   for (auto it = pending.begin(); it != pending.end() && batch.size() < max_writes;) {
     auto* entry = *it;
     const size_t size = estimated_bytes(entry->request);
-    // Of the same job submitted twice, the second waits for the next transaction.
+    // The second of two submissions of the same job waits for the next transaction.
     if (bytes + size > max_transaction_bytes || !ids.insert(entry->request.id).second) {
       ++it;
       continue;
@@ -66,7 +66,8 @@
   return batch;
 }
 
-// Creates every record of the batch, provided that none of the jobs is known.
+// Returns a transaction that creates the records of the batch if none of the jobs is recorded or
+// has ended.
 Transaction SubmissionBatcher::transaction_for(const Batch& batch) const {
   const uint32_t chunk = chunk_size(settings_.state_limits.always().value_kb);
   Transaction transaction;
@@ -86,7 +87,7 @@
     auto result =
         co_await store_.compare_and_swap(std::move(transaction), RequestPriority::accepting);
     if (result.outcome == TransactionOutcome::conflict && !result.failed_keys.empty()) {
-      // The jobs whose precondition failed are known already; the others are tried again.
+      // The jobs whose preconditions failed are already known; the other jobs are retried.
       const auto first_known =
           std::stable_partition(batch.begin(), batch.end(), [&](const Queue::Entry* entry) {
             return !is_precondition_failed(result, entry->request.id);
@@ -97,7 +98,8 @@
       resolve_all(known, SubmissionOutcome::already_known);
       continue;
     }
-    // Without a definite result nobody is kept waiting: the same id may be submitted again.
+    // After an indefinite result the users don't have to wait for another attempt: they may submit
+    // the same id again.
     const bool committed = result.outcome == TransactionOutcome::committed;
     if (committed) {
       cache_.apply_writes(writes, result.revision);
--- a/src/coordination/api/submission_batcher.hpp
+++ b/src/coordination/api/submission_batcher.hpp
@@ -1,4 +1,4 @@
-/// Writes the records of submitted jobs to the key-value store, several per transaction.
+/// Writes the records of submitted jobs to the key-value store, several jobs per transaction.
 #pragma once
 #include <vector>
 
@@ -8,26 +8,29 @@
 
 namespace damsonport {
 
+/// Outcome of SubmissionBatcher::submit().
 enum class SubmissionOutcome : uint8_t {
-  unavailable,    ///< unknown whether the job was recorded: the user may submit the same id again
+  /// Unknown whether the job was recorded; the user may submit the same id again.
+  unavailable,
   accepted,       ///< this submission created the job's record
-  already_known,  ///< the job was recorded before, or has ended already
+  already_known,  ///< the job was recorded before or has already ended
 };
 
 /// Batches submissions that arrive close together into shared transactions.
 ///
-/// Owns the submissions that wait for their transaction; the background task run() is the only
-/// consumer. Handlers use submit() from any coroutine of the event loop.
+/// Owns the queue of pending submissions; the background task run() is its only consumer. Handlers
+/// may call submit() from any coroutine of the event loop. The objects passed to the constructor
+/// must outlive the batcher.
 class SubmissionBatcher {
  public:
   SubmissionBatcher(Loop& loop, const Settings& settings, KeyValueClient& store,
                     RecordCache& cache);
 
-  /// Awaitable: yields the SubmissionOutcome once the job's transaction is resolved.
+  /// Awaitable that returns the SubmissionOutcome once the job's transaction has ended.
   auto submit(JobSpec spec) { return queue_.push(std::move(spec)); }
-  /// Background task: writes what waits until the token is stopped.
+  /// Background task that writes pending submissions until a stop is requested.
   Task<void> run(std::stop_token stop_token);
-  /// Submissions that wait and are in no transaction yet.
+  /// Number of submissions that are in no transaction yet.
   size_t pending() const { return queue_.size(); }
 
  private:
--- a/src/coordination/api/user_api.cpp
+++ b/src/coordination/api/user_api.cpp
@@ -10,14 +10,16 @@
 
 namespace {
 
-/// Users give up after 5 s without an answer.
+/// Maximum time that a submission is expected to wait for its write. Users give up after 5 s
+/// without a response.
 constexpr double max_submission_wait_s = 1.5;
-/// Users repeat a rejected request for a minute in all.
+/// Limits of the Retry-After header of a rejected submission. Users repeat a rejected request for
+/// one minute in total.
 constexpr double min_retry_after_s = 1;
 constexpr double max_retry_after_s = 8;
 constexpr int max_cancel_attempts = 4;
 
-/// Why a job can never run, as its user is told.
+/// Error text that tells the user why the job can never run.
 const char* rejection_reason(AdmissionResult admission) {
   switch (admission) {
     case AdmissionResult::admitted:
@@ -79,7 +81,8 @@
   if (!cache_.loaded() || !catalog_.known()) co_return unavailable();
   if (cache_.job(spec->id) || cache_.final_state(spec->id))
     co_return co_await status_response(spec->id);
-  // The policy of this moment stays with the job, whatever the operators' file says later.
+  // The current replica settings are recorded with the job, which keeps them when the operators
+  // change the file.
   settings_.replicas.describe(*spec);
   const AdmissionResult admission = check_admission(*spec, settings_, catalog_.types());
   if (admission != AdmissionResult::admitted)
@@ -97,20 +100,21 @@
   co_return co_await record(std::move(*spec));
 }
 
-// A job that was accepted once stays accepted, whatever the check would say now.
+// A job that was accepted earlier stays accepted, even if the admission check would reject it now.
 Task<HttpResponse> UserApi::reject(std::string id, std::string reason) {
   const JobStatus status = co_await statuses_.read(id);
   if (status.state == JobStatus::State::unknown) co_return unprocessable(reason);
   co_return to_response(id, status);
 }
 
-// A controller of an older version would run the tasks of a gang or a replica one by one.
+// A controller of an older version would run the tasks of a gang or a replica independently.
 bool UserApi::controllers_support(const JobSpec& spec) const {
   if (spec.kind == JobKind::gang && !versions_.all_have(VersionRegistry::gangs)) return false;
   return !spec.replicated() || versions_.all_have(VersionRegistry::replicas);
 }
 
-// No more submissions wait than can be written soon; nothing where one more may.
+// Limits the pending submissions to the number that can be written soon. Returns the seconds after
+// which a rejected user should retry, or nullopt if another submission may be queued.
 std::optional<double> UserApi::overload_retry_after() const {
   const double rate = store_.rate_limiter().writes_per_s();
   const double max_pending = std::max(rate * max_submission_wait_s, 1.0);
@@ -140,7 +144,7 @@
   co_return unavailable();
 }
 
-// Nothing where the job changed meanwhile: to be tried again.
+// Returns nullopt if the job has changed in the meantime, so that the caller has to retry.
 Task<std::optional<HttpResponse>> UserApi::try_cancel(std::string id) {
   if (const auto final_state = cache_.final_state(id))
     co_return to_response(id, final_status(*final_state));
@@ -161,7 +165,8 @@
     cache_.remember_final(id, decode_final_state(final_record.key_value.value));
     co_return std::nullopt;
   }
-  // Either never accepted, or accepted between the two reads: the confirmed status tells which.
+  // The job was either never accepted, or was accepted between the two reads; the confirmed status
+  // distinguishes the two cases.
   auto response = co_await status_response(id);
   if (response.status != 200) co_return std::move(response);
   co_return std::nullopt;
@@ -178,8 +183,9 @@
   const auto result =
       co_await store_.compare_and_swap(std::move(transaction), RequestPriority::accepting);
   if (result.outcome == TransactionOutcome::committed) {
-    // Known here before the user is told, without waiting for the watch. Whether the tasks have
-    // been started meanwhile is checked where their ends are committed.
+    // The cache must contain the cancellation before the user is told of it, so it is not left to
+    // the watch. Whether tasks were started in the meantime is checked when their exits are
+    // committed.
     cache_.apply_writes(writes, result.revision);
     spdlog::info("job {} is cancelled by its user", id);
     co_return to_response(id, {JobStatus::State::aborted, {}});
--- a/src/coordination/api/user_api.hpp
+++ b/src/coordination/api/user_api.hpp
@@ -1,4 +1,4 @@
-/// The users' interface: submission, status and cancellation of jobs.
+/// The HTTP API for users: submission, status and cancellation of jobs.
 #pragma once
 #include <optional>
 #include <string>
@@ -12,31 +12,35 @@
 
 namespace damsonport {
 
-/// Handles the requests of users on any controller, leader or not.
+/// Handles the requests of users on any controller, whether it leads or not.
 ///
-/// Owns the submissions that wait to be written, the status requests that wait to be confirmed
-/// and the estimate of the writes they need. The background tasks run_submissions() and
-/// run_confirmations() serve the two queues; the other members may be called from any coroutine of
-/// the event loop. What is passed to the constructor has to outlive the object.
+/// Owns the queue of pending submissions, the queue of status requests whose version has to be
+/// confirmed, and the estimate of the writes that users need. The background tasks
+/// run_submissions() and run_confirmations() process the two queues; the other members may be
+/// called from any coroutine of the event loop. The objects passed to the constructor must outlive
+/// the UserApi.
 class UserApi {
  public:
   UserApi(Loop& loop, const Settings& settings, KeyValueClient& store, RecordCache& cache,
           MachineTypeCatalog& catalog, const VersionRegistry& versions);
 
+  /// Background task that writes pending submissions until a stop is requested.
   Task<void> run_submissions(std::stop_token stop_token);
+  /// Background task that confirms the versions of status requests until a stop is requested.
   Task<void> run_confirmations(std::stop_token stop_token);
 
-  /// Writes per second that users ask for: those that wait, those rejected a moment ago, and what
-  /// is likely to arrive.
+  /// Writes per second that the users of this controller need: for pending and for recently
+  /// rejected submissions and for the expected arrivals.
   double wanted_writes() const;
-  /// To be called once a period; see WriteDemand.
+  /// Must be called once per period; see WriteDemand.
   void begin_demand_period() { demand_.begin_period(); }
 
-  /// Submits the job that the CBOR `body` describes. Idempotent by the job's id.
+  /// Submits the job that the CBOR `body` describes. Idempotent: if a job with the same id is
+  /// known, responds with its status. Errors: 400, 422, 429 and 503.
   Task<HttpResponse> submit(std::string body);
-  /// The status of the job.
+  /// Responds with the status of the job. Errors: 404 and 503.
   Task<HttpResponse> poll(std::string id);
-  /// Cancels the job. Idempotent; a job that has ended keeps its state.
+  /// Cancels the job. Idempotent; a job that has ended keeps its state. Errors: 404 and 503.
   Task<HttpResponse> cancel(std::string id);
 
  private:
--- a/src/coordination/api/version_confirmer.cpp
+++ b/src/coordination/api/version_confirmer.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-/// How long run() sleeps without a check before it looks at the stop token again.
+/// Maximum time for which run() waits for a check before it checks the stop token again.
 constexpr double idle_wait_s = 60;
-/// Checks that arrive within this time of the first one share its transaction.
+/// Checks that arrive within this time after the first one share its transaction.
 constexpr double batching_delay_s = 0.02;
 constexpr size_t max_pending = 256;
-/// The record's version, and where there is none, the absence of a final state.
+/// The version of the record and, for version 0, the absence of a final state.
 constexpr size_t max_conditions_per_check = 2;
 
 bool is_precondition_failed(const TransactionResult& result, const std::string& key) {
@@ -55,7 +55,8 @@
     auto* entry = pending.front();
     pending.pop_front();
     const auto& [job, version] = entry->request;
-    // One transaction confirms one version of a job: the cache changed between these two checks.
+    // One transaction can confirm only one version of a job. If the cache changed between two
+    // checks of a job, the second check is deferred to the next transaction.
     const auto [condition, inserted] = preconditions.try_emplace(keys::job(job), version);
     if (!inserted && condition->second != version) {
       batch.deferred.push_back(entry);
@@ -80,8 +81,8 @@
                is_precondition_failed(result, keys::final_state(job))) {
       entry->resolve(Confirmation::changed);
     } else {
-      // A conflict need not name every precondition that failed. Nothing is known of those that it
-      // leaves out: they are checked again. Each round resolves at least one check.
+      // A conflict need not list every failed precondition, so the checks without a listed one are
+      // undecided and repeated. Each transaction resolves at least one check.
       unresolved.push_back(entry);
     }
   }
--- a/src/coordination/api/version_confirmer.hpp
+++ b/src/coordination/api/version_confirmer.hpp
@@ -1,4 +1,4 @@
-/// Confirms that this controller's view of a job is current, many jobs per transaction.
+/// Confirms that this controller's cached records of jobs are current, many jobs per transaction.
 #pragma once
 #include <string>
 #include <vector>
@@ -9,26 +9,28 @@
 
 namespace damsonport {
 
+/// Outcome of VersionConfirmer::confirm().
 enum class Confirmation : uint8_t {
-  unavailable,  ///< the key-value store gave no definite answer
-  confirmed,    ///< the job's record had the expected version after the question was put
-  changed,      ///< it had another version: the caller looks it up again
+  unavailable,  ///< the key-value store gave no definite result
+  confirmed,    ///< the record had the expected version after the call
+  changed,      ///< the record had another version; look it up again
 };
 
 /// Batches the version checks of status requests into transactions that only compare.
 ///
-/// Owns the checks that wait; the background task run() is the only consumer. Handlers use
-/// confirm() from any coroutine of the event loop.
+/// Owns the queue of pending checks; the background task run() is its only consumer. Handlers may
+/// call confirm() from any coroutine of the event loop. The objects passed to the constructor must
+/// outlive the confirmer.
 class VersionConfirmer {
  public:
   VersionConfirmer(Loop& loop, const Settings& settings, KeyValueClient& store);
 
-  /// Awaitable: yields the Confirmation that the record of `job` has this version. Version 0: that
-  /// the job is neither recorded nor ended.
+  /// Awaitable that returns whether the record of `job` has this version. Version 0 means that the
+  /// job is neither recorded nor ended.
   auto confirm(std::string job, uint64_t version) { return queue_.push({std::move(job), version}); }
-  /// Too many wait: no further check should be added for now.
+  /// Whether too many checks are pending for another one to be added now.
   bool is_full() const;
-  /// Background task: confirms what waits until the token is stopped.
+  /// Background task that confirms pending checks until a stop is requested.
   Task<void> run(std::stop_token stop_token);
 
  private:
@@ -41,11 +43,11 @@
   struct PreparedBatch {
     Transaction transaction;
     Batch checks;
-    Batch deferred;  // can't share the transaction with the others
+    Batch deferred;  // checks that conflict with others of the transaction
   };
 
   PreparedBatch take_batch();
-  /// Resolves what the result tells of; yields the checks of which it tells nothing.
+  /// Resolves the checks that the result decides, and returns the others.
   static Batch resolve(const Batch& checks, const TransactionResult& result);
 
   Loop& loop_;
