--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -12,27 +12,29 @@
 
 namespace {
 
-/// By the protocol.
+/// Maximum of the protocol.
 constexpr size_t max_body_bytes = size_t{64} * 1024;
-/// What the HTTP library reads: a longer body gets the library's own answer, which is not CBOR.
+/// Maximum size of a body that the HTTP library reads. To a longer body the library responds
+/// itself, without CBOR.
 constexpr size_t max_read_bytes = 4 * max_body_bytes;
-/// Sockets kept free of users and workers: for the key-value store, the cloud, the other
-/// controllers and health probes.
+/// Number of sockets that are not available to users and workers, but reserved for the key-value
+/// store, the cloud, the other controllers and health probes.
 constexpr int reserved_sockets = 64;
-/// At least this share of the reserved sockets may stay open while idle.
+/// At least this many connections may stay open while idle.
 constexpr size_t min_idle_connections = reserved_sockets / 4;
-/// After this time without a request a connection is closed, in seconds.
+/// Time without a request after which a connection is closed, in seconds.
 constexpr double idle_connection_s = 45;
-/// Housekeeping runs this often per heartbeat interval.
+/// Number of housekeeping runs per heartbeat interval.
 constexpr double housekeeping_runs_per_heartbeat = 3;
-/// The oldest contact with the key-value store that is told to the other controllers, in seconds.
+/// Maximum age of the last contact with the key-value store that is reported to the other
+/// controllers, in seconds.
 constexpr double max_reported_age_s = 1e6;
-/// Without contact with the key-value store for this share of a worker's lease, a controller is
-/// unhealthy, provided that another one has contact.
+/// A controller without contact with the key-value store for this share of a worker's lease is
+/// unhealthy if another controller is in contact.
 constexpr double contact_lease_share = 0.25;
 constexpr double unhealthy_retry_after_s = 1;
 
-/// Names of the background tasks, for the log.
+/// Names of the background tasks in the log.
 namespace background_task {
 constexpr const char* record_cache = "record cache";
 constexpr const char* machine_type_catalog = "machine type catalog";
@@ -49,14 +51,14 @@
 constexpr const char* housekeeping = "housekeeping";
 }  // namespace background_task
 
-// Connections of users and workers.
+// Maximum number of connections of users and workers.
 size_t max_connections(const Settings& settings) {
   const int unreserved =
       settings.max_sockets - reserved_sockets - CommandDispatcher::max_concurrent_sends(settings);
   return static_cast<size_t>(std::max(unreserved, settings.max_sockets / 2));
 }
 
-// Small enough for a JSON number, which any reader takes exactly up to 2^53.
+// Drops bits so that the value is below 2^53: every JSON parser represents such a number exactly.
 uint64_t new_incarnation(Loop& loop) {
   constexpr int dropped_bits = 12;
   return loop.random64() >> dropped_bits;
@@ -68,8 +70,8 @@
   return names;
 }
 
-// Seconds between two watches of the cache: they take a fixed part of the controller's equal share
-// of the requests.
+// Seconds between two watch requests of the cache. They use a fixed share of the requests that the
+// controller would have if the limit were divided equally.
 double watch_interval_s(const Settings& settings) {
   constexpr double watch_share = 0.2;
   constexpr double min_watches_per_s = 2.0;
@@ -77,7 +79,8 @@
   return 1.0 / std::max(share * watch_share, min_watches_per_s);
 }
 
-// Of the requests to the key-value store: the followers need theirs to confirm what users are told.
+// Share of the request limit of the key-value store for this controller. The followers need
+// requests to confirm the statuses that users ask for.
 double request_share(bool is_leading, int controllers) {
   constexpr double leader_share = 0.5;
   if (controllers <= 1) return 1;
@@ -122,8 +125,8 @@
 void Controller::connect_callbacks() {
   http_->bound_idle([this] { return max_idle_connections(); });
   cache_.events().on_change = [this](Job* job) {
-    // A version beyond the watch's was written or read by this controller itself: the others may
-    // not know it yet.
+    // This controller wrote or read a version that is newer than the revision of the watch, so the
+    // other controllers may not know of the cancellation yet.
     if (job && job->cancelled && cancellations_.record(job->spec.id, job->cancelled_since) &&
         job->version > cache_.revision())
       peer_network_.wake();
@@ -143,8 +146,8 @@
   };
 }
 
-// Idle connections to workers take the sockets that the connections of workers and users and the
-// requests in progress leave.
+// Idle connections to workers may use the sockets that remain beside the connections of workers and
+// users, the requests in progress and the reserved sockets.
 size_t Controller::max_idle_connections() const {
   const auto all = static_cast<size_t>(settings_.max_sockets);
   const auto taken = server_->open() + http_->in_use() + reserved_sockets;
@@ -153,8 +156,8 @@
 
 bool Controller::start() {
   if (!listen()) return false;
-  spdlog::info("{} in {} serves on {}", settings_.controller_name, settings_.zone,
-               settings_.listen.text());
+  spdlog::info("controller {} in zone {} is listening on {}", settings_.controller_name,
+               settings_.zone, settings_.listen.text());
   start_background_tasks();
   return true;
 }
@@ -209,8 +212,10 @@
   return heartbeat;
 }
 
-// The leader writes nearly everything, and more when much fails at once: it always counts as
-// wanting half of the limit, and all of it where its heartbeats don't arrive.
+// Write demand of this controller, in writes per second. The leader does nearly all writes, and
+// more when much fails at once, so half of the limit is always added to its demand. While the
+// leader's heartbeats don't arrive, the other controllers assume the whole limit for it (see
+// divide_store_limits()).
 double Controller::wanted_writes() const {
   const double wanted = api_.wanted_writes();
   if (!election_.is_leading()) return wanted;
@@ -238,15 +243,15 @@
     api_.begin_demand_period();
     http_->trim(idle_connection_s);
     server_->tidy();
-    spdlog::debug("connections: {} of users and workers, {} calls, {} idle", server_->open(),
+    spdlog::debug("connections: {} of users and workers, {} requests, {} idle", server_->open(),
                   http_->in_use(), http_->idle());
     if (!co_await Sleep(loop_, interval_s, stop_token)) co_return;
   }
 }
 
-// A controller that alone has lost the key-value store should leave the load balancer's rotation.
-// In an outage that all see, leaving would only make users reach nobody, and coming back is made
-// slower each time.
+// A controller that has lost contact with the key-value store, while others have not, should leave
+// the rotation of the load balancer. In an outage for all controllers, leaving would only make all
+// of them unreachable for users, and the load balancer delays each return to the rotation further.
 HttpResponse Controller::health() const {
   HttpResponse unhealthy{503, {}, unhealthy_retry_after_s};
   if (!cache_.loaded() || !catalog_.known()) return unhealthy;
--- a/src/coordination/controller.hpp
+++ b/src/coordination/controller.hpp
@@ -1,4 +1,4 @@
-/// One controller of the fleet: its components, its HTTP routes and its background tasks.
+/// A controller of the fleet: its components, its HTTP request handling and its background tasks.
 #pragma once
 #include "coordination/api/user_api.hpp"
 #include "coordination/shard_leader/shard_leader.hpp"
@@ -8,22 +8,22 @@
 
 /// Builds the components of a controller, connects them, and runs them on one event loop.
 ///
-/// Every component is owned by the controller as a member; the members are declared in the order
-/// of their dependencies, so that each outlives those that refer to it. Each background task that
-/// start() spawns belongs to one component and alone writes that component's state, except for
-/// what request handlers and the callbacks of connect_callbacks() change. All of it runs on the
-/// loop's thread. The loop, the network and the settings have to outlive the controller, and the
-/// controller has to outlive the run of the loop.
+/// The controller owns every component as a member. The members are declared in the order of their
+/// dependencies, so that each outlives the members that refer to it. Each background task that
+/// start() spawns belongs to one component and is the only writer of that component's state, except
+/// for the changes by request handlers and by the callbacks of connect_callbacks(). All code runs
+/// on the loop's thread. The loop, the network and the settings must outlive the controller, and
+/// the controller must outlive the run of the loop.
 class Controller {
  public:
-  /// `regions`: among which the teams' limits are divided; null where there is one region only.
+  /// `regions`: the regions that share the teams' quota limits; null if there is only one region.
   Controller(Loop& loop, Network& network, const Settings& settings,
              const RegionSettings* regions = nullptr);
 
-  /// Listens, and starts the background tasks. False when an address can't be listened on; the
-  /// reason is logged, and nothing has been started.
+  /// Opens the listening sockets and starts the background tasks. If an address can't be listened
+  /// on, logs the reason and returns false, without starting any task.
   bool start();
-  /// The status of replicas of several parts, where this controller leads their shard.
+  /// Status of the replicas of several parts that this controller manages as their shard leader.
   std::vector<replicas::ReplicaStatus> replica_statuses() {
     return shard_leader_.replica_statuses();
   }
@@ -45,7 +45,7 @@
 
   Loop& loop_;
   const Settings& settings_;
-  uint64_t incarnation_;  // of this run of the program
+  uint64_t incarnation_;  // random id of this run of the program
   std::unique_ptr<HttpClient> http_;
   KeyValueClient store_;
   Notification changed_;  // wakes the shard leader
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-/// The damsonport program: one controller on an event loop, until SIGTERM or SIGINT.
+/// The damsonport program: runs one controller on an event loop until SIGTERM or SIGINT.
 #include <event2/event.h>
 #include <signal.h>
 #include <spdlog/sinks/stdout_sinks.h>
@@ -28,21 +28,21 @@
 constexpr int exit_failure = 1;
 constexpr int exit_bad_settings = 2;
 
-/// The command line.
+/// Command-line options.
 struct Options {
   std::string settings_file;
-  std::string regions_file;   // empty: there is one region only
-  std::string replicas_file;  // empty: no class has replicas of several parts
+  std::string regions_file;   // empty if there is only one region
+  std::string replicas_file;  // empty if no class has replicas of several parts
   bool check_only = false;
 };
 
-/// All that the operators' files say.
+/// Contents of the operators' files.
 struct Configuration {
   Settings settings;
   std::optional<RegionSettings> regions;
 };
 
-// The options, or the code with which the program has to exit.
+// Returns the options, or the exit code if the program has to exit.
 std::variant<Options, int> parse_options(int argc, char** argv) {
   Options options;
   CLI::App app{
@@ -63,10 +63,10 @@
   return options;
 }
 
-// False where the environment names no log level; the reason is logged.
+// Sets up the log on stderr. If LOG_LEVEL is not a valid level, logs an error and returns false.
 bool set_up_logging() {
-  // UTC without a time zone file: where there is no file system, reading one late, once the loop
-  // ran, ended the process.
+  // "UTC0" defines UTC without a time zone file. Without a file system, reading such a file after
+  // the start of the event loop ended the process.
   setenv("TZ", "UTC0", 1);
   auto logger = spdlog::stderr_logger_st("damsonport");
   logger->set_pattern("%H:%M:%S.%e %l %v", spdlog::pattern_time_type::utc);
@@ -82,12 +82,13 @@
   return true;
 }
 
-// Each problem on a line of its own.
+// Logs each line of `problems` as a separate error.
 void log_problems(const std::string& problems) {
   std::istringstream lines(problems);
   for (std::string line; std::getline(lines, line);) spdlog::error("{}", line);
 }
 
+// Loads the files that the options name. The error has one line per problem.
 damsonport::Result<Configuration> load_configuration(const Options& options) {
   Configuration out;
   auto settings = damsonport::load_settings(options.settings_file);
@@ -107,9 +108,10 @@
   return out;
 }
 
-// Many systems allow 1,024 open files by default, fewer than a large fleet's connections.
+// Raises the process's limit of open files, since many systems allow only 1,024 by default, fewer
+// than the connections of a large fleet.
 void raise_open_file_limit(int max_sockets) {
-  constexpr size_t other_files = 32;  // the log, the event loop's own, and the like
+  constexpr size_t other_files = 32;  // log, event loop and others
   const size_t wanted = static_cast<size_t>(max_sockets) + other_files;
   const size_t limit = damsonport::ensure_open_files(wanted);
   if (limit != 0 && limit < wanted)
@@ -117,7 +119,7 @@
                  wanted);
 }
 
-/// Stops the loop when the process receives the signal, as long as the object exists.
+/// Stops the loop when the process receives the signal, for the lifetime of this object.
 class StopOnSignal {
  public:
   StopOnSignal(EventLoop& loop, int signal_number)
@@ -145,7 +147,7 @@
   if (!controller.start()) return exit_failure;
   const StopOnSignal on_terminate(loop, SIGTERM);
   const StopOnSignal on_interrupt(loop, SIGINT);
-  signal(SIGPIPE, SIG_IGN);  // a write to a closed connection fails with an error code instead
+  signal(SIGPIPE, SIG_IGN);  // writes to closed connections return an error instead
   loop.run();
   return exit_ok;
 }
@@ -162,7 +164,7 @@
     log_problems(configuration.error());
     return exit_bad_settings;
   }
-  spdlog::info("damsonport {} starts as {}", DAMSONPORT_VERSION,
+  spdlog::info("damsonport {} is starting as controller {}", DAMSONPORT_VERSION,
                configuration->settings.controller_name);
   if (options.check_only) {
     std::cout << options.settings_file << ": ok\n";
