--- a/tests/api/request_handling_test.cpp
+++ b/tests/api/request_handling_test.cpp
@@ -1,4 +1,5 @@
-// Responses to malformed submissions, the routes of the HTTP server, and the limiter of warnings.
+/// Tests of the responses to malformed submissions, of the routes of the HTTP server, of the
+/// estimate of the write demand and of the limiter of repeated warnings.
 #include <gtest/gtest.h>
 
 #include "coordination/api/routes.hpp"
@@ -90,7 +91,7 @@
   WriteDemand demand(1.5);
   demand.note_rejection();
   EXPECT_EQ(demand.rejected(), 1u);
-  EXPECT_EQ(demand.estimate(3, 0), 3) << "those of the current period are not over yet";
+  EXPECT_EQ(demand.estimate(3, 0), 3) << "rejections of the current period are not included yet";
   demand.begin_period();
   EXPECT_EQ(demand.rejected(), 1u);
   EXPECT_EQ(demand.estimate(3, 0), 4);
--- a/tests/machines/command_dispatcher_test.cpp
+++ b/tests/machines/command_dispatcher_test.cpp
@@ -1,5 +1,5 @@
-/// Delivery of commands and probes: what is sent, how many requests are in progress at once, and
-/// what stays known of start commands whose request failed.
+/// Tests of CommandDispatcher: the requests it sends, the limits of concurrent requests, and the
+/// state of start commands after a failed request.
 #include "coordination/machines/command_dispatcher.hpp"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,8 @@
 
 Command command(Command::Op op, uint32_t index) { return {op, {"run-1", index}, 1, 0}; }
 
-/// A dispatcher whose machines answer by hand: a request waits until the test answers it.
+/// A dispatcher whose machines don't respond by themselves: each request waits for the response of
+/// the test.
 class CommandDispatcherTest : public ::testing::Test {
  protected:
   struct Request {
@@ -25,7 +26,7 @@
   };
 
   CommandDispatcherTest() {
-    settings_.max_sockets = 1;  // so that the bound on requests is at its minimum
+    settings_.max_sockets = 1;  // so that the limit of concurrent requests is minimal
     settings_.heartbeat_interval_s = 2;
   }
 
@@ -92,7 +93,7 @@
   CommandDispatcher dispatcher_{loop_, settings_, *http_, callbacks()};
 };
 
-TEST_F(CommandDispatcherTest, CommandsOfOneTurnShareARequest) {
+TEST_F(CommandDispatcherTest, CommandsOfOneLoopIterationShareARequest) {
   Machine& machine = add_machine("i-1");
   const std::vector<Command> commands = {command(Command::Op::start, 0),
                                          command(Command::Op::stop, 1)};
@@ -127,7 +128,7 @@
   EXPECT_FALSE(machine.sending);
 }
 
-TEST_F(CommandDispatcherTest, NothingIsSentToASuspectedMachineOrOneWithoutHeartbeat) {
+TEST_F(CommandDispatcherTest, NothingIsSentToASuspectedMachineOrBeforeTheFirstHeartbeat) {
   Machine& suspected = add_machine("i-1");
   suspected_ = "i-1";
   Machine& unknown = add_machine("i-2");
@@ -147,22 +148,22 @@
   EXPECT_TRUE(requests_.empty());
 }
 
-TEST_F(CommandDispatcherTest, AStartWithoutAnswerMayStillArrive) {
+TEST_F(CommandDispatcherTest, AStartWithoutResponseStaysUnacknowledged) {
   Machine& machine = add_machine("i-1");
   dispatcher_.dispatch(machine, command(Command::Op::start, 0));
   run();
   dispatcher_.dispatch(machine, command(Command::Op::stop, 1));
-  run(5);  // past the time limit of the request
+  run(5);  // longer than the timeout of the request
   EXPECT_EQ(machine.failed_sends, 1);
   EXPECT_EQ(failed_, std::vector<std::string>{"i-1"});
   EXPECT_TRUE(machine.starts_in_flight.empty());
   EXPECT_EQ(machine.starts_unacknowledged, (std::set<AttemptKey>{{{"run-1", 0}, 1}}));
   EXPECT_TRUE(machine.pending_commands.empty())
-      << "the next heartbeat yields anew what is still wanted";
+      << "the next heartbeat generates again the commands that are still needed";
   EXPECT_FALSE(machine.sending);
 }
 
-TEST_F(CommandDispatcherTest, AnAnswerOfAnEarlierLeaseIsIgnored) {
+TEST_F(CommandDispatcherTest, AResponseOfAnEarlierLeaseIsIgnored) {
   Machine& machine = add_machine("i-1");
   dispatcher_.dispatch(machine, command(Command::Op::stop, 0));
   run();
@@ -173,7 +174,7 @@
   EXPECT_TRUE(status_requested_at_.empty());
 }
 
-TEST_F(CommandDispatcherTest, OnlyRemovalsFollowAnAnswerAtOnce) {
+TEST_F(CommandDispatcherTest, OnlyRemovalsFollowAResponseAtOnce) {
   Machine& machine = add_machine("i-1");
   dispatcher_.dispatch(machine, command(Command::Op::stop, 0));
   run();
@@ -186,7 +187,7 @@
             encode_direct_commands(fencing_token_, agent_epoch, {command(Command::Op::remove, 1)}));
 }
 
-TEST_F(CommandDispatcherTest, RequestsAreBoundedAndTheQueueIsServedAsTheyEnd) {
+TEST_F(CommandDispatcherTest, ConcurrentRequestsAreLimitedAndTheQueueIsProcessedAsTheyEnd) {
   const auto bound = static_cast<size_t>(CommandDispatcher::max_concurrent_sends(settings_));
   for (size_t n = 0; n < bound + 2; ++n)
     dispatcher_.dispatch(add_machine("i-" + std::to_string(n)), command(Command::Op::stop, 0));
@@ -197,7 +198,7 @@
   EXPECT_EQ(requests_.size(), bound + 1);
 }
 
-TEST_F(CommandDispatcherTest, ANewLeaseForgetsTheQueue) {
+TEST_F(CommandDispatcherTest, ANewLeaseClearsTheQueue) {
   const auto bound = static_cast<size_t>(CommandDispatcher::max_concurrent_sends(settings_));
   for (size_t n = 0; n < bound + 2; ++n)
     dispatcher_.dispatch(add_machine("i-" + std::to_string(n)), command(Command::Op::stop, 0));
@@ -209,7 +210,7 @@
   EXPECT_EQ(requests_.size(), bound);
 }
 
-TEST_F(CommandDispatcherTest, AProbeReportsTheStatusAndIsNotRepeatedMeanwhile) {
+TEST_F(CommandDispatcherTest, AProbeReportsTheStatusAndIsNotStartedTwiceAtOnce) {
   add_machine("i-1");
   const double requested_at = loop_.now();
   dispatcher_.start_probe("i-1");
@@ -235,7 +236,7 @@
   EXPECT_TRUE(status_requested_at_.empty());
 }
 
-TEST_F(CommandDispatcherTest, ProbesAreBoundedToHalfOfTheRequests) {
+TEST_F(CommandDispatcherTest, ProbesAreLimitedToHalfOfTheConcurrentRequests) {
   const auto bound = static_cast<size_t>(CommandDispatcher::max_concurrent_sends(settings_)) / 2;
   for (size_t n = 0; n < bound + 2; ++n) {
     const std::string id = "i-" + std::to_string(n);
--- a/tests/machines/fault_attribution_test.cpp
+++ b/tests/machines/fault_attribution_test.cpp
@@ -1,22 +1,24 @@
-#include <gtest/gtest.h>
-
+/// Tests of FaultAttribution: which machines and jobs are faulty after failures and successes.
 #include "coordination/machines/fault_attribution.hpp"
 
+#include <gtest/gtest.h>
+
 namespace damsonport {
 namespace {
 
-TEST(FaultAttribution, TwoSoundJobsThatFailOnAMachineAreItsFault) {
+TEST(FaultAttribution, AMachineOnWhichTwoHealthyJobsFailIsFaulty) {
   FaultAttribution attribution;
   attribution.note_failure("run-1", "i-1", 1);
   EXPECT_FALSE(attribution.is_machine_faulty("i-1"));
   attribution.note_failure("run-1", "i-1", 2);
-  EXPECT_FALSE(attribution.is_machine_faulty("i-1"));  // one job is not enough
+  EXPECT_FALSE(attribution.is_machine_faulty("i-1"));  // a single job is not enough
   attribution.note_failure("run-2", "i-1", 3);
   EXPECT_TRUE(attribution.is_machine_faulty("i-1"));
 }
 
-// As on the operators' day: two jobs submitted with a mistake meet on a sound machine.
-TEST(FaultAttribution, JobsThatFailElsewhereTooDontBlameAMachine) {
+// Two jobs that were submitted with a mistake fail on the same healthy machine, which must not be
+// drained for that.
+TEST(FaultAttribution, JobsThatAlsoFailElsewhereDontCountAgainstAMachine) {
   FaultAttribution attribution;
   attribution.note_failure("run-1", "i-1", 1);
   attribution.note_failure("run-1", "i-2", 2);
@@ -26,7 +28,7 @@
   EXPECT_TRUE(attribution.is_job_faulty("run-1"));
 }
 
-TEST(FaultAttribution, BlameIsTakenBackOnceAJobFailsElsewhere) {
+TEST(FaultAttribution, AMachineIsNotFaultyAnyMoreOnceAJobFailsElsewhere) {
   FaultAttribution attribution;
   attribution.note_failure("run-1", "i-1", 1);
   attribution.note_failure("run-2", "i-1", 1);
@@ -35,7 +37,7 @@
   EXPECT_FALSE(attribution.is_machine_faulty("i-1"));
 }
 
-TEST(FaultAttribution, AJobThatWorksElsewhereBlamesAllMachinesItFailsOn) {
+TEST(FaultAttribution, AJobThatSucceedsElsewhereCountsAgainstAllMachinesItFailsOn) {
   FaultAttribution attribution;
   for (auto* machine : {"i-1", "i-2", "i-3"}) {
     attribution.note_failure("run-1", machine, 1);
@@ -49,17 +51,17 @@
   EXPECT_TRUE(attribution.is_machine_faulty("i-1"));
 }
 
-TEST(FaultAttribution, OnlyWhatBeganAfterTheFailuresSpeaksForAMachine) {
+TEST(FaultAttribution, OnlyTasksStartedAfterTheFailuresClearAMachine) {
   FaultAttribution attribution;
   attribution.note_failure("run-1", "i-1", 10);
   attribution.note_failure("run-2", "i-1", 11);
-  attribution.note_success("run-3", "i-1", 5);  // has run there since long before
+  attribution.note_success("run-3", "i-1", 5);  // runs since before the failures
   EXPECT_TRUE(attribution.is_machine_faulty("i-1"));
   attribution.note_success("run-3", "i-1", 12);
   EXPECT_FALSE(attribution.is_machine_faulty("i-1"));
 }
 
-TEST(FaultAttribution, ASuspectFromTheRecordsIsAtFaultUntilItWorks) {
+TEST(FaultAttribution, AJobSuspectedFromTheRecordsIsFaultyUntilItSucceeds) {
   FaultAttribution attribution;
   attribution.suspect_job("run-1");
   EXPECT_TRUE(attribution.is_job_faulty("run-1"));
@@ -68,12 +70,12 @@
   attribution.note_success("run-1", "i-2", 2);
   EXPECT_FALSE(attribution.is_job_faulty("run-1"));
   attribution.forget_job("run-1");
-  EXPECT_TRUE(attribution.has_failures()) << "it failed on i-1 and worked elsewhere";
+  EXPECT_TRUE(attribution.has_failures()) << "the job failed on i-1 and succeeded elsewhere";
   attribution.forget_failures_before(2);
   EXPECT_FALSE(attribution.has_failures());
 }
 
-TEST(FaultAttribution, BlameOfAJobThatWorkedElsewhereOutlastsIt) {
+TEST(FaultAttribution, FailuresOfAJobThatSucceededElsewhereRemainAfterItsEnd) {
   FaultAttribution attribution;
   for (auto* job : {"run-1", "run-2"}) {
     attribution.note_failure(job, "i-1", 10);
@@ -87,7 +89,7 @@
   EXPECT_FALSE(attribution.is_machine_faulty("i-1"));
 }
 
-TEST(FaultAttribution, BlameOfAJobThatWorkedNowhereGoesWithIt) {
+TEST(FaultAttribution, FailuresOfAJobThatNeverSucceededAreRemovedAtItsEnd) {
   FaultAttribution attribution;
   for (auto* job : {"run-1", "run-2"}) {
     attribution.note_failure(job, "i-1", 10);
@@ -97,7 +99,7 @@
   EXPECT_FALSE(attribution.has_failures());
 }
 
-TEST(FaultAttribution, WhatWorksOnAMachineClearsItOfEndedJobsToo) {
+TEST(FaultAttribution, ASuccessClearsAMachineAlsoOfFailuresOfEndedJobs) {
   FaultAttribution attribution;
   for (auto* job : {"run-1", "run-2"}) {
     attribution.note_failure(job, "i-1", 10);
--- a/tests/machines/heartbeat_deduplicator_test.cpp
+++ b/tests/machines/heartbeat_deduplicator_test.cpp
@@ -1,7 +1,8 @@
-// Reports that are recognized as saying what the last one said.
+/// Tests of HeartbeatDeduplicator: recognition of heartbeats that repeat the previous one.
+#include "coordination/machines/heartbeat_deduplicator.hpp"
+
 #include <gtest/gtest.h>
 
-#include "coordination/machines/heartbeat_deduplicator.hpp"
 #include "protocol/messages.hpp"
 
 namespace damsonport {
@@ -20,13 +21,14 @@
           {"hands", {{{"hand", "run-1/0"}, {"launch", 2}, {"status", "running"}}}}};
 }
 
+// A deduplicator that has stored this heartbeat of the machine i-1.
 HeartbeatDeduplicator deduplicator_after(const Json& last, uint64_t sequence) {
   HeartbeatDeduplicator deduplicator;
   deduplicator.remember("i-1", encode(last), sequence);
   return deduplicator;
 }
 
-TEST(HeartbeatDeduplicator, DifferInTheirNumberAlone) {
+TEST(HeartbeatDeduplicator, HeartbeatsThatDifferOnlyInTheSequenceNumberAreRecognised) {
   const auto deduplicator = deduplicator_after(heartbeat(300), 300);
   const auto repeat = deduplicator.find(encode(heartbeat(301)));
   ASSERT_TRUE(repeat);
@@ -34,8 +36,8 @@
   EXPECT_EQ(repeat->sequence, 301u);
 }
 
-// Each of these must be looked into.
-TEST(HeartbeatDeduplicator, AnyOtherDifferenceIsSeen) {
+// A heartbeat with any of these differences must be decoded and reconciled.
+TEST(HeartbeatDeduplicator, HeartbeatsWithAnyOtherDifferenceAreNotRecognised) {
   const auto deduplicator = deduplicator_after(heartbeat(300), 300);
   auto expect_no_match = [&](const char* field, const Json& value) {
     Json changed = heartbeat(301);
@@ -59,7 +61,7 @@
   EXPECT_FALSE(deduplicator.find(encode(with_second_task)));
 }
 
-TEST(HeartbeatDeduplicator, AreForgottenByMachine) {
+TEST(HeartbeatDeduplicator, HeartbeatsAreForgottenByMachine) {
   auto deduplicator = deduplicator_after(heartbeat(300), 300);
   Json other = heartbeat(7);
   other["vessel"] = "i-2";
@@ -73,7 +75,7 @@
   EXPECT_EQ(deduplicator.size(), 0u);
 }
 
-TEST(HeartbeatDeduplicator, NumbersOfEveryEncodedLengthAreRead) {
+TEST(HeartbeatDeduplicator, SequenceNumbersOfEveryEncodedLengthAreRead) {
   for (uint64_t n : {uint64_t{3}, uint64_t{23}, uint64_t{24}, uint64_t{200}, uint64_t{70000},
                      uint64_t{1} << 40}) {
     const auto deduplicator = deduplicator_after(heartbeat(n), n);
@@ -81,12 +83,12 @@
     ASSERT_TRUE(repeat) << n;
     EXPECT_EQ(repeat->sequence, n);
   }
-  // Of another length: decoded once, and remembered anew.
+  // A sequence number of another encoded length is no repeat: the heartbeat is decoded and stored.
   EXPECT_FALSE(deduplicator_after(heartbeat(255), 255).find(encode(heartbeat(256))));
 }
 
-// Where the number isn't found for sure nothing is remembered.
-TEST(HeartbeatDeduplicator, AreNotGuessedAt) {
+// A heartbeat is not stored if its sequence number can't be located without doubt.
+TEST(HeartbeatDeduplicator, HeartbeatsWithoutAUniqueSequenceNumberAreNotStored) {
   Json twice = heartbeat(300);
   twice["hull"] = std::string(encoded_sequence_key());
   EXPECT_EQ(deduplicator_after(twice, 300).size(), 0u);
--- a/tests/machines/task_failure_tracker_test.cpp
+++ b/tests/machines/task_failure_tracker_test.cpp
@@ -1,3 +1,4 @@
+/// Tests of TaskFailureTracker: backoff of jobs, and faulty machines.
 #include "coordination/machines/task_failure_tracker.hpp"
 
 #include <gtest/gtest.h>
@@ -14,7 +15,7 @@
     settings_.lease_s = 40;
     for (int i = 1; i <= 8; ++i) machines_["i-" + std::to_string(i)];
   }
-  // Two different jobs, which fail nowhere else.
+  // Lets two jobs fail on the machine that fail on no other machine.
   void fail_on(const std::string& machine, double now) {
     EXPECT_FALSE(tracker_.note_error("x-" + machine, machine, now));
     EXPECT_FALSE(tracker_.note_error("y-" + machine, machine, now));
@@ -30,12 +31,12 @@
   std::set<std::string> return_requested_;
 };
 
-TEST_F(TaskFailureTrackerTest, AJobThatFailsOnOneMachineIsNotHeldBack) {
+TEST_F(TaskFailureTrackerTest, AJobThatFailsOnOneMachineDoesNotBackOff) {
   EXPECT_FALSE(tracker_.note_error("run", "i-1", 100));
   EXPECT_FALSE(tracker_.is_backing_off("run", 100));
 }
 
-TEST_F(TaskFailureTrackerTest, AFaultyJobIsHeldBackForLongerAndLongerUpToTwoLeases) {
+TEST_F(TaskFailureTrackerTest, AFaultyJobBacksOffTwiceAsLongEachTimeUpToTwoLeases) {
   EXPECT_FALSE(tracker_.note_error("run", "i-1", 100));
   EXPECT_FALSE(tracker_.note_error("run", "i-2", 100));
   EXPECT_TRUE(tracker_.note_error("run", "i-3", 100));
@@ -46,26 +47,26 @@
   EXPECT_FALSE(tracker_.is_backing_off("run", 280));
 }
 
-TEST_F(TaskFailureTrackerTest, ASuspectedJobIsHeldBackFromItsFirstErrorOn) {
+TEST_F(TaskFailureTrackerTest, ASuspectedJobBacksOffFromItsFirstErrorOn) {
   tracker_.suspect_job("run");
   EXPECT_TRUE(tracker_.note_error("run", "i-1", 100));
   EXPECT_TRUE(tracker_.is_backing_off("run", 119));  // 10 s * 2^1
   EXPECT_FALSE(tracker_.is_backing_off("run", 120));
 }
 
-TEST_F(TaskFailureTrackerTest, ARefusedJobIsHeldBackForHalfAHeartbeatInterval) {
+TEST_F(TaskFailureTrackerTest, ARefusedJobBacksOffForHalfAHeartbeatInterval) {
   tracker_.note_refusal("run", 100);
   EXPECT_TRUE(tracker_.is_backing_off("run", 104));
   EXPECT_FALSE(tracker_.is_backing_off("run", 105));
 }
 
-TEST_F(TaskFailureTrackerTest, AnEndedJobIsForgotten) {
+TEST_F(TaskFailureTrackerTest, AnEndedJobIsRemoved) {
   tracker_.note_refusal("run", 100);
   tracker_.forget_job("run");
   EXPECT_FALSE(tracker_.is_backing_off("run", 101));
 }
 
-TEST_F(TaskFailureTrackerTest, AMachineOnWhichTwoSoundJobsFailIsFaulty) {
+TEST_F(TaskFailureTrackerTest, AMachineOnWhichTwoHealthyJobsFailIsFaulty) {
   fail_on("i-3", 100);
   EXPECT_EQ(review(101).faulty, Ids{"i-3"});
   machines_["i-3"].draining = true;
@@ -92,7 +93,7 @@
   EXPECT_EQ(review(111).recovered, Ids{"i-3"});
 }
 
-TEST_F(TaskFailureTrackerTest, AMachineThatIsToBeReturnedDoesNotRecover) {
+TEST_F(TaskFailureTrackerTest, AMachineToBeReturnedDoesNotRecover) {
   machines_["i-3"].draining = true;
   machines_["i-3"].faulty_since = 101;
   return_requested_.insert("i-3");
