--- a/src/coordination/api/admission.cpp
+++ b/src/coordination/api/admission.cpp
@@ -20,8 +20,8 @@
 }
 
 /// A `limit` of 0 means that there is no limit.
-bool exceeds(double wanted, double limit, double kept_elsewhere) {
-  return limit > 0 && wanted > limit - kept_elsewhere + rounding_tolerance;
+bool exceeds(double wanted, double limit, double reserved_elsewhere) {
+  return limit > 0 && wanted > limit - reserved_elsewhere + rounding_tolerance;
 }
 
 bool exceeds_limit(const JobSpec& job, const TeamSettings& team) {
--- a/src/coordination/api/job_status.cpp
+++ b/src/coordination/api/job_status.cpp
@@ -9,14 +9,14 @@
 
 // Number of running tasks. The tasks of a replica of several parts count only if all its parts run
 // under the same attempt.
-uint64_t serving_tasks(const Job& job) {
+uint64_t running_tasks(const Job& job) {
   if (!job.spec.replicated()) return job.live;
-  uint64_t serving = 0;
+  uint64_t running = 0;
   for (uint32_t n = 0; n < gang_count(job.spec); ++n) {
-    const TaskRangeSummary record = job.summarize(gang_range(job.spec, n));
-    if (record.live == job.spec.parts && !record.has_mixed_attempts) serving += record.live;
+    const TaskRangeSummary summary = job.summarize(gang_range(job.spec, n));
+    if (summary.live == job.spec.parts && !summary.has_mixed_attempts) running += summary.live;
   }
-  return serving;
+  return running;
 }
 
 std::string_view wire_name(JobStatus::State state) {
@@ -39,9 +39,9 @@
 }  // namespace
 
 JobStatus unfinished_status(const Job& job) {
-  const uint64_t serving = serving_tasks(job);
-  const auto state = serving > 0 ? JobStatus::State::running : JobStatus::State::queued;
-  return {state, JobProgress{job.done, serving}};
+  const uint64_t running = running_tasks(job);
+  const auto state = running > 0 ? JobStatus::State::running : JobStatus::State::queued;
+  return {state, JobProgress{job.done, running}};
 }
 
 JobStatus cached_status(const Job& job) {
--- a/src/coordination/machines/command_dispatcher.cpp
+++ b/src/coordination/machines/command_dispatcher.cpp
@@ -37,10 +37,10 @@
   start_sends();
 }
 
-std::vector<Command> CommandDispatcher::take_wanted_commands(Machine& machine) const {
+std::vector<Command> CommandDispatcher::take_needed_commands(Machine& machine) const {
   auto commands = std::exchange(machine.pending_commands, {});
   std::erase_if(commands,
-                [&](const Command& command) { return !callbacks_.is_wanted(machine, command); });
+                [&](const Command& command) { return !callbacks_.is_needed(machine, command); });
   return commands;
 }
 
@@ -58,7 +58,7 @@
   for (;;) {
     Machine* machine = callbacks_.find_machine(machine_id);
     if (!machine) co_return;
-    auto commands = take_wanted_commands(*machine);
+    auto commands = take_needed_commands(*machine);
     if (commands.empty() || !callbacks_.is_leading()) {
       machine->sending = false;
       co_return;
--- a/src/coordination/machines/command_dispatcher.hpp
+++ b/src/coordination/machines/command_dispatcher.hpp
@@ -48,7 +48,7 @@
     std::function<bool(const Machine&)> is_suspected;
     /// Whether the command is still needed. Called right before the command is sent, because the
     /// records may have changed since its creation.
-    std::function<bool(const Machine&, const Command&)> is_wanted;
+    std::function<bool(const Machine&, const Command&)> is_needed;
     /// The machine did not respond, so the leader has to check again whether the machine is
     /// schedulable.
     std::function<void(const std::string& id)> on_send_failed;
@@ -88,7 +88,7 @@
   Task<void> send(std::string machine_id);
   Task<void> send_until_empty(std::string machine_id);
   /// Removes the machine's pending commands and returns those that are still needed.
-  std::vector<Command> take_wanted_commands(Machine& machine) const;
+  std::vector<Command> take_needed_commands(Machine& machine) const;
   Task<HttpReply> post_commands(std::string address, uint64_t agent_epoch,
                                 std::vector<Command> commands);
   void handle_missing_response(Machine& machine);
--- a/src/coordination/machines/fault_attribution.cpp
+++ b/src/coordination/machines/fault_attribution.cpp
@@ -56,16 +56,16 @@
   auto it = jobs_.find(job);
   const bool has_succeeded = it != jobs_.end() && it->second.has_succeeded;
   if (it != jobs_.end()) jobs_.erase(it);
-  for (auto& [machine, record] : machines_) {
-    if (record.failed_jobs.erase(job) == 0 || !has_succeeded) continue;
-    record.ended_jobs = std::min(record.ended_jobs + 1, min_jobs_of_faulty_machine);
+  for (auto& [machine, failures] : machines_) {
+    if (failures.failed_jobs.erase(job) == 0 || !has_succeeded) continue;
+    failures.ended_jobs = std::min(failures.ended_jobs + 1, min_jobs_of_faulty_machine);
   }
   std::erase_if(machines_, [](auto& entry) { return entry.second.empty(); });
 }
 
 void FaultAttribution::forget_failures_before(double before) {
-  for (auto& [machine, record] : machines_)
-    if (record.last_failure < before) record.ended_jobs = 0;
+  for (auto& [machine, failures] : machines_)
+    if (failures.last_failure < before) failures.ended_jobs = 0;
   std::erase_if(machines_, [](auto& entry) { return entry.second.empty(); });
 }
 
--- a/src/coordination/machines/fault_attribution.hpp
+++ b/src/coordination/machines/fault_attribution.hpp
@@ -42,14 +42,14 @@
   void clear();
 
  private:
-  struct JobRecord {
+  struct JobResults {
     std::set<std::string> failed_on;
     bool has_succeeded = false, suspected = false;
   };
   bool counts_against_machine(const std::string& job) const;
-  std::map<std::string, JobRecord> jobs_;
+  std::map<std::string, JobResults> jobs_;
   // Failures on the machine since the last success that cleared them.
-  struct MachineRecord {
+  struct MachineFailures {
     std::set<std::string> failed_jobs;
     // Ended jobs that failed on this machine and succeeded on another one; counted up to the number
     // that makes the machine faulty.
@@ -57,7 +57,7 @@
     double last_failure = 0;
     bool empty() const { return failed_jobs.empty() && ended_jobs == 0; }
   };
-  std::map<std::string, MachineRecord> machines_;
+  std::map<std::string, MachineFailures> machines_;
 };
 
 }  // namespace damsonport
--- a/src/coordination/shard_leader/shard_leader.cpp
+++ b/src/coordination/shard_leader/shard_leader.cpp
@@ -56,7 +56,7 @@
   callbacks.is_suspected = [this](const Machine& m) {
     return failure_detector_.is_suspected(m, loop_.now());
   };
-  callbacks.is_wanted = [this](const Machine& m, const Command& command) {
+  callbacks.is_needed = [this](const Machine& m, const Command& command) {
     if (!is_still_wanted(m, command)) return false;
     // The start of a cancelled task that is never sent can't arrive: the next heartbeat proves that
     // the task doesn't run.
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -90,22 +90,22 @@
 
 // Loads the files that the options name. The error has one line per problem.
 damsonport::Result<Configuration> load_configuration(const Options& options) {
-  Configuration out;
+  Configuration configuration;
   auto settings = damsonport::load_settings(options.settings_file);
   if (!settings) return damsonport::Error{settings.error()};
-  out.settings = std::move(*settings);
+  configuration.settings = std::move(*settings);
   if (!options.replicas_file.empty()) {
     auto replicas = damsonport::load_replicas(options.replicas_file);
     if (!replicas) return damsonport::Error{replicas.error()};
-    out.settings.replicas = std::move(*replicas);
+    configuration.settings.replicas = std::move(*replicas);
   }
   if (!options.regions_file.empty()) {
-    auto regions = damsonport::load_regions(options.regions_file, out.settings.zone);
+    auto regions = damsonport::load_regions(options.regions_file, configuration.settings.zone);
     if (!regions) return damsonport::Error{regions.error()};
-    out.regions = std::move(*regions);
-    damsonport::quotas::keep_guarantees_elsewhere(out.settings, *out.regions);
+    configuration.regions = std::move(*regions);
+    damsonport::quotas::keep_guarantees_elsewhere(configuration.settings, *configuration.regions);
   }
-  return out;
+  return configuration;
 }
 
 // Raises the process's limit of open files, since many systems allow only 1,024 by default, fewer
--- a/tests/machines/command_dispatcher_test.cpp
+++ b/tests/machines/command_dispatcher_test.cpp
@@ -51,8 +51,8 @@
       return it == machines_.end() ? nullptr : &it->second;
     };
     callbacks.is_suspected = [this](const Machine& machine) { return machine.id == suspected_; };
-    callbacks.is_wanted = [this](const Machine&, const Command& command) {
-      return !unwanted_.contains(command.task);
+    callbacks.is_needed = [this](const Machine&, const Command& command) {
+      return !unneeded_.contains(command.task);
     };
     callbacks.on_send_failed = [this](const std::string& id) { failed_.push_back(id); };
     callbacks.on_status = [this](Machine&, const Heartbeat&, double requested_at) {
@@ -84,7 +84,7 @@
   uint64_t fencing_token_ = 41;
   bool is_leading_ = true;
   std::string suspected_;
-  std::set<TaskId> unwanted_;
+  std::set<TaskId> unneeded_;
   std::vector<Command> commands_on_status_;
   std::map<std::string, Machine> machines_;
   std::vector<Request> requests_;
@@ -119,10 +119,10 @@
             encode_direct_commands(fencing_token_, agent_epoch, {command(Command::Op::stop, 1)}));
 }
 
-TEST_F(CommandDispatcherTest, UnwantedCommandsAreNotSent) {
+TEST_F(CommandDispatcherTest, UnneededCommandsAreNotSent) {
   Machine& machine = add_machine("i-1");
   dispatcher_.dispatch(machine, command(Command::Op::start, 0));
-  unwanted_.insert({"run-1", 0});
+  unneeded_.insert({"run-1", 0});
   run();
   EXPECT_TRUE(requests_.empty());
   EXPECT_FALSE(machine.sending);
