--- a/src/coordination/machines/orphan_cleanup.hpp
+++ b/src/coordination/machines/orphan_cleanup.hpp
@@ -1,5 +1,5 @@
-/// Cleanup of orphaned tasks: where no shard leader can be told of a cancellation, every controller
-/// that knows of it stops the job's tasks on the machines itself.
+/// Cleanup of orphaned tasks: while no shard leader is reachable, each controller that knows of a
+/// job's cancellation stops the job's tasks on the machines itself.
 #pragma once
 #include <string>
 #include <utility>
@@ -12,32 +12,35 @@
 
 namespace damsonport {
 
-/// Run by the maintenance coroutine of a controller that does not lead the shard.
+/// Stops tasks of cancelled jobs. Run by the maintenance coroutine of a controller that does not
+/// lead the shard.
 class OrphanCleanup {
  public:
-  /// `most_sockets`: the most requests to workers at once.
+  /// `max_concurrent_requests`: maximum number of machines that are contacted at the same time.
   OrphanCleanup(Loop& loop, const Settings& settings, RecordCache& cache, HttpClient& http,
                 PeerNetwork& peer_network, const CancellationGossip& cancellations,
-                const StoreContact& contact, MachineListReader& machine_list, int most_sockets);
+                const StoreContact& contact, MachineListReader& machine_list,
+                int max_concurrent_requests);
 
-  /// Asks each machine that may run a cancelled task, stops such tasks under the fencing token of
-  /// the shard leader in the records, and returns the machine to the cloud if it doesn't answer.
-  /// Nothing is committed, and no exit is proven by it. Does nothing while a shard leader can be
-  /// reached, and at most once in a heartbeat interval.
+  /// Requests the status of each machine that may run a task of a cancelled job, stops such tasks
+  /// with the fencing token of the latest shard lease in the records, and returns the machine to
+  /// the cloud if it doesn't respond. Nothing is committed to the records, and no exit is
+  /// considered proven. Does nothing while a shard leader is reachable, and runs at most once per
+  /// heartbeat interval.
   Task<void> run_once(std::stop_token stop_token);
 
  private:
-  // A machine that may run cancelled tasks.
-  struct OrphanHost {
+  // A machine that may run tasks of cancelled jobs.
+  struct OrphanMachine {
     std::string id, address;
     std::vector<std::pair<TaskId, uint64_t>> tasks;
-    bool out_of_reach = false;
+    bool is_unreachable = false;
   };
   bool no_shard_leader_reachable() const;
-  std::vector<OrphanHost> orphan_hosts() const;
-  Task<void> stop_orphans_on(OrphanHost& host, uint64_t fencing_token, size_t& left);
-  Task<void> stop_orphans(std::vector<OrphanHost>& hosts, std::stop_token stop_token);
-  Task<void> return_out_of_reach(const std::vector<OrphanHost>& hosts);
+  std::vector<OrphanMachine> machines_with_orphans() const;
+  Task<void> stop_orphans_on(OrphanMachine& machine, uint64_t fencing_token, size_t& remaining);
+  Task<void> stop_orphans(std::vector<OrphanMachine>& machines, std::stop_token stop_token);
+  Task<void> return_unreachable(const std::vector<OrphanMachine>& machines);
 
   Loop& loop_;
   const Settings& settings_;
@@ -47,8 +50,8 @@
   const CancellationGossip& cancellations_;
   const StoreContact& contact_;
   MachineListReader& machine_list_;
-  const size_t most_sockets_;
-  double next_check_ = 0;
+  const size_t max_concurrent_requests_;
+  double next_check_at_ = 0;
 };
 
 }  // namespace damsonport
--- a/tests/machines/command_dispatcher_test.cpp
+++ b/tests/machines/command_dispatcher_test.cpp
@@ -1,5 +1,5 @@
-/// Delivery of commands and probes: what is sent, how many requests are in progress at once, and
-/// what stays known of start commands whose request failed.
+/// Tests of CommandDispatcher: the requests it sends, the limits of concurrent requests, and the
+/// state of start commands after a failed request.
 #include "coordination/machines/command_dispatcher.hpp"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,8 @@
 
 Command command(Command::Op op, uint32_t index) { return {op, {"run-1", index}, 1, 0}; }
 
-/// A dispatcher whose machines answer by hand: a request waits until the test answers it.
+/// A dispatcher whose machines don't respond by themselves: each request waits for the response of
+/// the test.
 class CommandDispatcherTest : public ::testing::Test {
  protected:
   struct Request {
@@ -25,7 +26,7 @@
   };
 
   CommandDispatcherTest() {
-    settings_.max_sockets = 1;  // so that the bound on requests is at its minimum
+    settings_.max_sockets = 1;  // so that the limit of concurrent requests is minimal
     settings_.heartbeat_interval_s = 2;
   }
 
@@ -50,8 +51,8 @@
       return it == machines_.end() ? nullptr : &it->second;
     };
     callbacks.is_suspected = [this](const Machine& machine) { return machine.id == suspected_; };
-    callbacks.is_wanted = [this](const Machine&, const Command& command) {
-      return !unwanted_.contains(command.task);
+    callbacks.is_needed = [this](const Machine&, const Command& command) {
+      return !unneeded_.contains(command.task);
     };
     callbacks.on_send_failed = [this](const std::string& id) { failed_.push_back(id); };
     callbacks.on_status = [this](Machine&, const Heartbeat&, double requested_at) {
@@ -83,7 +84,7 @@
   uint64_t fencing_token_ = 41;
   bool is_leading_ = true;
   std::string suspected_;
-  std::set<TaskId> unwanted_;
+  std::set<TaskId> unneeded_;
   std::vector<Command> commands_on_status_;
   std::map<std::string, Machine> machines_;
   std::vector<Request> requests_;
@@ -92,7 +93,7 @@
   CommandDispatcher dispatcher_{loop_, settings_, *http_, callbacks()};
 };
 
-TEST_F(CommandDispatcherTest, CommandsOfOneTurnShareARequest) {
+TEST_F(CommandDispatcherTest, CommandsOfOneLoopIterationShareARequest) {
   Machine& machine = add_machine("i-1");
   const std::vector<Command> commands = {command(Command::Op::start, 0),
                                          command(Command::Op::stop, 1)};
@@ -101,7 +102,7 @@
   ASSERT_EQ(requests_.size(), 1u);
   EXPECT_EQ(requests_[0].target, "/commands");
   EXPECT_EQ(requests_[0].body, encode_direct_commands(fencing_token_, agent_epoch, commands));
-  EXPECT_EQ(machine.in_flight, (std::set<AttemptKey>{{{"run-1", 0}, 1}}));
+  EXPECT_EQ(machine.starts_in_flight, (std::set<AttemptKey>{{{"run-1", 0}, 1}}));
 }
 
 TEST_F(CommandDispatcherTest, AMachineHasOneRequestInProgressAtATime) {
@@ -118,16 +119,16 @@
             encode_direct_commands(fencing_token_, agent_epoch, {command(Command::Op::stop, 1)}));
 }
 
-TEST_F(CommandDispatcherTest, UnwantedCommandsAreNotSent) {
+TEST_F(CommandDispatcherTest, UnneededCommandsAreNotSent) {
   Machine& machine = add_machine("i-1");
   dispatcher_.dispatch(machine, command(Command::Op::start, 0));
-  unwanted_.insert({"run-1", 0});
+  unneeded_.insert({"run-1", 0});
   run();
   EXPECT_TRUE(requests_.empty());
   EXPECT_FALSE(machine.sending);
 }
 
-TEST_F(CommandDispatcherTest, NothingIsSentToASuspectedMachineOrOneWithoutHeartbeat) {
+TEST_F(CommandDispatcherTest, NothingIsSentToASuspectedMachineOrBeforeTheFirstHeartbeat) {
   Machine& suspected = add_machine("i-1");
   suspected_ = "i-1";
   Machine& unknown = add_machine("i-2");
@@ -136,7 +137,7 @@
   dispatcher_.dispatch(unknown, command(Command::Op::stop, 0));
   run();
   EXPECT_TRUE(requests_.empty());
-  EXPECT_TRUE(suspected.outbox.empty());
+  EXPECT_TRUE(suspected.pending_commands.empty());
 }
 
 TEST_F(CommandDispatcherTest, NothingIsSentAfterTheLeaseIsLost) {
@@ -147,21 +148,22 @@
   EXPECT_TRUE(requests_.empty());
 }
 
-TEST_F(CommandDispatcherTest, AStartWithoutAnswerMayStillArrive) {
+TEST_F(CommandDispatcherTest, AStartWithoutResponseStaysUnacknowledged) {
   Machine& machine = add_machine("i-1");
   dispatcher_.dispatch(machine, command(Command::Op::start, 0));
   run();
   dispatcher_.dispatch(machine, command(Command::Op::stop, 1));
-  run(5);  // past the time limit of the request
+  run(5);  // longer than the timeout of the request
   EXPECT_EQ(machine.failed_sends, 1);
   EXPECT_EQ(failed_, std::vector<std::string>{"i-1"});
-  EXPECT_TRUE(machine.in_flight.empty());
-  EXPECT_EQ(machine.in_limbo, (std::set<AttemptKey>{{{"run-1", 0}, 1}}));
-  EXPECT_TRUE(machine.outbox.empty()) << "the next heartbeat yields anew what is still wanted";
+  EXPECT_TRUE(machine.starts_in_flight.empty());
+  EXPECT_EQ(machine.starts_unacknowledged, (std::set<AttemptKey>{{{"run-1", 0}, 1}}));
+  EXPECT_TRUE(machine.pending_commands.empty())
+      << "the next heartbeat generates again the commands that are still needed";
   EXPECT_FALSE(machine.sending);
 }
 
-TEST_F(CommandDispatcherTest, AnAnswerOfAnEarlierLeaseIsIgnored) {
+TEST_F(CommandDispatcherTest, AResponseOfAnEarlierLeaseIsIgnored) {
   Machine& machine = add_machine("i-1");
   dispatcher_.dispatch(machine, command(Command::Op::stop, 0));
   run();
@@ -172,7 +174,7 @@
   EXPECT_TRUE(status_requested_at_.empty());
 }
 
-TEST_F(CommandDispatcherTest, OnlyRemovalsFollowAnAnswerAtOnce) {
+TEST_F(CommandDispatcherTest, OnlyRemovalsFollowAResponseAtOnce) {
   Machine& machine = add_machine("i-1");
   dispatcher_.dispatch(machine, command(Command::Op::stop, 0));
   run();
@@ -185,7 +187,7 @@
             encode_direct_commands(fencing_token_, agent_epoch, {command(Command::Op::remove, 1)}));
 }
 
-TEST_F(CommandDispatcherTest, RequestsAreBoundedAndTheQueueIsServedAsTheyEnd) {
+TEST_F(CommandDispatcherTest, ConcurrentRequestsAreLimitedAndTheQueueIsProcessedAsTheyEnd) {
   const auto bound = static_cast<size_t>(CommandDispatcher::max_concurrent_sends(settings_));
   for (size_t n = 0; n < bound + 2; ++n)
     dispatcher_.dispatch(add_machine("i-" + std::to_string(n)), command(Command::Op::stop, 0));
@@ -196,7 +198,7 @@
   EXPECT_EQ(requests_.size(), bound + 1);
 }
 
-TEST_F(CommandDispatcherTest, ANewLeaseForgetsTheQueue) {
+TEST_F(CommandDispatcherTest, ANewLeaseClearsTheQueue) {
   const auto bound = static_cast<size_t>(CommandDispatcher::max_concurrent_sends(settings_));
   for (size_t n = 0; n < bound + 2; ++n)
     dispatcher_.dispatch(add_machine("i-" + std::to_string(n)), command(Command::Op::stop, 0));
@@ -208,9 +210,9 @@
   EXPECT_EQ(requests_.size(), bound);
 }
 
-TEST_F(CommandDispatcherTest, AProbeReportsTheStatusAndIsNotRepeatedMeanwhile) {
+TEST_F(CommandDispatcherTest, AProbeReportsTheStatusAndIsNotStartedTwiceAtOnce) {
   add_machine("i-1");
-  const double asked_at = loop_.now();
+  const double requested_at = loop_.now();
   dispatcher_.start_probe("i-1");
   dispatcher_.start_probe("i-1");
   run();
@@ -218,7 +220,7 @@
   EXPECT_EQ(requests_[0].target, "/show");
   requests_[0].answer({200, status_of("i-1")});
   run();
-  EXPECT_EQ(status_requested_at_, std::vector<double>{asked_at});
+  EXPECT_EQ(status_requested_at_, std::vector<double>{requested_at});
   dispatcher_.start_probe("i-1");
   run();
   EXPECT_EQ(requests_.size(), 2u);
@@ -234,7 +236,7 @@
   EXPECT_TRUE(status_requested_at_.empty());
 }
 
-TEST_F(CommandDispatcherTest, ProbesAreBoundedToHalfOfTheRequests) {
+TEST_F(CommandDispatcherTest, ProbesAreLimitedToHalfOfTheConcurrentRequests) {
   const auto bound = static_cast<size_t>(CommandDispatcher::max_concurrent_sends(settings_)) / 2;
   for (size_t n = 0; n < bound + 2; ++n) {
     const std::string id = "i-" + std::to_string(n);
