--- a/src/coordination/api/user_api.cpp
+++ b/src/coordination/api/user_api.cpp
@@ -76,7 +76,7 @@
   if (!message.is_object()) co_return bad_request("the body is not a CBOR map");
   auto spec = decode_submission(message);
   if (!spec) co_return bad_request(spec.error());
-  if (!cache_.loaded() || !catalog_.known()) co_return unavailable();
+  if (!cache_.loaded() || !catalog_.loaded()) co_return unavailable();
   if (cache_.job(spec->id) || cache_.final_state(spec->id))
     co_return co_await status_response(spec->id);
   // The policy of this moment stays with the job, whatever the operators' file says later.
--- a/src/coordination/autoscaling/autoscaler_driver.cpp
+++ b/src/coordination/autoscaling/autoscaler_driver.cpp
@@ -40,7 +40,7 @@
 
 void AutoscalerDriver::end_lease() { scale_out_requests_.begin_lease(0); }
 
-void AutoscalerDriver::note_starting(const ListedMachine& listed) {
+void AutoscalerDriver::note_booting(const ListedMachine& listed) {
   const double now = deps_.loop.now();
   const BootingMachine& booting =
       booting_.add(listed.id, {listed.type, listed.zone, listed.spot}, now - listed.age_s);
@@ -63,7 +63,7 @@
   if (declared_dead) lost_capacity_.push_back({machine->type, machine->zone, machine->spot});
 }
 
-void AutoscalerDriver::for_each_expected(
+void AutoscalerDriver::for_each_expected_machine(
     const std::function<void(const std::string&, const BootingMachine&, const MachineType&)>& take)
     const {
   for (auto& [id, booting] : booting_.all()) {
@@ -175,7 +175,7 @@
 }
 
 void AutoscalerDriver::add_booting(autoscaling::AutoscalerInput& input) const {
-  for_each_expected([&](auto& id, auto& booting, auto& type) {
+  for_each_expected_machine([&](auto& id, auto& booting, auto& type) {
     autoscaling::MachineState state;
     state.id = id;
     state.type = booting.kind.type;
--- a/src/coordination/autoscaling/autoscaler_driver.hpp
+++ b/src/coordination/autoscaling/autoscaler_driver.hpp
@@ -59,7 +59,7 @@
            const std::stop_token& stop_token);
 
   /// The machine list names a machine that is starting.
-  void note_starting(const ListedMachine& listed);
+  void note_booting(const ListedMachine& listed);
   /// A heartbeat of the machine was taken: it is up.
   void note_heartbeat(const std::string& machine) { booting_.remove(machine); }
   /// The cloud has taken the machine back. `declared_dead`: its capacity is to be replaced.
@@ -70,8 +70,8 @@
     return scale_out_requests_.is_refused(kind);
   }
   /// Calls `take` for each machine that is booting and expected in time.
-  void for_each_expected(const std::function<void(const std::string&, const BootingMachine&,
-                                                  const MachineType&)>& take) const;
+  void for_each_expected_machine(const std::function<void(const std::string&, const BootingMachine&,
+                                                          const MachineType&)>& take) const;
 
  private:
   autoscaling::AutoscalerInput input(
--- a/src/coordination/autoscaling/machine_type_catalog.cpp
+++ b/src/coordination/autoscaling/machine_type_catalog.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-Task<void> MachineTypeCatalog::follow(std::stop_token stop_token) {
+Task<void> MachineTypeCatalog::refresh_periodically(std::stop_token stop_token) {
   while (!stop_token.stop_requested()) {
     auto reply =
         co_await http_.request(settings_.cloud, Method::get, "/catalog", {}, request_timeout_s);
@@ -28,14 +28,14 @@
             ? decode_catalog(decode_map(reply.body))
             : Result<std::vector<MachineType>>(Error{"status " + std::to_string(reply.status)});
     if (types && !types->empty()) {
-      if (!known()) spdlog::info("machine type catalogue read: {} types", types->size());
+      if (!loaded()) spdlog::info("machine type catalogue read: {} types", types->size());
       types_ = std::move(*types);
-    } else if (!known()) {
+    } else if (!loaded()) {
       const std::string reason = types ? "it is empty" : types.error();
       if (auto times = warning_.note(reason, loop_.now()))
         spdlog::warn("machine type catalogue not available yet: {} ({} times)", reason, *times);
     }
-    const double pause_s = known() ? refresh_s : 1.0 / settings_.cloud_rps + retry_margin_s;
+    const double pause_s = loaded() ? refresh_s : 1.0 / settings_.cloud_rps + retry_margin_s;
     if (!co_await Sleep(loop_, pause_s * loop_.uniform(1 - pause_jitter, 1 + pause_jitter),
                         stop_token))
       co_return;
@@ -46,7 +46,7 @@
   return find_machine_type(types_, name);
 }
 
-double MachineTypeCatalog::dearest_price() const {
+double MachineTypeCatalog::highest_price() const {
   double most = 0;
   for (const auto& type : types_) most = std::max(most, type.price);
   return std::max(most, min_price);
--- a/src/coordination/autoscaling/machine_type_catalog.hpp
+++ b/src/coordination/autoscaling/machine_type_catalog.hpp
@@ -12,8 +12,9 @@
 
 namespace damsonport {
 
-/// The coroutine of `follow` owns the list; others read it between its suspension points. Pointers
-/// and references to its entries are not to be kept over a co_await: each refresh replaces them.
+/// The coroutine of `refresh_periodically` owns the list; others read it between its suspension
+/// points. Pointers and references to its entries are not to be kept over a co_await: each refresh
+/// replaces them.
 class MachineTypeCatalog {
  public:
   MachineTypeCatalog(Loop& loop, HttpClient& http, const Settings& settings)
@@ -21,15 +22,15 @@
 
   /// Reads the catalogue until it is known, and then refreshes it from time to time. To be run once
   /// for the life of the process; ends when `stop_token` is stopped.
-  Task<void> follow(std::stop_token stop_token);
+  Task<void> refresh_periodically(std::stop_token stop_token);
 
   /// It was read at least once.
-  bool known() const { return !types_.empty(); }
+  bool loaded() const { return !types_.empty(); }
   const std::vector<MachineType>& types() const { return types_; }
   /// The type of this name, or null.
   const MachineType* type(const std::string& name) const;
   /// On-demand price an hour of the dearest type; above 0.
-  double dearest_price() const;
+  double highest_price() const;
 
  private:
   Loop& loop_;
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -179,7 +179,7 @@
   namespace names = background_task;
   const auto stop_token = loop_.stop_token();
   loop_.spawn(names::record_cache, record_watcher_.run(stop_token));
-  loop_.spawn(names::machine_type_catalog, catalog_.follow(stop_token));
+  loop_.spawn(names::machine_type_catalog, catalog_.refresh_periodically(stop_token));
   loop_.spawn(names::peer_heartbeats,
               peer_network_.send_heartbeats([this] { return next_heartbeat(); }, stop_token));
   loop_.spawn(names::region_exchange,
@@ -249,7 +249,7 @@
 // slower each time.
 HttpResponse Controller::health() const {
   HttpResponse unhealthy{503, {}, unhealthy_retry_after_s};
-  if (!cache_.loaded() || !catalog_.known()) return unhealthy;
+  if (!cache_.loaded() || !catalog_.loaded()) return unhealthy;
   const double max_age_s = settings_.lease_s * contact_lease_share;
   const bool has_contact = store_.contact_age_s() < max_age_s;
   if (!has_contact && peer_network_.any_peer_reaches_store(max_age_s)) return unhealthy;
--- a/src/coordination/scheduling/snapshot_builder.cpp
+++ b/src/coordination/scheduling/snapshot_builder.cpp
@@ -157,7 +157,7 @@
   view.speed = speed_known ? machine.straggler.average : 1.0;
   if (auto* type = deps_.catalog.type(machine.type)) {
     view.fetch_gb_per_s = type->fetch_gb_per_s;
-    view.price_share = hourly_price(*type, machine.spot) / deps_.catalog.dearest_price();
+    view.price_share = hourly_price(*type, machine.spot) / deps_.catalog.highest_price();
   }
   view.images.clear();
   for (auto& [image, use] : machine.images.images())
--- a/src/coordination/shard_leader/shard_leader.cpp
+++ b/src/coordination/shard_leader/shard_leader.cpp
@@ -232,7 +232,7 @@
       continue;
     }
     failure_detector_.note_tick(loop_.now(), tick);
-    if (!lease_.records_current() || !deps_.catalog.known()) continue;
+    if (!lease_.records_current() || !deps_.catalog.loaded()) continue;
     step_down_if_unreachable();
     detect_dead_machines();
     check_cancelled_tasks();
--- a/src/coordination/shard_leader/shard_leader_commit.cpp
+++ b/src/coordination/shard_leader/shard_leader_commit.cpp
@@ -203,7 +203,7 @@
   for (auto& id : replicas_.offer_repairs())
     if (Job* job = cache_.job(id)) snapshot_builder_.mark_job_changed(*job);
   std::vector<SnapshotBuilder::ExpectedMachine> expected;
-  autoscaler_.for_each_expected([&](auto&, auto& booting, auto& type) {
+  autoscaler_.for_each_expected_machine([&](auto&, auto& booting, auto& type) {
     const scheduling::Resources total{type.cpus, type.gpus, type.memory_gb};
     expected.push_back({booting.kind.type, booting.kind.zone, booting.kind.spot, total});
   });
@@ -225,7 +225,7 @@
 
 Task<ShardLeader::StepResult> ShardLeader::commit_starts(std::stop_token stop_token) {
   const double now = loop_.now();
-  if (!lease_.records_current() || !deps_.catalog.known() || !scheduling_requested_ ||
+  if (!lease_.records_current() || !deps_.catalog.loaded() || !scheduling_requested_ ||
       now < next_cycle_at_)
     co_return StepResult::idle;
   uncommitted_starts_ = 0;
--- a/src/coordination/shard_leader/shard_leader_machine_list.cpp
+++ b/src/coordination/shard_leader/shard_leader_machine_list.cpp
@@ -12,7 +12,7 @@
     if (!co_await Sleep(loop_, tick_s, stop_token)) co_return;
     const bool due = loop_.now() >= next_list_;
     if (!due || !lease_.leads_cluster_and_shard() || !lease_.records_current() ||
-        !deps_.catalog.known())
+        !deps_.catalog.loaded())
       continue;
     next_list_ = loop_.now() + settings_.list_lag_s / 2;
     MachineListReader::Take take = [this](auto& listed) { note_listed(listed); };
@@ -33,7 +33,7 @@
   if (listed.state == "failed") {
     scale_in_.request(listed.id, "it failed");
   } else if (listed.state == "starting") {
-    autoscaler_.note_starting(listed);
+    autoscaler_.note_booting(listed);
   } else if (listed.state == "running") {
     Machine& m = machine(listed.id);
     if (m.agent_epoch != 0) return;
