--- a/src/coordination/autoscaling/autoscaler.cpp
+++ b/src/coordination/autoscaling/autoscaler.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "coordination/autoscaling/headroom.hpp"
-#include "coordination/autoscaling/instance_selector.hpp"
+#include "coordination/autoscaling/machine_kind_selector.hpp"
 #include "coordination/autoscaling/planned_fleet.hpp"
 #include "coordination/autoscaling/spot_placement.hpp"
 
@@ -25,15 +25,15 @@
 
   ScalingPlan run() {
     request_replacements();
-    serve_demand();
-    needed_spot_ = SpotPlacement(input_, selector_, fleet_, examined_).run();
-    const double surplus_gpus = keep_headroom(Pool::accelerators);
-    const double surplus_cpus = keep_headroom(Pool::cpus);
+    provision_demand();
+    needed_spot_machines_ = SpotPlacement(input_, selector_, fleet_, examined_).run();
+    const double surplus_gpus = provision_headroom(Pool::accelerators);
+    const double surplus_cpus = provision_headroom(Pool::cpus);
     return {fleet_.scale_out(), scale_in(surplus_gpus, surplus_cpus), examined_};
   }
 
  private:
-  void request(const InstanceOffer& offer) {
+  void request(const MachineOffer& offer) {
     const auto* type = find_machine_type(input_.types, offer.kind.type);
     if (type && fleet_.can_grow()) fleet_.request(offer.kind, *type);
   }
@@ -43,28 +43,28 @@
       if (const auto* offer = selector_.replacement_for(kind)) request(*offer);
   }
 
-  void serve_demand() {
+  void provision_demand() {
     for (const auto& demand : input_.demand) {
       if (demand.gang) {
-        serve_gang(demand);
+        provision_gang(demand);
       } else {
-        serve(demand);
+        provision(demand);
       }
     }
   }
 
   // Capacity for all tasks, requesting machines where there is none; returns how many are left
   // without.
-  uint32_t serve(const ResourceDemand& demand) {
+  uint32_t provision(const ResourceDemand& demand) {
     uint32_t left = demand.count - fleet_.allocate_any(demand, demand.count, examined_);
     while (left > 0 && fleet_.can_grow()) {
       const auto* offer =
-          selector_.cheapest_for(demand, InstanceSelector::Purchase::any, fleet_.scale_out());
+          selector_.cheapest_for(demand, MachineKindSelector::Purchase::any, fleet_.scale_out());
       // Work that may use spot machines is not worth a dearer one as long as the cheapest may come.
       if (!offer || offer->request_pending) break;
       request(*offer);
       ++examined_;
-      const uint32_t taken = allocate(fleet_.newest(), demand, left);
+      const uint32_t taken = allocate(fleet_.newest_machine(), demand, left);
       if (taken == 0) break;
       left -= taken;
     }
@@ -72,13 +72,13 @@
   }
 
   // Machines for all of a gang in one of its zones, or none.
-  void serve_gang(const ResourceDemand& demand) {
+  void provision_gang(const ResourceDemand& demand) {
     for (const auto& zone : zones_of(demand)) {
       ResourceDemand in_zone = demand;
       in_zone.zone = zone;
-      const PlannedFleet before = fleet_;
-      if (serve(in_zone) == 0) return;
-      fleet_ = before;
+      const PlannedFleet fleet_before = fleet_;
+      if (provision(in_zone) == 0) return;
+      fleet_ = fleet_before;
     }
   }
 
@@ -92,14 +92,14 @@
   }
 
   // Requests on-demand machines up to the pool's target; returns the units beyond it.
-  double keep_headroom(Pool pool) {
+  double provision_headroom(Pool pool) {
     double headroom = free_on_demand(pool);
     double target = target_headroom(pool);
     if (pool == Pool::accelerators) target += input_.largest_gpus;
     while (headroom < target && fleet_.can_grow()) {
       const auto* offer = selector_.cheapest_of(pool, fleet_.scale_out());
       if (!offer) break;
-      headroom += units_in(pool, capacity_of(*find_machine_type(input_.types, offer->kind.type)));
+      headroom += pool_units(pool, capacity_of(*find_machine_type(input_.types, offer->kind.type)));
       request(*offer);
     }
     return headroom - target;
@@ -109,30 +109,30 @@
     double free = 0;
     for (const auto& machine : input_.machines)
       if (machine.schedulable && !machine.spot && pool_of(machine.total) == pool)
-        free += units_in(pool, machine.free);
+        free += pool_units(pool, machine.free);
     for (const auto& machine : fleet_.machines())
       if (!machine.spot && pool_of(capacity_of(*machine.type)) == pool)
-        free += units_in(pool, machine.free);
+        free += pool_units(pool, machine.free);
     return free;
   }
 
   double target_headroom(Pool pool) const {
     const bool accelerators = pool == Pool::accelerators;
-    headroom::Pool figures;
-    figures.in_use = accelerators ? input_.gpu_work.gpus : input_.cpu_work.cpus;
-    figures.expected = accelerators ? input_.expected_gpus : input_.expected_cpus;
+    headroom::HeadroomInput input;
+    input.in_use = accelerators ? input_.gpu_work.gpus : input_.cpu_work.cpus;
+    input.expected = accelerators ? input_.expected_gpus : input_.expected_cpus;
     for (const auto& machine : input_.machines) {
       const double price = hourly_price(input_.types, machine.type, machine.spot);
-      figures.fleet_price += price;
+      input.fleet_price += price;
       if (machine.spot || pool_of(machine.total) != pool) continue;
-      const double units = std::max(units_in(pool, machine.total), 1.0);
-      figures.unit_price = std::max(figures.unit_price, price / units);
+      const double units = std::max(pool_units(pool, machine.total), 1.0);
+      input.unit_price = std::max(input.unit_price, price / units);
     }
-    return headroom::target_headroom(figures, input_.headroom_share, input_.cheap_headroom_share);
+    return headroom::target_headroom(input, input_.headroom_share, input_.cheap_headroom_share);
   }
 
   // As long as a replacement would take to boot and to fetch the images that this machine holds.
-  double keep_idle_s(const MachineState& machine, const MachineType& type) const {
+  double idle_timeout_s(const MachineState& machine, const MachineType& type) const {
     const double fetch_s = machine.images_gb / std::max(type.fetch_gb_per_s, min_fetch_gb_per_s);
     return input_.idle_replacements * (type.boot_s + fetch_s);
   }
@@ -140,7 +140,7 @@
   bool may_scale_in(const MachineState& machine) const {
     const auto* type = find_machine_type(input_.types, machine.type);
     if (!type || !machine.schedulable || !machine.empty) return false;
-    return machine.idle_s >= keep_idle_s(machine, *type) && !fleet_.requests(machine.type);
+    return machine.idle_s >= idle_timeout_s(machine, *type) && !fleet_.requests_type(machine.type);
   }
 
   // Spot machines that no work needs, and on-demand ones within the surplus of their pool.
@@ -149,12 +149,12 @@
     for (const auto& machine : input_.machines) {
       if (!may_scale_in(machine)) continue;
       if (machine.spot) {
-        if (!needed_spot_.contains(machine.id)) out.push_back(machine.id);
+        if (!needed_spot_machines_.contains(machine.id)) out.push_back(machine.id);
         continue;
       }
       const Pool pool = pool_of(machine.total);
       double& surplus = pool == Pool::accelerators ? surplus_gpus : surplus_cpus;
-      const double units = units_in(pool, machine.total);
+      const double units = pool_units(pool, machine.total);
       if (surplus < units) continue;
       surplus -= units;
       out.push_back(machine.id);
@@ -163,10 +163,10 @@
   }
 
   const AutoscalerInput& input_;
-  const InstanceSelector selector_;
+  const MachineKindSelector selector_;
   PlannedFleet fleet_;
   size_t examined_;  // machines looked at
-  std::set<std::string> needed_spot_;
+  std::set<std::string> needed_spot_machines_;
 };
 
 }  // namespace
--- a/src/coordination/autoscaling/autoscaler.hpp
+++ b/src/coordination/autoscaling/autoscaler.hpp
@@ -52,7 +52,7 @@
 };
 
 /// A kind of machine that the cloud offers, with the recent answers for it.
-struct InstanceOffer {
+struct MachineOffer {
   MachineKind kind;
   bool refused = false;  ///< Refused lately: not requested now.
   /// Refused within a longer time: its machines are kept for work that can't run elsewhere.
@@ -63,7 +63,7 @@
 /// Snapshot that a plan is made from.
 struct AutoscalerInput {
   std::vector<MachineType> types;
-  std::vector<InstanceOffer> offers;
+  std::vector<MachineOffer> offers;
   std::vector<MachineState> machines;
   std::vector<ResourceDemand> demand;  ///< Unschedulable work.
   /// All unfinished work that may use spot machines, whether it runs already or not.
--- a/src/coordination/autoscaling/autoscaler_driver.cpp
+++ b/src/coordination/autoscaling/autoscaler_driver.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 // Leases for which a kind that was refused counts as scarce.
-constexpr double scarce_leases = 10;
+constexpr double scarcity_leases = 10;
 // Heartbeat intervals for which a machine that is up and was not heard counts as booting.
-constexpr double first_heartbeat_within = 4;
+constexpr double first_heartbeat_intervals = 4;
 // Tasks that a team without a limit may run at once.
-constexpr double unlimited_tasks = 1e6;
+constexpr double unlimited_team_tasks = 1e6;
 
 MachineKind kind_of(const Machine& machine) { return {machine.type, machine.zone, machine.spot}; }
 }  // namespace
@@ -32,7 +32,7 @@
 }
 
 void AutoscalerDriver::begin_lease(uint64_t fencing_token) {
-  lost_capacity_.clear();
+  lost_machine_kinds_.clear();
   booting_.clear();
   scale_out_requests_.begin_lease(fencing_token);
   cost_account_.begin_lease(deps_.loop.now());
@@ -57,28 +57,28 @@
   booting_.remove(id);
   if (!machine || machine->type.empty()) return;
   // The cloud has capacity of this kind again: it may be asked for it despite an earlier refusal.
-  scale_out_requests_.forget_refusal(kind_of(*machine));
+  scale_out_requests_.clear_refusal(kind_of(*machine));
   // What ran there shows as demand only once its exits are committed, and booting takes longer
   // still.
-  if (declared_dead) lost_capacity_.push_back({machine->type, machine->zone, machine->spot});
+  if (declared_dead) lost_machine_kinds_.push_back({machine->type, machine->zone, machine->spot});
 }
 
 void AutoscalerDriver::for_each_expected_machine(
-    const std::function<void(const std::string&, const BootingMachine&, const MachineType&)>& take)
+    const std::function<void(const std::string&, const BootingMachine&, const MachineType&)>& visit)
     const {
   for (auto& [id, booting] : booting_.all()) {
     if (deps_.machines.contains(id) || deps_.scale_in.is_leaving(id)) continue;
     const MachineType* type = deps_.catalog.type(booting.kind.type);
     if (type && !BootingMachines::is_late(booting, *type, deps_.loop.now()))
-      take(id, booting, *type);
+      visit(id, booting, *type);
   }
 }
 
 // How many tasks of this kind its team may run at once at the most.
-uint64_t AutoscalerDriver::team_limit(const JobSpec& spec) const {
+uint64_t AutoscalerDriver::max_team_tasks(const JobSpec& spec) const {
   constexpr double rounding = 1e-6;
   auto* team = deps_.settings.team(spec.team);
-  double tasks = unlimited_tasks;
+  double tasks = unlimited_team_tasks;
   const auto limit = team ? deps_.quotas.limit(*team) : scheduling::Resources{};
   if (limit.cpus > 0 && spec.cpus > 0) tasks = std::min(tasks, limit.cpus / spec.cpus);
   if (limit.gpus > 0 && spec.gpus > 0) tasks = std::min(tasks, limit.gpus / spec.gpus);
@@ -105,9 +105,9 @@
       cpus.push_back({age_s, spec.cpus * spec.tasks});
     }
   }
-  const double spreads = deps_.settings.tuning.arrival_spreads;
-  input.expected_gpus = headroom::expected_arrivals(gpus, gpu_boot_s, spreads);
-  input.expected_cpus = headroom::expected_arrivals(cpus, cpu_boot_s, spreads);
+  const double standard_deviations = deps_.settings.tuning.arrival_spreads;
+  input.expected_gpus = headroom::expected_arrivals(gpus, gpu_boot_s, standard_deviations);
+  input.expected_cpus = headroom::expected_arrivals(cpus, cpu_boot_s, standard_deviations);
 }
 
 void AutoscalerDriver::add_work(autoscaling::AutoscalerInput& input) const {
@@ -115,7 +115,7 @@
     auto& spec = job->spec;
     if (job->cancelled || deps_.faults.is_job_faulty(id)) continue;
     const auto tasks =
-        static_cast<uint32_t>(std::min<uint64_t>(spec.tasks - job->done, team_limit(spec)));
+        static_cast<uint32_t>(std::min<uint64_t>(spec.tasks - job->done, max_team_tasks(spec)));
     (spec.gpus > 0 ? input.gpu_work : input.cpu_work) += resources_per_task(spec) * tasks;
     if (spec.spot) {
       input.spot_work.push_back({resources_per_task(spec), tasks, spec.types, spec.zone, true});
@@ -126,12 +126,12 @@
 }
 
 void AutoscalerDriver::add_offers(autoscaling::AutoscalerInput& input) const {
-  const double scarce_within_s = scarce_leases * deps_.settings.lease_s;
+  const double scarce_within_s = scarcity_leases * deps_.settings.lease_s;
   for (auto& type : input.types)
     for (auto& zone : type.zones)
       for (bool spot : {false, true}) {
         const MachineKind kind{type.name, zone, spot};
-        autoscaling::InstanceOffer offer{kind};
+        autoscaling::MachineOffer offer{kind};
         offer.refused = scale_out_requests_.is_refused(kind);
         offer.scarce = scale_out_requests_.is_scarce(kind, scarce_within_s);
         offer.request_pending = scale_out_requests_.has_pending(kind);
@@ -139,7 +139,7 @@
       }
 }
 
-autoscaling::MachineState AutoscalerDriver::state_of(const Machine& machine) const {
+autoscaling::MachineState AutoscalerDriver::machine_state(const Machine& machine) const {
   const double now = deps_.loop.now();
   autoscaling::MachineState state;
   state.id = machine.id;
@@ -153,9 +153,9 @@
   state.idle_s = now - machine.idle_since;
   for (auto& [image, use] : machine.images.images()) state.images_gb += use.second;
   // Up but not heard yet counts as on its way.
-  state.booting =
-      machine.agent_epoch == 0 && deps_.failure_detector.since_last_heartbeat_s(machine, now) <
-                                      first_heartbeat_within * deps_.settings.heartbeat_interval_s;
+  state.booting = machine.agent_epoch == 0 &&
+                  deps_.failure_detector.since_last_heartbeat_s(machine, now) <
+                      first_heartbeat_intervals * deps_.settings.heartbeat_interval_s;
   for (auto& [assignment, attempt] : deps_.cache.assigned(machine.id)) {
     auto& spec = assignment.job->spec;
     if (!spec.spot) {
@@ -170,7 +170,7 @@
 void AutoscalerDriver::add_machines(autoscaling::AutoscalerInput& input) const {
   for (auto& [id, machine] : deps_.machines) {
     if (deps_.scale_in.is_leaving(id) || machine.type.empty()) continue;
-    input.machines.push_back(state_of(machine));
+    input.machines.push_back(machine_state(machine));
   }
 }
 
@@ -188,7 +188,7 @@
   });
 }
 
-autoscaling::AutoscalerInput AutoscalerDriver::input(
+autoscaling::AutoscalerInput AutoscalerDriver::build_input(
     const std::vector<autoscaling::ResourceDemand>& unschedulable) const {
   const Tuning& tuning = deps_.settings.tuning;
   autoscaling::AutoscalerInput input;
@@ -208,13 +208,13 @@
 // Of stragglers, and of machines that were declared dead.
 void AutoscalerDriver::add_replacements(autoscaling::AutoscalerInput& input) {
   for (auto& [id, machine] : deps_.machines) {
-    const bool wanted =
+    const bool needs_replacement =
         machine.straggler_since > 0 && !machine.draining && !machine.replacement_requested;
-    if (!wanted || scale_out_requests_.has_pending(kind_of(machine))) continue;
+    if (!needs_replacement || scale_out_requests_.has_pending(kind_of(machine))) continue;
     machine.replacement_requested = true;
     input.replacements.push_back({machine.type, machine.zone, machine.spot});
   }
-  std::erase_if(lost_capacity_, [&](auto& kind) {
+  std::erase_if(lost_machine_kinds_, [&](auto& kind) {
     if (scale_out_requests_.has_pending(kind)) return false;
     input.replacements.push_back(kind);
     return true;
@@ -225,11 +225,11 @@
                            const std::stop_token& stop_token) {
   const double now = deps_.loop.now();
   scale_out_requests_.resume(stop_token);
-  auto in = input(unschedulable);
-  cost_account_.charge(in.machines, in.types, now);
+  auto input = build_input(unschedulable);
+  cost_account_.charge(input.machines, input.types, now);
   if (auto line = cost_account_.report(now, deps_.settings.lease_s)) spdlog::info("{}", *line);
-  add_replacements(in);
-  const auto plan = autoscaling::plan(in);
+  add_replacements(input);
+  const auto plan = autoscaling::plan(input);
   for (auto& id : plan.scale_in) deps_.scale_in.request(id, "idle");
   for (auto& request : plan.scale_out) {
     const MachineKind& kind = request.kind;
--- a/src/coordination/autoscaling/autoscaler_driver.hpp
+++ b/src/coordination/autoscaling/autoscaler_driver.hpp
@@ -69,12 +69,12 @@
   [[nodiscard]] bool is_refused(const MachineKind& kind) const {
     return scale_out_requests_.is_refused(kind);
   }
-  /// Calls `take` for each machine that is booting and expected in time.
+  /// Calls `visit` for each machine that is booting and expected in time.
   void for_each_expected_machine(const std::function<void(const std::string&, const BootingMachine&,
-                                                          const MachineType&)>& take) const;
+                                                          const MachineType&)>& visit) const;
 
  private:
-  autoscaling::AutoscalerInput input(
+  autoscaling::AutoscalerInput build_input(
       const std::vector<autoscaling::ResourceDemand>& unschedulable) const;
   void add_expected_arrivals(autoscaling::AutoscalerInput& input) const;
   void add_work(autoscaling::AutoscalerInput& input) const;
@@ -82,15 +82,15 @@
   void add_machines(autoscaling::AutoscalerInput& input) const;
   void add_booting(autoscaling::AutoscalerInput& input) const;
   void add_replacements(autoscaling::AutoscalerInput& input);
-  autoscaling::MachineState state_of(const Machine& machine) const;
-  uint64_t team_limit(const JobSpec& spec) const;
+  autoscaling::MachineState machine_state(const Machine& machine) const;
+  uint64_t max_team_tasks(const JobSpec& spec) const;
 
   Dependencies deps_;
   ScaleOutRequests scale_out_requests_;
   CostAccount cost_account_;
   BootingMachines booting_;
   // Kinds of machines that were declared dead and returned, to be replaced.
-  std::vector<MachineKind> lost_capacity_;
+  std::vector<MachineKind> lost_machine_kinds_;
 };
 
 }  // namespace damsonport
--- a/src/coordination/autoscaling/booting_machines.hpp
+++ b/src/coordination/autoscaling/booting_machines.hpp
@@ -11,7 +11,7 @@
 
 struct BootingMachine {
   MachineKind kind;
-  double since = 0;  ///< created at this time of the loop's clock
+  double created_at = 0;  ///< created at this time of the loop's clock
 };
 
 /// Owned by the AutoscalerDriver. Kept in the order of the machine ids. Invariant: the time of
@@ -19,7 +19,7 @@
 class BootingMachines {
  public:
   /// The machine was created at this time, unless it is known already. Yields what is known of it.
-  const BootingMachine& add(const std::string& machine, const MachineKind& kind, double since);
+  const BootingMachine& add(const std::string& machine, const MachineKind& kind, double created_at);
   /// It is up, or gone.
   void remove(const std::string& machine) { machines_.erase(machine); }
   void clear() { machines_.clear(); }
--- a/src/coordination/autoscaling/cost_account.cpp
+++ b/src/coordination/autoscaling/cost_account.cpp
@@ -18,13 +18,13 @@
   return {0, in_use, price - in_use};
 }
 
-void add(Cost& sum, const Cost& cost, double times) {
-  sum.booting += cost.booting * times;
-  sum.in_use += cost.in_use * times;
-  sum.idle += cost.idle * times;
+void add_scaled(Cost& sum, const Cost& cost, double factor) {
+  sum.booting += cost.booting * factor;
+  sum.in_use += cost.in_use * factor;
+  sum.idle += cost.idle * factor;
 }
 
-std::string text_of(const Cost& cost) {
+std::string format_cost(const Cost& cost) {
   return fmt::format("{:.2f} (booting {:.2f}, in use {:.2f}, idle {:.2f})", cost.total(),
                      cost.booting, cost.in_use, cost.idle);
 }
@@ -33,10 +33,10 @@
 
 double utilisation(const autoscaling::MachineState& machine) {
   auto share = [](double total, double free) { return total > 0 ? 1 - free / total : 0; };
-  const double most = std::max({share(machine.total.cpus, machine.free.cpus),
-                                share(machine.total.gpus, machine.free.gpus),
-                                share(machine.total.memory_gb, machine.free.memory_gb)});
-  return std::clamp(most, 0.0, 1.0);
+  const double highest = std::max({share(machine.total.cpus, machine.free.cpus),
+                                   share(machine.total.gpus, machine.free.gpus),
+                                   share(machine.total.memory_gb, machine.free.memory_gb)});
+  return std::clamp(highest, 0.0, 1.0);
 }
 
 void CostAccount::begin_lease(double now) {
@@ -59,21 +59,21 @@
     const Cost hourly = hourly_cost(machine, hourly_price(types, machine.type, machine.spot));
     auto& kind = kinds_[machine.type + " in " + machine.zone + (machine.spot ? " (spot)" : "")];
     ++kind.machines;
-    add(kind.hourly, hourly, 1);
-    add(kind.spent, hourly, hours);
-    add(hourly_, hourly, 1);
-    add(spent_, hourly, hours);
+    add_scaled(kind.hourly, hourly, 1);
+    add_scaled(kind.spent, hourly, hours);
+    add_scaled(hourly_, hourly, 1);
+    add_scaled(spent_, hourly, hours);
   }
 }
 
 std::optional<std::string> CostAccount::report(double now, double every_s) {
   if (now < next_report_at_) return std::nullopt;
   next_report_at_ = now + every_s;
-  auto line = fmt::format("costs: {} an hour, {} in the {:.0f} s of this lease", text_of(hourly_),
-                          text_of(spent_), now - began_at_);
+  auto line = fmt::format("costs: {} an hour, {} in the {:.0f} s of this lease",
+                          format_cost(hourly_), format_cost(spent_), now - began_at_);
   for (auto& [name, kind] : kinds_)
     line += fmt::format("; {} {}: {} an hour, {:.2f} so far", kind.machines, name,
-                        text_of(kind.hourly), kind.spent.total());
+                        format_cost(kind.hourly), kind.spent.total());
   return line;
 }
 
--- a/src/coordination/autoscaling/headroom.hpp
+++ b/src/coordination/autoscaling/headroom.hpp
@@ -12,12 +12,14 @@
 };
 
 /// Demand likely to arrive until a machine that is requested now is up: the mean of the arrivals
-/// over some boot times plus `spreads` standard deviations, as if jobs came independently of one
-/// another. Older arrivals don't count, except that they show for how long arrivals have been seen.
-double expected_arrivals(const std::vector<Arrival>& arrivals, double boot_s, double spreads);
+/// over some boot times plus `standard_deviations` standard deviations, as if jobs came
+/// independently of one another. Older arrivals don't count, except that they show for how long
+/// arrivals have been seen.
+double expected_arrivals(const std::vector<Arrival>& arrivals, double boot_s,
+                         double standard_deviations);
 
 /// One resource: accelerators, or CPUs of machines without any.
-struct Pool {
+struct HeadroomInput {
   double in_use = 0;       ///< Units that unfinished work uses or asks for.
   double expected = 0;     ///< Units of expected arrivals.
   double unit_price = 0;   ///< Price of a unit an hour.
@@ -26,6 +28,6 @@
 
 /// Units to keep free: `headroom_share` of what is in use, but, where that costs more than
 /// `cheap_share` of the fleet's price, no more than that or than what is expected to arrive.
-double target_headroom(const Pool& pool, double headroom_share, double cheap_share);
+double target_headroom(const HeadroomInput& input, double headroom_share, double cheap_share);
 
 }  // namespace damsonport::headroom
--- a/src/coordination/autoscaling/instance_selector.cpp
+++ b/src/coordination/autoscaling/machine_kind_selector.cpp
@@ -1,4 +1,4 @@
-#include "coordination/autoscaling/instance_selector.hpp"
+#include "coordination/autoscaling/machine_kind_selector.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -10,14 +10,14 @@
 
 /// Added to the cost of a kind for each machine of its type in its zone, as a share: among kinds of
 /// equal price the zone with fewer machines wins, so that the fleet stays spread.
-constexpr double spread_share = 1e-3;
+constexpr double spread_penalty_per_machine = 1e-3;
 /// Tasks that a machine holds at most, for demands without any need.
-constexpr double most_tasks_per_machine = 1e6;
+constexpr double max_tasks_per_machine = 1e6;
 /// Tolerance of the division of a machine by a task.
 constexpr double rounding_tolerance = 1e-6;
 
 double tasks_per_machine(const Resources& need, const Resources& capacity) {
-  double count = most_tasks_per_machine;
+  double count = max_tasks_per_machine;
   if (need.cpus > 0) count = std::min(count, capacity.cpus / need.cpus);
   if (need.gpus > 0) count = std::min(count, capacity.gpus / need.gpus);
   if (need.memory_gb > 0) count = std::min(count, capacity.memory_gb / need.memory_gb);
@@ -30,7 +30,7 @@
   return resources.gpus > 0 ? Pool::accelerators : Pool::cpus;
 }
 
-double units_in(Pool pool, const Resources& resources) {
+double pool_units(Pool pool, const Resources& resources) {
   return pool == Pool::accelerators ? resources.gpus : resources.cpus;
 }
 
@@ -42,13 +42,13 @@
          std::find(demand.types.begin(), demand.types.end(), type) != demand.types.end();
 }
 
-InstanceSelector::InstanceSelector(const AutoscalerInput& input) : input_(input) {
+MachineKindSelector::MachineKindSelector(const AutoscalerInput& input) : input_(input) {
   for (const auto& machine : input.machines)
-    if (machine.schedulable || machine.booting) ++machines_[{machine.zone, machine.type}];
+    if (machine.schedulable || machine.booting) ++machine_counts_[{machine.zone, machine.type}];
 }
 
-const InstanceOffer* InstanceSelector::replacement_for(const MachineKind& wanted) const {
-  const InstanceOffer* other = nullptr;
+const MachineOffer* MachineKindSelector::replacement_for(const MachineKind& wanted) const {
+  const MachineOffer* other = nullptr;
   for (const auto& offer : input_.offers) {
     if (offer.refused || offer.request_pending || offer.kind.type != wanted.type) continue;
     if (offer.kind.spot && !wanted.spot) continue;
@@ -58,9 +58,10 @@
   return other;
 }
 
-const InstanceOffer* InstanceSelector::cheapest_for(const ResourceDemand& demand, Purchase purchase,
-                                                    const std::vector<ScaleOut>& planned) const {
-  const InstanceOffer* best = nullptr;
+const MachineOffer* MachineKindSelector::cheapest_for(const ResourceDemand& demand,
+                                                      Purchase purchase,
+                                                      const std::vector<ScaleOut>& planned) const {
+  const MachineOffer* best = nullptr;
   double best_cost = std::numeric_limits<double>::infinity();
   for (const auto& offer : input_.offers) {
     const auto& kind = offer.kind;
@@ -80,16 +81,16 @@
   return best;
 }
 
-const InstanceOffer* InstanceSelector::cheapest_of(Pool pool,
-                                                   const std::vector<ScaleOut>& planned) const {
-  const InstanceOffer* best = nullptr;
+const MachineOffer* MachineKindSelector::cheapest_of(Pool pool,
+                                                     const std::vector<ScaleOut>& planned) const {
+  const MachineOffer* best = nullptr;
   double best_cost = std::numeric_limits<double>::infinity();
   for (const auto& offer : input_.offers) {
     if (offer.refused || offer.request_pending || offer.kind.spot) continue;
     const auto* type = find_machine_type(input_.types, offer.kind.type);
     if (!type || pool_of(capacity_of(*type)) != pool) continue;
     const double cost =
-        type->price / units_in(pool, capacity_of(*type)) * spread_factor(offer.kind, planned);
+        type->price / pool_units(pool, capacity_of(*type)) * spread_factor(offer.kind, planned);
     if (cost < best_cost) {
       best_cost = cost;
       best = &offer;
@@ -98,13 +99,13 @@
   return best;
 }
 
-double InstanceSelector::spread_factor(const MachineKind& kind,
-                                       const std::vector<ScaleOut>& planned) const {
-  const auto it = machines_.find({kind.zone, kind.type});
-  int machines = it == machines_.end() ? 0 : it->second;
+double MachineKindSelector::spread_factor(const MachineKind& kind,
+                                          const std::vector<ScaleOut>& planned) const {
+  const auto it = machine_counts_.find({kind.zone, kind.type});
+  int machines = it == machine_counts_.end() ? 0 : it->second;
   for (const auto& request : planned)
     if (request.kind.zone == kind.zone && request.kind.type == kind.type) machines += request.count;
-  return 1 + spread_share * machines;
+  return 1 + spread_penalty_per_machine * machines;
 }
 
 }  // namespace damsonport::autoscaling
--- a/src/coordination/autoscaling/machine_type_catalog.cpp
+++ b/src/coordination/autoscaling/machine_type_catalog.cpp
@@ -13,9 +13,9 @@
 /// Added to the time that the cloud's rate limit asks for between two tries.
 constexpr double retry_margin_s = 0.2;
 /// Share of the pause that is drawn at random, to either side.
-constexpr double pause_jitter = 0.2;
+constexpr double delay_jitter = 0.2;
 /// Stands for the price of a catalogue without any price, so that shares of it are finite.
-constexpr double min_price = 1e-9;
+constexpr double min_highest_price = 1e-9;
 
 }  // namespace
 
@@ -35,8 +35,8 @@
       if (auto times = warning_.note(reason, loop_.now()))
         spdlog::warn("machine type catalogue not available yet: {} ({} times)", reason, *times);
     }
-    const double pause_s = loaded() ? refresh_s : 1.0 / settings_.cloud_rps + retry_margin_s;
-    if (!co_await Sleep(loop_, pause_s * loop_.uniform(1 - pause_jitter, 1 + pause_jitter),
+    const double delay_s = loaded() ? refresh_s : 1.0 / settings_.cloud_rps + retry_margin_s;
+    if (!co_await Sleep(loop_, delay_s * loop_.uniform(1 - delay_jitter, 1 + delay_jitter),
                         stop_token))
       co_return;
   }
@@ -47,9 +47,9 @@
 }
 
 double MachineTypeCatalog::highest_price() const {
-  double most = 0;
-  for (const auto& type : types_) most = std::max(most, type.price);
-  return std::max(most, min_price);
+  double highest = 0;
+  for (const auto& type : types_) highest = std::max(highest, type.price);
+  return std::max(highest, min_highest_price);
 }
 
 }  // namespace damsonport
--- a/src/coordination/autoscaling/planned_fleet.cpp
+++ b/src/coordination/autoscaling/planned_fleet.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "coordination/autoscaling/instance_selector.hpp"
+#include "coordination/autoscaling/machine_kind_selector.hpp"
 
 namespace damsonport::autoscaling {
 
@@ -22,8 +22,8 @@
 
 uint32_t allocate(FreeCapacity& machine, const ResourceDemand& demand, uint32_t count) {
   if (!matches_constraints(demand, machine.type->name, machine.zone, machine.spot)) return 0;
-  const uint32_t most = demand.distinct_machines ? std::min(count, 1U) : count;
-  const uint32_t taken = std::min(most, scheduling::count_fitting(demand.need, machine.free));
+  const uint32_t max_count = demand.distinct_machines ? std::min(count, 1U) : count;
+  const uint32_t taken = std::min(max_count, scheduling::count_fitting(demand.need, machine.free));
   machine.free -= demand.need * taken;
   return taken;
 }
@@ -40,10 +40,10 @@
 void PlannedFleet::request(const MachineKind& kind, const MachineType& type) {
   ++requested_;
   machines_.push_back({&type, kind.zone, kind.spot, capacity_of(type)});
-  const auto same = std::find_if(scale_out_.begin(), scale_out_.end(),
-                                 [&](const ScaleOut& other) { return other.kind == kind; });
-  if (same != scale_out_.end()) {
-    ++same->count;
+  const auto existing = std::find_if(scale_out_.begin(), scale_out_.end(),
+                                     [&](const ScaleOut& other) { return other.kind == kind; });
+  if (existing != scale_out_.end()) {
+    ++existing->count;
   } else {
     scale_out_.push_back({kind, 1});
   }
@@ -60,7 +60,7 @@
   return count - left;
 }
 
-bool PlannedFleet::requests(const std::string& type) const {
+bool PlannedFleet::requests_type(const std::string& type) const {
   return std::any_of(scale_out_.begin(), scale_out_.end(),
                      [&](const ScaleOut& request) { return request.kind.type == type; });
 }
--- a/src/coordination/autoscaling/planned_fleet.hpp
+++ b/src/coordination/autoscaling/planned_fleet.hpp
@@ -32,7 +32,7 @@
   /// Requests one more machine; `type` is that of the kind.
   void request(const MachineKind& kind, const MachineType& type);
   /// The capacity of the last machine requested.
-  FreeCapacity& newest() { return machines_.back(); }
+  FreeCapacity& newest_machine() { return machines_.back(); }
 
   /// Takes capacity of all machines in turn; adds the machines examined to `examined`.
   uint32_t allocate_any(const ResourceDemand& demand, uint32_t count, size_t& examined);
@@ -40,7 +40,7 @@
   const std::vector<FreeCapacity>& machines() const { return machines_; }
   const std::vector<ScaleOut>& scale_out() const { return scale_out_; }
   /// Machines of this type are requested.
-  bool requests(const std::string& type) const;
+  bool requests_type(const std::string& type) const;
 
  private:
   std::vector<FreeCapacity> machines_;
--- a/src/coordination/autoscaling/scale_in.cpp
+++ b/src/coordination/autoscaling/scale_in.cpp
@@ -9,9 +9,9 @@
 namespace damsonport {
 
 namespace {
-constexpr size_t max_machines_a_call = 100;
+constexpr size_t max_machines_per_call = 100;
 // A tick; the cloud's call rate is also needed for scaling out.
-constexpr size_t max_calls_a_tick = 4;
+constexpr size_t max_calls_per_tick = 4;
 constexpr double cloud_timeout_s = 3.0;
 }  // namespace
 
@@ -20,10 +20,10 @@
   tracker_.clear();
 }
 
-void ScaleIn::request(const std::string& machine, const std::string& why, ScaleInCause cause) {
+void ScaleIn::request(const std::string& machine, const std::string& reason, ScaleInCause cause) {
   if (!tracker_.request(machine, cause)) return;
   deps_.on_requested(machine);
-  spdlog::info("returning {}: {}", machine, why);
+  spdlog::info("returning {}: {}", machine, reason);
 }
 
 void ScaleIn::resume(const std::string& machine) {
@@ -32,11 +32,11 @@
 
 void ScaleIn::note_heartbeat(const std::string& machine) {
   if (!tracker_.is_declared_dead(machine)) return;
-  if (tracker_.heard_again(machine, deps_.cache.has_tombstone(machine)))
+  if (tracker_.note_heartbeat(machine, deps_.cache.has_tombstone(machine)))
     spdlog::info("{} sends heartbeats again and is kept", machine);
 }
 
-size_t ScaleIn::most_per_tombstone() const {
+size_t ScaleIn::max_per_tombstone() const {
   return machines_per_tombstone(deps_.settings.state_limits.always().value_kb);
 }
 
@@ -45,37 +45,39 @@
 Task<void> ScaleIn::return_machines(ScaleInTracker::Selection selection,
                                     std::stop_token stop_token) {
   co_await write_deferred_tombstones();
-  for (size_t calls = 0; calls < max_calls_a_tick && deps_.is_leading(); ++calls) {
-    std::vector<std::string> unmarked;
-    std::vector<std::string> marked;
+  for (size_t calls = 0; calls < max_calls_per_tick && deps_.is_leading(); ++calls) {
+    std::vector<std::string> without_tombstone;
+    std::vector<std::string> with_tombstone;
     for (auto& machine : tracker_.ready_for_return(selection))
-      (deps_.cache.has_tombstone(machine) ? marked : unmarked).push_back(machine);
-    if (unmarked.empty() && marked.empty()) co_return;
-    if (!unmarked.empty()) {
-      sort_most_urgent_first(unmarked);
-      if (unmarked.size() > most_per_tombstone()) unmarked.resize(most_per_tombstone());
-      const bool written = co_await write_tombstones(unmarked);
+      (deps_.cache.has_tombstone(machine) ? with_tombstone : without_tombstone).push_back(machine);
+    if (without_tombstone.empty() && with_tombstone.empty()) co_return;
+    if (!without_tombstone.empty()) {
+      sort_most_urgent_first(without_tombstone);
+      if (without_tombstone.size() > max_per_tombstone())
+        without_tombstone.resize(max_per_tombstone());
+      const bool written = co_await write_tombstones(without_tombstone);
       if (!deps_.is_leading()) co_return;
-      if (!written && !defer_tombstones(unmarked)) co_return;
-      marked = std::move(unmarked);
+      if (!written && !defer_tombstones(without_tombstone)) co_return;
+      with_tombstone = std::move(without_tombstone);
     }
-    if (marked.size() > max_machines_a_call) marked.resize(max_machines_a_call);
-    if (stop_token.stop_requested() || !co_await ask_cloud(std::move(marked))) co_return;
+    if (with_tombstone.size() > max_machines_per_call) with_tombstone.resize(max_machines_per_call);
+    if (stop_token.stop_requested() || !co_await send_return_call(std::move(with_tombstone)))
+      co_return;
   }
 }
 
 Task<void> ScaleIn::write_deferred_tombstones() {
   if (!deps_.contact.in_contact()) co_return;
-  const auto machines = tracker_.awaiting_tombstone(most_per_tombstone());
+  const auto machines = tracker_.awaiting_tombstone(max_per_tombstone());
   if (machines.empty() || !co_await write_tombstones(machines)) co_return;
   for (auto& machine : machines) tracker_.note_tombstone_written(machine);
 }
 
 void ScaleIn::sort_most_urgent_first(std::vector<std::string>& machines) const {
-  constexpr int most_urgent = std::numeric_limits<int>::max() / 2;
+  constexpr int max_urgency = std::numeric_limits<int>::max() / 2;
   std::map<std::string, int> urgency;
   for (auto& machine : machines) {
-    if (tracker_.keeps_cancelled_task(machine)) urgency[machine] = most_urgent;
+    if (tracker_.keeps_cancelled_task(machine)) urgency[machine] = max_urgency;
     for (auto& [task, attempt] : deps_.cache.assigned(machine))
       urgency[machine] += task.job->spec.priority >= Priority::high && !task.job->cancelled;
   }
@@ -110,7 +112,7 @@
   co_return true;
 }
 
-Task<bool> ScaleIn::ask_cloud(std::vector<std::string> machines) {
+Task<bool> ScaleIn::send_return_call(std::vector<std::string> machines) {
   for (auto& machine : machines) tracker_.begin_return_call(machine);
   const auto fencing_token = fencing_token_;
   auto reply = co_await deps_.http.request(deps_.settings.cloud, Method::post, "/hosts/return",
--- a/src/coordination/autoscaling/scale_in.hpp
+++ b/src/coordination/autoscaling/scale_in.hpp
@@ -44,8 +44,8 @@
   /// returned stays known, so that late heartbeats of them are refused.
   void end_lease() { fencing_token_ = 0; }
 
-  /// Has the machine returned, unless that was requested before. `why` is for the log only.
-  void request(const std::string& machine, const std::string& why,
+  /// Has the machine returned, unless that was requested before. `reason` is for the log only.
+  void request(const std::string& machine, const std::string& reason,
                ScaleInCause cause = ScaleInCause::policy);
   /// The machine has a tombstone already, written by this controller or an earlier shard leader:
   /// the cloud is asked to take it back (again), which is harmless.
@@ -68,9 +68,9 @@
   Task<void> write_deferred_tombstones();
   Task<bool> write_tombstones(std::vector<std::string> machines);
   bool defer_tombstones(std::vector<std::string>& machines);
-  Task<bool> ask_cloud(std::vector<std::string> machines);
+  Task<bool> send_return_call(std::vector<std::string> machines);
   void sort_most_urgent_first(std::vector<std::string>& machines) const;
-  size_t most_per_tombstone() const;
+  size_t max_per_tombstone() const;
 
   Dependencies deps_;
   uint64_t fencing_token_ = 0;
--- a/src/coordination/autoscaling/scale_in_tracker.cpp
+++ b/src/coordination/autoscaling/scale_in_tracker.cpp
@@ -27,7 +27,7 @@
   return true;
 }
 
-bool ScaleInTracker::heard_again(const std::string& machine, bool has_tombstone) {
+bool ScaleInTracker::note_heartbeat(const std::string& machine, bool has_tombstone) {
   auto it = records_.find(machine);
   if (it == records_.end() || !it->second.declared_dead) return false;
   Record& record = it->second;
--- a/src/coordination/autoscaling/scale_in_tracker.hpp
+++ b/src/coordination/autoscaling/scale_in_tracker.hpp
@@ -44,7 +44,7 @@
   bool request(const std::string& machine, ScaleInCause cause);
   /// A heartbeat of the machine came. True: it was to be returned only because it was declared
   /// dead, nothing of that is written (`has_tombstone`), and it is retained.
-  bool heard_again(const std::string& machine, bool has_tombstone);
+  bool note_heartbeat(const std::string& machine, bool has_tombstone);
 
   /// The cloud is being asked for the return, or no longer is.
   void begin_return_call(const std::string& machine);
--- a/src/coordination/autoscaling/scale_out_requests.cpp
+++ b/src/coordination/autoscaling/scale_out_requests.cpp
@@ -14,14 +14,14 @@
 constexpr int max_retries = 5;
 constexpr double cloud_timeout_s = 3.0;
 /// Pause between two tries, drawn between these, times the number of tries so far.
-constexpr double min_retry_pause_s = 0.3;
-constexpr double max_retry_pause_s = 1.0;
+constexpr double min_retry_delay_s = 0.3;
+constexpr double max_retry_delay_s = 1.0;
 /// The first pause after a refusal, in heartbeat intervals. It doubles with each further refusal.
-constexpr double first_pause_intervals = 2;
+constexpr double first_backoff_intervals = 2;
 /// The longest pause, in first pauses.
-constexpr double max_pause_factor = 8;
+constexpr double max_backoff_factor = 8;
 /// Share of the pause that is drawn at random, to either side.
-constexpr double pause_jitter = 0.2;
+constexpr double backoff_jitter = 0.2;
 
 MachineKind kind_of(const ScaleOutRequest& request) {
   return {request.type, request.zone, request.spot};
@@ -30,7 +30,7 @@
 const char* spot_suffix(bool spot) { return spot ? " (spot)" : ""; }
 
 /// The cloud has decided. Other replies, and none, leave open whether it has.
-bool is_answer(const HttpReply& reply) {
+bool is_final_reply(const HttpReply& reply) {
   if (reply.status == 200 || reply.status == 400) return true;
   if (reply.status != 503) return false;
   auto body = decode_map(reply.body);
@@ -51,8 +51,8 @@
   fencing_token_ = fencing_token;
   if (fencing_token == 0) return;
   // Requests of an older lease end without being taken off the count.
-  pending_.clear();
-  answered_.clear();
+  pending_counts_.clear();
+  answered_requests_.clear();
 }
 
 bool ScaleOutRequests::is_refused(const MachineKind& kind) const {
@@ -61,15 +61,15 @@
 }
 
 bool ScaleOutRequests::is_scarce(const MachineKind& kind, double within_s) const {
-  auto it = last_refused_.find(kind);
-  return it != last_refused_.end() && loop_.now() - it->second < within_s;
+  auto it = last_refused_at_.find(kind);
+  return it != last_refused_at_.end() && loop_.now() - it->second < within_s;
 }
 
 void ScaleOutRequests::resume(const std::stop_token& stop_token) {
   std::vector<ScaleOutRequest> unanswered;
-  for (const auto& [id, rental] : cache_.scale_out_requests())
-    if (!has_pending(kind_of(rental.request))) unanswered.push_back(rental.request);
-  for (auto& request : unanswered) start(std::move(request), stop_token);
+  for (const auto& [id, record] : cache_.scale_out_requests())
+    if (!has_pending(kind_of(record.request))) unanswered.push_back(record.request);
+  for (auto& request : unanswered) spawn_request(std::move(request), stop_token);
 }
 
 void ScaleOutRequests::scale_out(const MachineKind& kind, int count,
@@ -78,40 +78,41 @@
     const int machines = std::min(count, max_machines_per_request);
     count -= machines;
     // Unique over controllers and their incarnations.
-    start({"r-" + std::to_string(incarnation_) + "-" + std::to_string(loop_.random64()), kind.type,
-           kind.zone, kind.spot, machines},
-          stop_token);
+    spawn_request({"r-" + std::to_string(incarnation_) + "-" + std::to_string(loop_.random64()),
+                   kind.type, kind.zone, kind.spot, machines},
+                  stop_token);
   }
 }
 
-void ScaleOutRequests::start(ScaleOutRequest request, std::stop_token stop_token) {
-  ++pending_[kind_of(request)];
-  loop_.spawn("scale-out request", run(std::move(request), std::move(stop_token)));
+void ScaleOutRequests::spawn_request(ScaleOutRequest request, std::stop_token stop_token) {
+  ++pending_counts_[kind_of(request)];
+  loop_.spawn("scale-out request", run_request(std::move(request), std::move(stop_token)));
 }
 
-Task<void> ScaleOutRequests::run(ScaleOutRequest request, std::stop_token stop_token) {
+Task<void> ScaleOutRequests::run_request(ScaleOutRequest request, std::stop_token stop_token) {
   const auto fencing_token = fencing_token_;
   const auto kind = kind_of(request);
-  co_await carry_out(std::move(request), std::move(stop_token));
+  co_await send_and_record(std::move(request), std::move(stop_token));
   // One of an older lease is not among those counted.
   if (fencing_token != fencing_token_) co_return;
-  if (auto it = pending_.find(kind); it != pending_.end() && --it->second <= 0) pending_.erase(it);
+  if (auto it = pending_counts_.find(kind); it != pending_counts_.end() && --it->second <= 0)
+    pending_counts_.erase(it);
 }
 
-Task<void> ScaleOutRequests::carry_out(ScaleOutRequest request, std::stop_token stop_token) {
+Task<void> ScaleOutRequests::send_and_record(ScaleOutRequest request, std::stop_token stop_token) {
   const auto fencing_token = fencing_token_;
   // Answered, but the key-value store could not remove its record: it is not sent again.
-  if (answered_.contains(request.id)) {
-    co_await forget_request(request.id);
+  if (answered_requests_.contains(request.id)) {
+    co_await remove_record(request.id);
     co_return;
   }
   if (!cache_.scale_out_requests().contains(request.id) && !co_await commit_request(request))
     co_return;
-  const auto reply = co_await ask_cloud(request, stop_token);
+  const auto reply = co_await send_with_retries(request, stop_token);
   if (fencing_token != fencing_token_ || stop_token.stop_requested()) co_return;
-  note_answer(request, reply);
-  answered_.insert(request.id);
-  co_await forget_request(request.id);
+  apply_reply(request, reply);
+  answered_requests_.insert(request.id);
+  co_await remove_record(request.id);
 }
 
 Task<bool> ScaleOutRequests::commit_request(const ScaleOutRequest& request) {
@@ -128,23 +129,23 @@
   co_return true;
 }
 
-Task<HttpReply> ScaleOutRequests::ask_cloud(const ScaleOutRequest& request,
-                                            std::stop_token stop_token) {
+Task<HttpReply> ScaleOutRequests::send_with_retries(const ScaleOutRequest& request,
+                                                    std::stop_token stop_token) {
   const auto fencing_token = fencing_token_;
   HttpReply reply;
   for (int retries = 0; fencing_token == fencing_token_ && !stop_token.stop_requested();
        ++retries) {
     reply = co_await http_.request(settings_.cloud, Method::post, "/hosts",
                                    encode_scale_out_request(request), cloud_timeout_s);
-    if (is_answer(reply) || retries >= max_retries) break;
-    if (!co_await Sleep(loop_, loop_.uniform(min_retry_pause_s, max_retry_pause_s) * (retries + 1),
+    if (is_final_reply(reply) || retries >= max_retries) break;
+    if (!co_await Sleep(loop_, loop_.uniform(min_retry_delay_s, max_retry_delay_s) * (retries + 1),
                         stop_token))
       break;
   }
   co_return reply;
 }
 
-void ScaleOutRequests::note_answer(const ScaleOutRequest& request, const HttpReply& reply) {
+void ScaleOutRequests::apply_reply(const ScaleOutRequest& request, const HttpReply& reply) {
   const auto kind = kind_of(request);
   std::vector<std::string> machines;
   if (reply.status == 200) {
@@ -158,17 +159,19 @@
     refusal = {};
     return;
   }
-  last_refused_[kind] = loop_.now();
+  last_refused_at_[kind] = loop_.now();
   // For a time only: capacity comes back.
-  const double first_s = settings_.heartbeat_interval_s * first_pause_intervals;
-  refusal.pause_s =
-      refusal.pause_s > 0 ? std::min(refusal.pause_s * 2, first_s * max_pause_factor) : first_s;
-  refusal.until = loop_.now() + refusal.pause_s * loop_.uniform(1 - pause_jitter, 1 + pause_jitter);
+  const double first_backoff_s = settings_.heartbeat_interval_s * first_backoff_intervals;
+  refusal.backoff_s = refusal.backoff_s > 0
+                          ? std::min(refusal.backoff_s * 2, first_backoff_s * max_backoff_factor)
+                          : first_backoff_s;
+  refusal.until =
+      loop_.now() + refusal.backoff_s * loop_.uniform(1 - backoff_jitter, 1 + backoff_jitter);
   spdlog::debug("scale out: no capacity left for {} in {}{}", kind.type, kind.zone,
                 spot_suffix(kind.spot));
 }
 
-Task<void> ScaleOutRequests::forget_request(std::string id) {
+Task<void> ScaleOutRequests::remove_record(std::string id) {
   Transaction transaction;
   transaction.writes.push_back({keys::scale_out_request(id), Json(), 0});
   auto writes = transaction.writes;
@@ -176,7 +179,7 @@
       co_await store_.compare_and_swap(std::move(transaction), RequestPriority::scheduling);
   if (removed.outcome != TransactionOutcome::committed) co_return;
   cache_.apply_writes(writes, removed.revision);
-  answered_.erase(id);
+  answered_requests_.erase(id);
 }
 
 }  // namespace damsonport
--- a/src/coordination/autoscaling/scale_out_requests.hpp
+++ b/src/coordination/autoscaling/scale_out_requests.hpp
@@ -38,26 +38,26 @@
   void scale_out(const MachineKind& kind, int count, const std::stop_token& stop_token);
 
   /// A request for this kind has not been answered yet.
-  bool has_pending(const MachineKind& kind) const { return pending_.contains(kind); }
+  bool has_pending(const MachineKind& kind) const { return pending_counts_.contains(kind); }
   /// The cloud has refused this kind so lately that it isn't asked for it now.
   bool is_refused(const MachineKind& kind) const;
   /// The cloud has refused this kind, or created fewer than requested, within this time.
   bool is_scarce(const MachineKind& kind, double within_s) const;
   /// Capacity of this kind has come back.
-  void forget_refusal(const MachineKind& kind) { refusals_.erase(kind); }
+  void clear_refusal(const MachineKind& kind) { refusals_.erase(kind); }
 
  private:
   struct Refusal {
     double until = 0;
-    double pause_s = 0;
+    double backoff_s = 0;
   };
-  void start(ScaleOutRequest request, std::stop_token stop_token);
-  Task<void> run(ScaleOutRequest request, std::stop_token stop_token);
-  Task<void> carry_out(ScaleOutRequest request, std::stop_token stop_token);
+  void spawn_request(ScaleOutRequest request, std::stop_token stop_token);
+  Task<void> run_request(ScaleOutRequest request, std::stop_token stop_token);
+  Task<void> send_and_record(ScaleOutRequest request, std::stop_token stop_token);
   Task<bool> commit_request(const ScaleOutRequest& request);
-  Task<HttpReply> ask_cloud(const ScaleOutRequest& request, std::stop_token stop_token);
-  void note_answer(const ScaleOutRequest& request, const HttpReply& reply);
-  Task<void> forget_request(std::string id);
+  Task<HttpReply> send_with_retries(const ScaleOutRequest& request, std::stop_token stop_token);
+  void apply_reply(const ScaleOutRequest& request, const HttpReply& reply);
+  Task<void> remove_record(std::string id);
 
   Loop& loop_;
   const Settings& settings_;
@@ -67,9 +67,9 @@
   const uint64_t incarnation_;
   uint64_t fencing_token_ = 0;
   std::map<MachineKind, Refusal> refusals_;
-  std::map<MachineKind, double> last_refused_;
-  std::map<MachineKind, int> pending_;  // requests
-  std::set<std::string> answered_;      // whose records are still to be removed
+  std::map<MachineKind, double> last_refused_at_;
+  std::map<MachineKind, int> pending_counts_;  // requests
+  std::set<std::string> answered_requests_;    // whose records are still to be removed
 };
 
 }  // namespace damsonport
--- a/src/coordination/autoscaling/spot_placement.cpp
+++ b/src/coordination/autoscaling/spot_placement.cpp
@@ -8,12 +8,13 @@
 
 std::set<std::string> SpotPlacement::run() {
   if (input_.spot_work.empty()) return {};
-  auto open = candidates();
+  auto candidates_left = candidates();
   const Resources smallest = smallest_need();
   for (const auto& demand : input_.spot_work) {
-    place(demand, open);
+    place(demand, candidates_left);
     // Full machines are not examined again for each of many jobs.
-    std::erase_if(open, [&](const Candidate& c) { return !smallest.fits(c.capacity.free); });
+    std::erase_if(candidates_left,
+                  [&](const Candidate& c) { return !smallest.fits(c.capacity.free); });
   }
   return std::move(needed_);
 }
@@ -21,7 +22,7 @@
 // Where the cloud has no more of a machine, its capacity is kept for work that can't go to spot
 // ones.
 bool SpotPlacement::is_scarce(const MachineState& machine) const {
-  return std::any_of(input_.offers.begin(), input_.offers.end(), [&](const InstanceOffer& offer) {
+  return std::any_of(input_.offers.begin(), input_.offers.end(), [&](const MachineOffer& offer) {
     return offer.scarce && offer.kind.type == machine.type && offer.kind.zone == machine.zone &&
            offer.kind.spot == machine.spot;
   });
@@ -87,8 +88,8 @@
     left -= allocate_on(candidate, demand, left);
   }
   while (left > 0 && fleet_.can_grow()) {
-    const auto* offer =
-        selector_.cheapest_for(demand, InstanceSelector::Purchase::spot_only, fleet_.scale_out());
+    const auto* offer = selector_.cheapest_for(demand, MachineKindSelector::Purchase::spot_only,
+                                               fleet_.scale_out());
     if (!offer || offer->request_pending) break;
     const auto& type = *find_machine_type(input_.types, offer->kind.type);
     fleet_.request(offer->kind, type);
--- a/src/coordination/autoscaling/spot_placement.hpp
+++ b/src/coordination/autoscaling/spot_placement.hpp
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/autoscaling/instance_selector.hpp"
+#include "coordination/autoscaling/machine_kind_selector.hpp"
 #include "coordination/autoscaling/planned_fleet.hpp"
 
 namespace damsonport::autoscaling {
@@ -15,8 +15,8 @@
 /// Lives for one plan; refers to what it is given.
 class SpotPlacement {
  public:
-  SpotPlacement(const AutoscalerInput& input, const InstanceSelector& selector, PlannedFleet& fleet,
-                size_t& examined)
+  SpotPlacement(const AutoscalerInput& input, const MachineKindSelector& selector,
+                PlannedFleet& fleet, size_t& examined)
       : input_(input), selector_(selector), fleet_(fleet), examined_(examined) {}
 
   /// Requests the machines that are missing; returns the ids of existing ones that are needed.
@@ -38,7 +38,7 @@
   uint32_t allocate_on(Candidate& candidate, const ResourceDemand& demand, uint32_t count);
 
   const AutoscalerInput& input_;
-  const InstanceSelector& selector_;
+  const MachineKindSelector& selector_;
   PlannedFleet& fleet_;
   size_t& examined_;
   std::set<std::string> needed_;
--- a/tests/autoscaling/booting_machines_test.cpp
+++ b/tests/autoscaling/booting_machines_test.cpp
@@ -15,7 +15,7 @@
   BootingMachines booting;
   booting.add("i-1", {"g1", "a", false}, 10);
   const BootingMachine& again = booting.add("i-1", {"g1", "a", false}, 50);
-  EXPECT_DOUBLE_EQ(again.since, 10);
+  EXPECT_DOUBLE_EQ(again.created_at, 10);
   EXPECT_EQ(booting.all().size(), 1U);
   booting.remove("i-1");
   EXPECT_TRUE(booting.all().empty());
--- a/tests/spending_and_headroom_test.cpp
+++ b/tests/autoscaling/cost_and_headroom_test.cpp
@@ -75,16 +75,16 @@
 }
 
 TEST(Headroom, IsBoundedByUseAndPrice) {
-  headroom::Pool pool;
-  pool.in_use = 100, pool.unit_price = 2, pool.fleet_price = 200;
-  pool.expected = 15;
-  EXPECT_DOUBLE_EQ(headroom::target_headroom(pool, 0.25, 0.05), 15);
-  pool.expected = 60;
-  EXPECT_DOUBLE_EQ(headroom::target_headroom(pool, 0.25, 0.05), 25);
-  pool.expected = 0;
-  EXPECT_DOUBLE_EQ(headroom::target_headroom(pool, 0.25, 0.05), 5);
-  pool.unit_price = 0.05;
-  EXPECT_DOUBLE_EQ(headroom::target_headroom(pool, 0.25, 0.05), 25);
+  headroom::HeadroomInput input;
+  input.in_use = 100, input.unit_price = 2, input.fleet_price = 200;
+  input.expected = 15;
+  EXPECT_DOUBLE_EQ(headroom::target_headroom(input, 0.25, 0.05), 15);
+  input.expected = 60;
+  EXPECT_DOUBLE_EQ(headroom::target_headroom(input, 0.25, 0.05), 25);
+  input.expected = 0;
+  EXPECT_DOUBLE_EQ(headroom::target_headroom(input, 0.25, 0.05), 5);
+  input.unit_price = 0.05;
+  EXPECT_DOUBLE_EQ(headroom::target_headroom(input, 0.25, 0.05), 25);
 }
 
 }  // namespace
--- a/tests/autoscaling/scale_in_tracker_test.cpp
+++ b/tests/autoscaling/scale_in_tracker_test.cpp
@@ -47,7 +47,7 @@
   ScaleInTracker tracker;
   tracker.request("i-1", ScaleInCause::declared_dead);
   EXPECT_TRUE(tracker.is_declared_dead("i-1"));
-  EXPECT_TRUE(tracker.heard_again("i-1", false));
+  EXPECT_TRUE(tracker.note_heartbeat("i-1", false));
   EXPECT_FALSE(tracker.is_declared_dead("i-1"));
   EXPECT_FALSE(tracker.is_requested("i-1"));
   EXPECT_TRUE(tracker.request("i-1", ScaleInCause::policy));
@@ -56,7 +56,7 @@
 TEST(ScaleInTracker, ADeadMachineThatIsHeardAfterItsTombstoneStaysRequested) {
   ScaleInTracker tracker;
   tracker.request("i-1", ScaleInCause::declared_dead);
-  EXPECT_FALSE(tracker.heard_again("i-1", true));
+  EXPECT_FALSE(tracker.note_heartbeat("i-1", true));
   EXPECT_FALSE(tracker.is_declared_dead("i-1"));
   EXPECT_TRUE(tracker.is_requested("i-1"));
 }
@@ -64,7 +64,7 @@
 TEST(ScaleInTracker, AMachineRequestedForAnotherCauseIsNotRetainedWhenHeard) {
   ScaleInTracker tracker;
   tracker.request("i-1", ScaleInCause::policy);
-  EXPECT_FALSE(tracker.heard_again("i-1", false));
+  EXPECT_FALSE(tracker.note_heartbeat("i-1", false));
   EXPECT_TRUE(tracker.is_requested("i-1"));
 }
 
@@ -72,7 +72,7 @@
   ScaleInTracker tracker;
   tracker.request("i-1", ScaleInCause::declared_dead);
   tracker.begin_return_call("i-1");
-  EXPECT_TRUE(tracker.heard_again("i-1", false));
+  EXPECT_TRUE(tracker.note_heartbeat("i-1", false));
   tracker.request("i-1", ScaleInCause::policy);
   EXPECT_EQ(tracker.ready_for_return(Selection::all), Machines{});
   tracker.end_return_call("i-1");
