--- a/src/coordination/autoscaling/autoscaler.cpp
+++ b/src/coordination/autoscaling/autoscaler.cpp
@@ -13,11 +13,11 @@
 
 namespace {
 
-/// The least speed at which images are taken to be fetched, where the catalogue states none.
+/// Lower bound of the speed at which images are fetched; applies if the catalog states no speed.
 constexpr double min_fetch_gb_per_s = 1e-3;
 
-/// Makes one plan: replacements, unschedulable work, spot work and headroom in this order, and then
-/// returns what none of them needs.
+/// Makes one plan. Requests machines for replacements, unschedulable work, spot work and headroom,
+/// in this order, and then selects the machines to return: those that none of these needs.
 class Planner {
  public:
   explicit Planner(const AutoscalerInput& input)
@@ -53,14 +53,15 @@
     }
   }
 
-  // Capacity for all tasks, requesting machines where there is none; returns how many are left
-  // without.
+  // Allocates capacity for the tasks of the demand and requests machines for those that don't fit;
+  // returns the number of tasks left without capacity.
   uint32_t provision(const ResourceDemand& demand) {
     uint32_t left = demand.count - fleet_.allocate_any(demand, demand.count, examined_);
     while (left > 0 && fleet_.can_grow()) {
       const auto* offer =
           selector_.cheapest_for(demand, MachineKindSelector::Purchase::any, fleet_.scale_out());
-      // Work that may use spot machines is not worth a dearer one as long as the cheapest may come.
+      // Work that may use spot machines waits for the pending request of the cheapest kind, which
+      // is better than paying for a more expensive machine.
       if (!offer || offer->request_pending) break;
       request(*offer);
       ++examined_;
@@ -71,7 +72,8 @@
     return left;
   }
 
-  // Machines for all of a gang in one of its zones, or none.
+  // Allocates capacity and requests machines for a whole gang in the first of its zones that has
+  // enough for all its tasks. If no zone has, the plan remains unchanged.
   void provision_gang(const ResourceDemand& demand) {
     for (const auto& zone : zones_of(demand)) {
       ResourceDemand in_zone = demand;
@@ -91,7 +93,8 @@
     return zones;
   }
 
-  // Requests on-demand machines up to the pool's target; returns the units beyond it.
+  // Requests on-demand machines until the pool has its target headroom. Returns the surplus over
+  // the target, in units of the pool.
   double provision_headroom(Pool pool) {
     double headroom = free_on_demand(pool);
     double target = target_headroom(pool);
@@ -131,7 +134,8 @@
     return headroom::target_headroom(input, input_.headroom_share, input_.cheap_headroom_share);
   }
 
-  // As long as a replacement would take to boot and to fetch the images that this machine holds.
+  // Returns how long the machine may stay idle: the time that a replacement needs to boot and to
+  // fetch the images in this machine's cache, times `idle_replacements`.
   double idle_timeout_s(const MachineState& machine, const MachineType& type) const {
     const double fetch_s = machine.images_gb / std::max(type.fetch_gb_per_s, min_fetch_gb_per_s);
     return input_.idle_replacements * (type.boot_s + fetch_s);
@@ -143,7 +147,8 @@
     return machine.idle_s >= idle_timeout_s(machine, *type) && !fleet_.requests_type(machine.type);
   }
 
-  // Spot machines that no work needs, and on-demand ones within the surplus of their pool.
+  // Returns the idle machines to return: spot machines that no work needs, and on-demand machines
+  // within the surplus of their pool.
   std::vector<std::string> scale_in(double surplus_gpus, double surplus_cpus) const {
     std::vector<std::string> out;
     for (const auto& machine : input_.machines) {
@@ -165,7 +170,7 @@
   const AutoscalerInput& input_;
   const MachineKindSelector selector_;
   PlannedFleet fleet_;
-  size_t examined_;  // machines looked at
+  size_t examined_;  // number of machines examined
   std::set<std::string> needed_spot_machines_;
 };
 
--- a/src/coordination/autoscaling/autoscaler_driver.cpp
+++ b/src/coordination/autoscaling/autoscaler_driver.cpp
@@ -10,11 +10,12 @@
 namespace damsonport {
 
 namespace {
-// Leases for which a kind that was refused counts as scarce.
+// Time for which a machine kind counts as scarce after a refusal, in multiples of lease_s.
 constexpr double scarcity_leases = 10;
-// Heartbeat intervals for which a machine that is up and was not heard counts as booting.
+// Time for which a machine that is up counts as booting before its first heartbeat, in heartbeat
+// intervals.
 constexpr double first_heartbeat_intervals = 4;
-// Tasks that a team without a limit may run at once.
+// Limit on the concurrent tasks of a job whose team has no quota limit.
 constexpr double unlimited_team_tasks = 1e6;
 
 MachineKind kind_of(const Machine& machine) { return {machine.type, machine.zone, machine.spot}; }
@@ -46,7 +47,7 @@
       booting_.add(listed.id, {listed.type, listed.zone, listed.spot}, now - listed.age_s);
   auto machine = deps_.machines.find(listed.id);
   if (machine != deps_.machines.end() && machine->second.agent_epoch != 0) {
-    booting_.remove(listed.id);  // the list lags
+    booting_.remove(listed.id);  // the machine list lags behind
   } else if (BootingMachines::has_failed(booting, deps_.catalog.type(listed.type), now)) {
     deps_.scale_in.request(listed.id, "it does not boot");
   }
@@ -56,10 +57,11 @@
                                      bool declared_dead) {
   booting_.remove(id);
   if (!machine || machine->type.empty()) return;
-  // The cloud has capacity of this kind again: it may be asked for it despite an earlier refusal.
+  // The cloud has capacity of this kind again, so that the kind may be requested despite an earlier
+  // refusal.
   scale_out_requests_.clear_refusal(kind_of(*machine));
-  // What ran there shows as demand only once its exits are committed, and booting takes longer
-  // still.
+  // The replacement is requested now: the machine's tasks become demand only after their exits are
+  // committed, and the replacement then still has to boot.
   if (declared_dead) lost_machine_kinds_.push_back({machine->type, machine->zone, machine->spot});
 }
 
@@ -74,7 +76,7 @@
   }
 }
 
-// How many tasks of this kind its team may run at once at the most.
+// Returns how many tasks of this job the quota limit of its team allows at the same time.
 uint64_t AutoscalerDriver::max_team_tasks(const JobSpec& spec) const {
   constexpr double rounding = 1e-6;
   auto* team = deps_.settings.team(spec.team);
@@ -85,7 +87,8 @@
   return static_cast<uint64_t>(tasks + rounding);
 }
 
-// From the jobs that are known: a new shard leader expects what the last one did.
+// Derives the expected arrivals from the stored jobs, so that a new shard leader expects the same
+// demand as its predecessor.
 void AutoscalerDriver::add_expected_arrivals(autoscaling::AutoscalerInput& input) const {
   double gpu_boot_s = 0;
   double cpu_boot_s = 0;
@@ -152,7 +155,7 @@
   state.empty = deps_.cache.assigned(machine.id).empty() && machine.tasks.empty();
   state.idle_s = now - machine.idle_since;
   for (auto& [image, use] : machine.images.images()) state.images_gb += use.second;
-  // Up but not heard yet counts as on its way.
+  // A machine that is up but has not sent its first heartbeat counts as booting.
   state.booting = machine.agent_epoch == 0 &&
                   deps_.failure_detector.since_last_heartbeat_s(machine, now) <
                       first_heartbeat_intervals * deps_.settings.heartbeat_interval_s;
@@ -205,7 +208,8 @@
   return input;
 }
 
-// Of stragglers, and of machines that were declared dead.
+// Adds the replacements of stragglers and of machines that were declared dead, except for kinds
+// with a pending request.
 void AutoscalerDriver::add_replacements(autoscaling::AutoscalerInput& input) {
   for (auto& [id, machine] : deps_.machines) {
     const bool needs_replacement =
--- a/src/coordination/autoscaling/autoscaler_driver.hpp
+++ b/src/coordination/autoscaling/autoscaler_driver.hpp
@@ -1,5 +1,5 @@
-/// Runs the autoscaler: gathers its input from the records and the machines, and carries its plan
-/// out through ScaleOutRequests and ScaleIn.
+/// Runs the autoscaler: builds its input from the records and the machines, and executes its plan
+/// through ScaleOutRequests and ScaleIn.
 #pragma once
 #include <functional>
 #include <map>
@@ -22,11 +22,12 @@
 
 namespace damsonport {
 
-/// Owned by the shard leader, whose machines it reads; of them it changes only
-/// `Machine::replacement_requested`. run() is called by the maintenance coroutine, and only while
-/// this controller is the cluster leader too.
+/// Connects the autoscaler with the shard leader, which owns the driver. The driver reads the
+/// leader's machines and changes only `Machine::replacement_requested` in them. The leader's
+/// maintenance coroutine calls run(), and only while this controller is also the cluster leader.
 class AutoscalerDriver {
  public:
+  /// Dependencies of the driver. The referenced objects must outlive it.
   struct Dependencies {
     Loop& loop;
     const Settings& settings;
@@ -39,37 +40,41 @@
     const FaultAttribution& faults;
     const FailureDetector& failure_detector;
     ScaleIn& scale_in;
-    uint64_t incarnation;
+    uint64_t incarnation;  ///< of this controller process; part of the request ids
     /// Whether the scheduler may place tasks on the machine now.
     std::function<bool(const Machine&)> is_schedulable;
   };
   explicit AutoscalerDriver(Dependencies dependencies);
-  // Hands callbacks on itself out.
+  // Not copyable, because a callback of scale_out_requests_ refers to this object.
   AutoscalerDriver(const AutoscalerDriver&) = delete;
   AutoscalerDriver& operator=(const AutoscalerDriver&) = delete;
 
-  /// A lease with this fencing token begins: what is known of an earlier one is forgotten.
+  /// Starts a lease with this fencing token: drops the state of an earlier lease.
   void begin_lease(uint64_t fencing_token);
-  /// The lease is over: requests under way end without effect.
+  /// Ends the lease: scale-out requests in progress end without effect.
   void end_lease();
 
-  /// Scales out and in once. `unschedulable`: the demand that the last scheduling cycle could not
-  /// place.
+  /// Makes one scaling plan and executes it. `unschedulable`: the demand that the last scheduling
+  /// cycle could not place.
   void run(const std::vector<autoscaling::ResourceDemand>& unschedulable,
            const std::stop_token& stop_token);
 
-  /// The machine list names a machine that is starting.
+  /// Records a machine that the cloud's machine list names as booting (state "starting"). Requests
+  /// its return if it has been booting for too long.
   void note_booting(const ListedMachine& listed);
-  /// A heartbeat of the machine was taken: it is up.
+  /// Handles a heartbeat of the machine, which shows that the machine is up.
   void note_heartbeat(const std::string& machine) { booting_.remove(machine); }
-  /// The cloud has taken the machine back. `declared_dead`: its capacity is to be replaced.
+  /// Handles the confirmed return of the machine to the cloud. `machine`: null if the shard leader
+  /// doesn't have it. `declared_dead`: whether the machine is to be replaced because it was
+  /// declared dead.
   void note_returned(const std::string& id, const Machine* machine, bool declared_dead);
 
-  /// The cloud has refused machines of this kind lately.
+  /// Whether the cloud has refused machines of this kind recently.
   [[nodiscard]] bool is_refused(const MachineKind& kind) const {
     return scale_out_requests_.is_refused(kind);
   }
-  /// Calls `visit` for each machine that is booting and expected in time.
+  /// Calls `visit` for each booting machine that is not late, has sent no heartbeat yet and is not
+  /// to be returned.
   void for_each_expected_machine(const std::function<void(const std::string&, const BootingMachine&,
                                                           const MachineType&)>& visit) const;
 
@@ -89,7 +94,7 @@
   ScaleOutRequests scale_out_requests_;
   CostAccount cost_account_;
   BootingMachines booting_;
-  // Kinds of machines that were declared dead and returned, to be replaced.
+  // The kinds of machines that were declared dead and returned and that are still to be replaced.
   std::vector<MachineKind> lost_machine_kinds_;
 };
 
--- a/src/coordination/autoscaling/booting_machines.cpp
+++ b/src/coordination/autoscaling/booting_machines.cpp
@@ -3,10 +3,10 @@
 namespace damsonport {
 
 namespace {
-// Multiples of the type's boot time.
+// The boot time after which a machine is late or has failed, as a multiple of its type's boot time.
 constexpr double late_boot_factor = 1.6;
 constexpr double failed_boot_factor = 4.0;
-// Assumed for a type that the catalog doesn't have.
+// Boot time assumed for a type that the catalog doesn't have.
 constexpr double default_boot_s = 60;
 }  // namespace
 
--- a/src/coordination/autoscaling/booting_machines.hpp
+++ b/src/coordination/autoscaling/booting_machines.hpp
@@ -1,5 +1,5 @@
-/// The machines that the cloud has created and that have sent no heartbeat yet. Pure: the time is
-/// passed in.
+/// The machines that the cloud has created and that have not sent a heartbeat yet. Does no I/O and
+/// reads no clock: the caller passes in the time.
 #pragma once
 #include <map>
 #include <string>
@@ -9,27 +9,30 @@
 
 namespace damsonport {
 
+/// A machine that the cloud has created and that is not up yet.
 struct BootingMachine {
   MachineKind kind;
-  double created_at = 0;  ///< created at this time of the loop's clock
+  double created_at = 0;  ///< time of creation by the loop's clock, in seconds
 };
 
-/// Owned by the AutoscalerDriver. Kept in the order of the machine ids. Invariant: the time of
-/// creation of a machine is that of the first mention.
+/// The set of booting machines, ordered by machine id. The AutoscalerDriver owns it. Invariant: the
+/// creation time of a machine is the one given by the first call of add() for the machine.
 class BootingMachines {
  public:
-  /// The machine was created at this time, unless it is known already. Yields what is known of it.
+  /// Adds the machine with this creation time, unless the machine is in the set already. Returns
+  /// its entry, which is valid until remove() or clear().
   const BootingMachine& add(const std::string& machine, const MachineKind& kind, double created_at);
-  /// It is up, or gone.
+  /// Removes a machine that is up or no longer exists.
   void remove(const std::string& machine) { machines_.erase(machine); }
   void clear() { machines_.clear(); }
   [[nodiscard]] const std::map<std::string, BootingMachine>& all() const { return machines_; }
 
-  /// Whether the machine has been booting for so long that its capacity is no longer counted on.
+  /// Whether the machine has been booting for so long that plans no longer include its capacity.
   static bool is_late(const BootingMachine& machine, const MachineType& type, double now);
-  /// Whether it has been booting for so long that it will not come up. `type`: null where unknown.
+  /// Whether the machine has been booting for so long that it is taken to have failed. `type`: null
+  /// if the catalog doesn't have the machine's type; a default boot time applies then.
   static bool has_failed(const BootingMachine& machine, const MachineType* type, double now);
-  /// Seconds after which a machine of this type is late; `type`: null where unknown, then none.
+  /// Returns the number of seconds after which a machine of this type is late; 0 if `type` is null.
   static double late_after_s(const MachineType* type);
 
  private:
--- a/src/coordination/autoscaling/cost_account.cpp
+++ b/src/coordination/autoscaling/cost_account.cpp
@@ -10,8 +10,8 @@
 
 constexpr double seconds_per_hour = 3600;
 
-/// The part of a machine's price that its tasks take is "in use", the rest is idle; a booting
-/// machine's price is counted apart.
+/// Splits the price of a machine: the share that its tasks occupy counts as in use, the rest as
+/// idle. The price of a booting machine counts as booting only.
 Cost hourly_cost(const autoscaling::MachineState& machine, double price) {
   if (machine.booting) return {price, 0, 0};
   const double in_use = price * utilisation(machine);
--- a/src/coordination/autoscaling/cost_account.hpp
+++ b/src/coordination/autoscaling/cost_account.hpp
@@ -1,5 +1,5 @@
-/// What the machines cost and what for, by kind of machine, since the shard lease began. Pure: time
-/// and prices are passed in.
+/// Cost of the machines since the shard lease began, by machine kind and by use. Does no I/O and
+/// reads no clock: the caller passes in the time and the prices.
 #pragma once
 #include <map>
 #include <optional>
@@ -10,38 +10,43 @@
 
 namespace damsonport {
 
-/// Money, or money an hour, by what the machine does meanwhile.
+/// An amount of money, or of money per hour, split by the use of the machines.
 struct Cost {
-  double booting = 0;  ///< Not up yet.
-  double in_use = 0;   ///< The share of a machine that its tasks occupy.
-  double idle = 0;     ///< The rest.
+  double booting = 0;  ///< machines that are not up yet
+  double in_use = 0;   ///< share of the machines that tasks occupy
+  double idle = 0;     ///< remaining share of the machines
   double total() const { return booting + in_use + idle; }
 };
 
-/// The largest share of a machine's CPUs, accelerators or memory that its tasks occupy: 0 to 1.
+/// Returns the share of the machine's most used resource (CPUs, accelerators or memory) that its
+/// tasks occupy, from 0 to 1.
 double utilisation(const autoscaling::MachineState& machine);
 
-/// Owned by the shard leader; charged each time the autoscaler runs.
+/// Adds up the cost of the machines over one shard lease. The AutoscalerDriver owns the account and
+/// charges the machines to it on each run.
 class CostAccount {
  public:
+  /// Cost of the machines of one kind.
   struct KindCost {
-    size_t machines = 0;
-    Cost hourly;
-    Cost spent;
+    size_t machines = 0;  ///< number of machines at the last charge
+    Cost hourly;          ///< cost per hour at the last charge
+    Cost spent;           ///< cost since the lease began
   };
 
-  /// A shard lease begins at `now`: forgets what was charged before.
+  /// Resets the account for a shard lease that begins at `now`.
   void begin_lease(double now);
-  /// Charges the time since the last call for the machines that are there now, at these prices.
+  /// Charges the time since the last call (or the begin of the lease) for these machines, at the
+  /// prices of `types`.
   void charge(const std::vector<autoscaling::MachineState>& machines,
               const std::vector<MachineType>& types, double now);
-  /// A line for the log; empty before `every_s` seconds have passed since the last one.
+  /// Returns a log line with the costs, or nothing if the last report was less than `every_s`
+  /// seconds ago.
   std::optional<std::string> report(double now, double every_s);
 
-  /// Since the lease began.
+  /// Cost of all machines since the lease began.
   const Cost& spent() const { return spent_; }
-  /// As of the last charge, by type, zone and spot or on-demand; kinds without any machine left
-  /// keep what they cost.
+  /// Costs by machine kind, as of the last charge. Each key is a text such as "TYPE in ZONE
+  /// (spot)". A kind without machines keeps the cost that it has caused.
   const std::map<std::string, KindCost>& kinds() const { return kinds_; }
 
  private:
--- a/src/coordination/autoscaling/headroom.cpp
+++ b/src/coordination/autoscaling/headroom.cpp
@@ -6,9 +6,10 @@
 namespace damsonport::headroom {
 
 namespace {
-/// Boot times over which arrivals are counted.
+/// Window in which arrivals are counted, in boot times.
 constexpr double arrival_window_boots = 5;
-/// How long a boot is taken to last, in boot times of the catalogue, which are the usual ones.
+/// Assumed duration of a boot, in boot times of the catalog. The catalog states the usual duration,
+/// so that some boots take longer.
 constexpr double assumed_boot_factor = 1.5;
 }  // namespace
 
--- a/src/coordination/autoscaling/headroom.hpp
+++ b/src/coordination/autoscaling/headroom.hpp
@@ -1,33 +1,37 @@
-/// Headroom: capacity kept ready for work that has not arrived yet, sized by recent arrivals and by
-/// its price. Pure.
+/// Headroom: capacity that is kept free for work that has not arrived yet. Its size depends on
+/// recent arrivals and on its price. All functions are pure.
 #pragma once
 #include <vector>
 
 namespace damsonport::headroom {
 
-/// A job that was accepted lately.
+/// A recently accepted job.
 struct Arrival {
-  double age_s = 0;   ///< Seconds since it was accepted.
-  double amount = 0;  ///< Accelerators or CPUs that its tasks take together.
+  double age_s = 0;   ///< seconds since acceptance
+  double amount = 0;  ///< accelerators or CPUs of all its tasks together
 };
 
-/// Demand likely to arrive until a machine that is requested now is up: the mean of the arrivals
-/// over some boot times plus `standard_deviations` standard deviations, as if jobs came
-/// independently of one another. Older arrivals don't count, except that they show for how long
-/// arrivals have been seen.
+/// Returns the demand that is likely to arrive before a machine requested now is up, in
+/// accelerators or CPUs: the mean of the arrivals during one boot plus `standard_deviations`
+/// standard deviations, on the assumption that jobs arrive independently of one another. Both are
+/// estimated from the arrivals within the last few boot times. An older arrival adds no demand, but
+/// shows that arrivals have been observed for the whole window. `boot_s`: boot time stated in the
+/// catalog, in seconds.
 double expected_arrivals(const std::vector<Arrival>& arrivals, double boot_s,
                          double standard_deviations);
 
-/// One resource: accelerators, or CPUs of machines without any.
+/// Usage and prices of one pool. Its unit is an accelerator, or a CPU of machines without
+/// accelerators.
 struct HeadroomInput {
-  double in_use = 0;       ///< Units that unfinished work uses or asks for.
-  double expected = 0;     ///< Units of expected arrivals.
-  double unit_price = 0;   ///< Price of a unit an hour.
-  double fleet_price = 0;  ///< Price of all machines an hour.
+  double in_use = 0;       ///< units used or requested by unfinished work
+  double expected = 0;     ///< units of expected arrivals
+  double unit_price = 0;   ///< price of one unit per hour
+  double fleet_price = 0;  ///< price of all machines of the fleet per hour
 };
 
-/// Units to keep free: `headroom_share` of what is in use, but, where that costs more than
-/// `cheap_share` of the fleet's price, no more than that or than what is expected to arrive.
+/// Returns the number of units to keep free: `headroom_share` of the units in use. Headroom that
+/// costs more than `cheap_share` of the fleet's price is limited to the expected arrivals or, if
+/// that is more, to the units that this share of the price pays for.
 double target_headroom(const HeadroomInput& input, double headroom_share, double cheap_share);
 
 }  // namespace damsonport::headroom
--- a/src/coordination/autoscaling/machine_kind_selector.cpp
+++ b/src/coordination/autoscaling/machine_kind_selector.cpp
@@ -8,12 +8,13 @@
 
 namespace {
 
-/// Added to the cost of a kind for each machine of its type in its zone, as a share: among kinds of
-/// equal price the zone with fewer machines wins, so that the fleet stays spread.
+/// Surcharge on the cost of a kind for each machine of its type in its zone, as a share of the
+/// cost: among kinds of equal price the zone with fewer machines is chosen, which spreads the fleet
+/// over the zones.
 constexpr double spread_penalty_per_machine = 1e-3;
-/// Tasks that a machine holds at most, for demands without any need.
+/// Limit on the tasks per machine, for demands whose tasks need no resources.
 constexpr double max_tasks_per_machine = 1e6;
-/// Tolerance of the division of a machine by a task.
+/// Tolerance for rounding errors when the capacity of a machine is divided by the need of a task.
 constexpr double rounding_tolerance = 1e-6;
 
 double tasks_per_machine(const Resources& need, const Resources& capacity) {
--- a/src/coordination/autoscaling/machine_type_catalog.cpp
+++ b/src/coordination/autoscaling/machine_type_catalog.cpp
@@ -7,14 +7,15 @@
 namespace damsonport {
 
 namespace {
-/// Only prices change.
+/// Interval between two refreshes of a loaded catalog, in which only prices change.
 constexpr double refresh_s = 120;
 constexpr double request_timeout_s = 3.0;
-/// Added to the time that the cloud's rate limit asks for between two tries.
+/// Added between two attempts to the shortest interval that the cloud's rate limit permits.
 constexpr double retry_margin_s = 0.2;
-/// Share of the pause that is drawn at random, to either side.
+/// Random deviation of a delay in either direction, as a share of the delay.
 constexpr double delay_jitter = 0.2;
-/// Stands for the price of a catalogue without any price, so that shares of it are finite.
+/// Lower bound of the highest price: keeps ratios to it finite if no type in the catalog has a
+/// price.
 constexpr double min_highest_price = 1e-9;
 
 }  // namespace
--- a/src/coordination/autoscaling/machine_type_catalog.hpp
+++ b/src/coordination/autoscaling/machine_type_catalog.hpp
@@ -1,5 +1,5 @@
-/// The machine types that the cloud offers, with their prices. Every controller reads them: the
-/// admission check and the autoscaler need them.
+/// The machine types that the cloud offers, with their prices. Every controller reads the catalog,
+/// because the admission check and the autoscaler depend on it.
 #pragma once
 #include <stop_token>
 #include <string>
@@ -12,24 +12,24 @@
 
 namespace damsonport {
 
-/// The coroutine of `refresh_periodically` owns the list; others read it between its suspension
-/// points. Pointers and references to its entries are not to be kept over a co_await: each refresh
-/// replaces them.
+/// The local copy of the cloud's catalog. Only the coroutine of `refresh_periodically` changes the
+/// list of types. Other coroutines may read the list, but must not keep pointers or references to
+/// its entries across a co_await: each refresh replaces all entries.
 class MachineTypeCatalog {
  public:
   MachineTypeCatalog(Loop& loop, HttpClient& http, const Settings& settings)
       : loop_(loop), http_(http), settings_(settings) {}
 
-  /// Reads the catalogue until it is known, and then refreshes it from time to time. To be run once
-  /// for the life of the process; ends when `stop_token` is stopped.
+  /// Requests the catalog until the first successful read, then refreshes it periodically.
+  /// Runs once for the life of the process and ends when a stop is requested through `stop_token`.
   Task<void> refresh_periodically(std::stop_token stop_token);
 
-  /// It was read at least once.
+  /// Whether the catalog was read at least once.
   bool loaded() const { return !types_.empty(); }
   const std::vector<MachineType>& types() const { return types_; }
-  /// The type of this name, or null.
+  /// Returns the type with this name, or null if there is none. Valid until the next refresh.
   const MachineType* type(const std::string& name) const;
-  /// On-demand price an hour of the dearest type; above 0.
+  /// Returns the highest on-demand price per hour of all types; always above 0.
   double highest_price() const;
 
  private:
--- a/src/coordination/autoscaling/planned_fleet.cpp
+++ b/src/coordination/autoscaling/planned_fleet.cpp
@@ -8,8 +8,9 @@
 
 namespace {
 
-/// Machines requested in one plan, as a share of the fleet, and at the least: two requests' worth,
-/// so that a fleet that begins with nothing has grown after a few plans.
+/// Limit on the machines that one plan requests, as a share of the fleet. The limit is never below
+/// `min_growth`, the machines of two full requests, so that a fleet that starts empty grows to its
+/// size within a few plans.
 constexpr double max_growth_share = 0.25;
 constexpr int min_growth = 100;
 
--- a/src/coordination/autoscaling/scale_in.cpp
+++ b/src/coordination/autoscaling/scale_in.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 constexpr size_t max_machines_per_call = 100;
-// A tick; the cloud's call rate is also needed for scaling out.
+// Limit for one call of return_machines(), because scale-out shares the cloud's call rate.
 constexpr size_t max_calls_per_tick = 4;
 constexpr double cloud_timeout_s = 3.0;
 }  // namespace
@@ -40,8 +40,9 @@
   return machines_per_tombstone(deps_.settings.state_limits.always().value_kb);
 }
 
-// Many machines fail together, and the tasks of each wait for its return: so their tombstones are
-// written in bulk, a hundred in one record, and those of the most urgent tasks first.
+// Many machines can fail at once, and the tasks of each machine wait for its return. Their
+// tombstones are therefore written in batches, up to a hundred machines in one record, and the
+// machines with the most urgent tasks come first.
 Task<void> ScaleIn::return_machines(ScaleInTracker::Selection selection,
                                     std::stop_token stop_token) {
   co_await write_deferred_tombstones();
@@ -85,10 +86,11 @@
                    [&](auto& a, auto& b) { return urgency[a] > urgency[b]; });
 }
 
-// No tombstone can be written in an outage of the store, and a cancelled task must end all the
-// same. Nobody can place anything either. The tombstone is written after the outage; a shard leader
-// that doesn't know of the return declares the machine dead and returns it once more. Keeps only
-// the machines that must go now; false: there are none.
+// During an outage of the key-value store no tombstone can be written, but a cancelled task must
+// end nevertheless. A return without a tombstone is safe, because no controller can place tasks
+// during the outage. The tombstone is written after the outage; a shard leader that doesn't know of
+// the return declares the machine dead and returns it a second time. Reduces `machines` to those
+// that keep a cancelled task; returns false if none of them may be returned now.
 bool ScaleIn::defer_tombstones(std::vector<std::string>& machines) {
   std::erase_if(machines, [&](auto& machine) { return !tracker_.keeps_cancelled_task(machine); });
   if (deps_.contact.in_contact() || machines.empty()) return false;
@@ -97,7 +99,7 @@
 }
 
 Task<bool> ScaleIn::write_tombstones(std::vector<std::string> machines) {
-  // A key of its own for each batch: a record that is written again would lose the machines it had.
+  // Each batch has its own key: overwriting a record would lose the machines that it names.
   const auto key = keys::tombstone(std::to_string(deps_.incarnation) + "-" +
                                    std::to_string(deps_.loop.random64()));
   Transaction transaction;
--- a/src/coordination/autoscaling/scale_in.hpp
+++ b/src/coordination/autoscaling/scale_in.hpp
@@ -1,5 +1,6 @@
-/// Scale-in: gives machines back to the cloud, each after its tombstone was written, so that no
-/// controller uses it again and a late return does no harm.
+/// Scale-in: returns machines to the cloud. The tombstone of a machine is written first, so that no
+/// controller uses the machine again and a delayed return call does no harm. The only exception are
+/// machines that keep a cancelled task during an outage of the key-value store.
 #pragma once
 #include <functional>
 #include <stop_token>
@@ -15,10 +16,12 @@
 
 namespace damsonport {
 
-/// Owned by the shard leader. Requests may come from any of its coroutines; the returns themselves
-/// are carried out by its maintenance coroutine alone, through return_machines().
+/// Returns machines on request. The shard leader owns the object. Any of the leader's coroutines
+/// may request a return; only its maintenance coroutine executes the returns, through
+/// return_machines().
 class ScaleIn {
  public:
+  /// Dependencies of ScaleIn. The referenced objects must outlive it.
   struct Dependencies {
     Loop& loop;
     const Settings& settings;
@@ -26,42 +29,46 @@
     KeyValueClient& store;
     HttpClient& http;
     const StoreContact& contact;
-    Notification& changed;  ///< notified when returns were confirmed
-    uint64_t incarnation;
+    Notification& changed;  ///< notified after the cloud confirmed returns
+    uint64_t incarnation;   ///< of this controller process; part of the tombstones' keys
     /// Whether this controller still holds the shard lease.
     std::function<bool()> is_leading;
-    /// A machine is newly to be returned: it takes no more tasks.
+    /// Called for each new return that request() records: the machine must get no further tasks.
     std::function<void(const std::string& machine)> on_requested;
-    /// The cloud has confirmed the return, which proves that every task placed there has ended.
-    /// Called once for each machine, after the machine is known as returned.
+    /// Called after the cloud has confirmed the return of a machine, which proves that every task
+    /// placed there has ended. The tracker lists the machine as returned by then. Called once per
+    /// machine and lease.
     std::function<void(const std::string& machine, bool declared_dead)> on_returned;
   };
   explicit ScaleIn(Dependencies dependencies) : deps_(std::move(dependencies)) {}
 
-  /// A lease with this fencing token begins: what is known of an earlier one is forgotten.
+  /// Starts a lease with this fencing token: drops all requests of an earlier lease.
   void begin_lease(uint64_t fencing_token);
-  /// The lease is over: answers of the cloud to calls under way are ignored. Which machines were
-  /// returned stays known, so that late heartbeats of them are refused.
+  /// Ends the lease: replies of the cloud to calls in flight are ignored. The tracker keeps the
+  /// list of returned machines, so that their late heartbeats are rejected.
   void end_lease() { fencing_token_ = 0; }
 
-  /// Has the machine returned, unless that was requested before. `reason` is for the log only.
+  /// Requests the return of the machine, unless it was requested before. `reason` is only logged;
+  /// `cause` determines how the return proceeds.
   void request(const std::string& machine, const std::string& reason,
                ScaleInCause cause = ScaleInCause::policy);
-  /// The machine has a tombstone already, written by this controller or an earlier shard leader:
-  /// the cloud is asked to take it back (again), which is harmless.
+  /// Requests the return of a machine whose tombstone was written before, by this controller or an
+  /// earlier shard leader. A repeated return call for the same machine is harmless.
   void resume(const std::string& machine);
-  /// A heartbeat of the machine was taken: where it was to be returned only for its silence and has
-  /// no tombstone yet, it is kept with what runs there.
+  /// Handles a heartbeat of the machine: if its return was requested because it was declared dead,
+  /// and it has no tombstone yet, the machine is kept together with its tasks.
   void note_heartbeat(const std::string& machine);
 
-  /// Writes tombstones and asks the cloud, for a bounded number of machines; those of the most
-  /// urgent tasks first.
+  /// Writes tombstones and sends return calls to the cloud, for a bounded number of machines.
+  /// Machines with the most urgent tasks come first.
   Task<void> return_machines(ScaleInTracker::Selection selection, std::stop_token stop_token);
 
-  /// To be returned, or marked with a tombstone: to be left out of every decision.
+  /// Whether the return of the machine is requested or the machine has a tombstone. Such a machine
+  /// must be excluded from every decision.
   [[nodiscard]] bool is_leaving(const std::string& machine) const {
     return deps_.cache.has_tombstone(machine) || tracker_.is_requested(machine);
   }
+  /// The state of each return, read-only.
   [[nodiscard]] const ScaleInTracker& tracker() const { return tracker_; }
 
  private:
--- a/src/coordination/autoscaling/scale_in_tracker.hpp
+++ b/src/coordination/autoscaling/scale_in_tracker.hpp
@@ -1,5 +1,5 @@
-/// How far each machine that is to be given back to the cloud has come: a pure state machine
-/// without I/O, time or randomness. ScaleIn carries the steps out.
+/// Tracks the progress of each machine's return to the cloud: a pure state machine without I/O,
+/// time or randomness. ScaleIn executes the steps.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -9,64 +9,68 @@
 
 namespace damsonport {
 
-/// Where a machine stands on its way back to the cloud.
+/// Progress of the return of a machine.
 enum class ScaleInState : uint8_t {
-  retained,   ///< in service; the record only carries flags of an earlier or unfinished return
-  requested,  ///< to be returned: next its tombstone is written, then the cloud is asked
-  returned,   ///< the cloud has confirmed it: the machine is gone, with everything on it
+  retained,   ///< in service; only flags of an earlier or unfinished return remain
+  requested,  ///< return requested; next steps: tombstone, then return call to the cloud
+  returned,   ///< return confirmed by the cloud; machine and tasks no longer exist
 };
 
-/// Why a machine is returned, as far as it changes how.
+/// Why a machine is returned, where the cause affects how the return proceeds.
 enum class ScaleInCause : uint8_t {
-  policy,                ///< idle, drained, failed, not booting: nothing is special about it
-  declared_dead,         ///< only for missed heartbeats: kept if heard before the tombstone
-  keeps_cancelled_task,  ///< goes first, and in a store outage without a tombstone
+  policy,                ///< idle, drained, failed or failed to boot; no special handling
+  declared_dead,         ///< missed heartbeats only; retained on a heartbeat before the tombstone
+  keeps_cancelled_task,  ///< first in order; in a store outage without a tombstone
 };
 
-/// The record of every machine that was requested since the lease began.
+/// Holds a record of every machine whose return was requested since the lease began.
 ///
-/// Invariants: `returned` is final within a lease, and a returned machine is neither declared dead
-/// nor kept for a cancelled task by the request that returned it. The flags are independent of the
-/// state: a machine that is heard again becomes `retained` while the cloud is still being asked for
-/// its return or while its tombstone is still to be written. Whether the tombstone is written is
-/// known by the records (RecordCache), not here.
+/// Invariants: `returned` is final within a lease, and confirming a return clears the flags that
+/// mark the machine as declared dead or as keeping a cancelled task. The flags are independent of
+/// the state: a heartbeat can make a machine `retained` while a return call for the machine is in
+/// flight or while its tombstone is still to be written. RecordCache, not this class, tells whether
+/// a tombstone is written.
 ///
-/// All lists are in the order of the machine ids. Owned and changed by ScaleIn.
+/// All lists are in the order of the machine ids. ScaleIn owns the tracker and alone changes it.
 class ScaleInTracker {
  public:
   using Predicate = std::function<bool(const std::string& machine)>;
 
-  /// Forgets everything: a new lease begins.
+  /// Removes all records, because a new lease begins.
   void clear();
 
-  /// Takes note of a request. True: it is a new one. A machine that is requested already or that
-  /// was returned is not requested again; `cause` is noted all the same.
+  /// Requests the return of a machine. Returns true if the request is new. A machine that is
+  /// already requested or returned is not requested again, but `cause` is recorded in any case.
   bool request(const std::string& machine, ScaleInCause cause);
-  /// A heartbeat of the machine came. True: it was to be returned only because it was declared
-  /// dead, nothing of that is written (`has_tombstone`), and it is retained.
+  /// Handles a heartbeat of the machine. Returns true if the machine changes to `retained`: its
+  /// return was requested, it was declared dead, and it has no tombstone (`has_tombstone`) yet. In
+  /// either case the machine no longer counts as declared dead.
   bool note_heartbeat(const std::string& machine, bool has_tombstone);
 
-  /// The cloud is being asked for the return, or no longer is.
+  /// Marks the begin and the end of a return call to the cloud for the machine.
   void begin_return_call(const std::string& machine);
   void end_return_call(const std::string& machine);
-  /// The cloud is asked although no tombstone could be written; it is made up for later.
+  /// Records that the return call is sent before a tombstone could be written; the tombstone is to
+  /// be written later.
   void defer_tombstone(const std::string& machine);
+  /// Records that the deferred tombstone of the machine is written.
   void note_tombstone_written(const std::string& machine);
-  /// The cloud has confirmed the return. True: the machine had been declared dead.
+  /// Records that the cloud confirmed the return. Returns true if the machine was declared dead
+  /// before.
   bool confirm_return(const std::string& machine);
 
   [[nodiscard]] bool is_requested(const std::string& machine) const;
   [[nodiscard]] bool is_returned(const std::string& machine) const;
   [[nodiscard]] bool is_declared_dead(const std::string& machine) const;
   [[nodiscard]] bool keeps_cancelled_task(const std::string& machine) const;
-  /// Any machine at all keeps a cancelled task.
+  /// Whether any machine keeps a cancelled task.
   [[nodiscard]] bool any_keeps_cancelled_task() const { return keeping_cancelled_tasks_ > 0; }
 
-  /// Requested machines for which no call to the cloud is under way.
-  /// `only_with_cancelled_task`: of those only the ones that keep a cancelled task.
+  /// The machines that ready_for_return() lists: all, or only those that keep a cancelled task.
   enum class Selection : uint8_t { all, only_with_cancelled_task };
+  /// Returns the requested machines for which no return call is in flight.
   [[nodiscard]] std::vector<std::string> ready_for_return(Selection selection) const;
-  /// Returned in an outage; at most `limit` of them.
+  /// Returns at most `limit` machines whose tombstone was deferred and is not written yet.
   [[nodiscard]] std::vector<std::string> awaiting_tombstone(size_t limit) const;
 
  private:
@@ -81,7 +85,7 @@
   void set_state(Record& record, ScaleInState state);
 
   std::map<std::string, Record> records_;
-  // Counts over records_, so that a tick in which nothing is to be done costs nothing.
+  // Counts over records_, so that no call iterates over all records if there is nothing to do.
   size_t requested_ = 0;
   size_t keeping_cancelled_tasks_ = 0;
   size_t awaiting_tombstones_ = 0;
--- a/src/coordination/autoscaling/scale_out_requests.cpp
+++ b/src/coordination/autoscaling/scale_out_requests.cpp
@@ -8,19 +8,22 @@
 
 namespace {
 constexpr int max_machines_per_request = 50;
-/// Sent at once by one call of scale_out.
+/// Limit on the requests that one call of scale_out() sends.
 constexpr int max_requests_per_kind = 4;
-/// Tries of one request before it is left to the next scaling cycle, which resumes it.
+/// Limit on the retries of a request without a final reply. After the last retry the request counts
+/// as refused, and its record is removed.
 constexpr int max_retries = 5;
 constexpr double cloud_timeout_s = 3.0;
-/// Pause between two tries, drawn between these, times the number of tries so far.
+/// Bounds of the random delay between two attempts, which is multiplied by the number of attempts
+/// so far.
 constexpr double min_retry_delay_s = 0.3;
 constexpr double max_retry_delay_s = 1.0;
-/// The first pause after a refusal, in heartbeat intervals. It doubles with each further refusal.
+/// The first backoff after a refusal, in heartbeat intervals. Each further refusal doubles the
+/// backoff.
 constexpr double first_backoff_intervals = 2;
-/// The longest pause, in first pauses.
+/// The longest backoff, as a multiple of the first one.
 constexpr double max_backoff_factor = 8;
-/// Share of the pause that is drawn at random, to either side.
+/// Random deviation of a backoff in either direction, as a share of the backoff.
 constexpr double backoff_jitter = 0.2;
 
 MachineKind kind_of(const ScaleOutRequest& request) {
@@ -29,7 +32,8 @@
 
 const char* spot_suffix(bool spot) { return spot ? " (spot)" : ""; }
 
-/// The cloud has decided. Other replies, and none, leave open whether it has.
+/// Whether the reply states the outcome of the request. After any other reply, or none, the cloud
+/// may or may not have created the machines.
 bool is_final_reply(const HttpReply& reply) {
   if (reply.status == 200 || reply.status == 400) return true;
   if (reply.status != 503) return false;
@@ -50,7 +54,7 @@
 void ScaleOutRequests::begin_lease(uint64_t fencing_token) {
   fencing_token_ = fencing_token;
   if (fencing_token == 0) return;
-  // Requests of an older lease end without being taken off the count.
+  // Requests of an earlier lease don't decrement the counts when they end.
   pending_counts_.clear();
   answered_requests_.clear();
 }
@@ -77,7 +81,7 @@
   for (int requests = 0; count > 0 && requests < max_requests_per_kind; ++requests) {
     const int machines = std::min(count, max_machines_per_request);
     count -= machines;
-    // Unique over controllers and their incarnations.
+    // The request id is unique across controllers and their incarnations.
     spawn_request({"r-" + std::to_string(incarnation_) + "-" + std::to_string(loop_.random64()),
                    kind.type, kind.zone, kind.spot, machines},
                   stop_token);
@@ -93,7 +97,7 @@
   const auto fencing_token = fencing_token_;
   const auto kind = kind_of(request);
   co_await send_and_record(std::move(request), std::move(stop_token));
-  // One of an older lease is not among those counted.
+  // A request of an earlier lease is not included in pending_counts_.
   if (fencing_token != fencing_token_) co_return;
   if (auto it = pending_counts_.find(kind); it != pending_counts_.end() && --it->second <= 0)
     pending_counts_.erase(it);
@@ -101,7 +105,8 @@
 
 Task<void> ScaleOutRequests::send_and_record(ScaleOutRequest request, std::stop_token stop_token) {
   const auto fencing_token = fencing_token_;
-  // Answered, but the key-value store could not remove its record: it is not sent again.
+  // The cloud has answered this request, but its record could not be removed from the key-value
+  // store: only the removal is retried.
   if (answered_requests_.contains(request.id)) {
     co_await remove_record(request.id);
     co_return;
@@ -160,7 +165,7 @@
     return;
   }
   last_refused_at_[kind] = loop_.now();
-  // For a time only: capacity comes back.
+  // The refusal applies for a limited time only, because the cloud may get capacity again.
   const double first_backoff_s = settings_.heartbeat_interval_s * first_backoff_intervals;
   refusal.backoff_s = refusal.backoff_s > 0
                           ? std::min(refusal.backoff_s * 2, first_backoff_s * max_backoff_factor)
--- a/src/coordination/autoscaling/spot_placement.cpp
+++ b/src/coordination/autoscaling/spot_placement.cpp
@@ -12,15 +12,15 @@
   const Resources smallest = smallest_need();
   for (const auto& demand : input_.spot_work) {
     place(demand, candidates_left);
-    // Full machines are not examined again for each of many jobs.
+    // Full machines are removed, so that they are not examined again for each further job.
     std::erase_if(candidates_left,
                   [&](const Candidate& c) { return !smallest.fits(c.capacity.free); });
   }
   return std::move(needed_);
 }
 
-// Where the cloud has no more of a machine, its capacity is kept for work that can't go to spot
-// ones.
+// If the cloud has no further machines of this kind, the capacity of the machine is reserved for
+// work that can't run on spot machines.
 bool SpotPlacement::is_scarce(const MachineState& machine) const {
   return std::any_of(input_.offers.begin(), input_.offers.end(), [&](const MachineOffer& offer) {
     return offer.scarce && offer.kind.type == machine.type && offer.kind.zone == machine.zone &&
@@ -28,8 +28,9 @@
   });
 }
 
-// In order of preference: on-demand machines first, since what is free beside work that keeps them
-// anyhow costs nothing, then spot machines in use, empty ones (they can be returned), new ones.
+// Returns the candidates in order of preference: on-demand machines first, because on-demand work
+// keeps them in the fleet anyway and their free capacity costs nothing; then spot machines in use,
+// empty spot machines (which can be returned if unused), and machines requested by this plan.
 std::vector<SpotPlacement::Candidate> SpotPlacement::candidates() const {
   std::vector<Candidate> out;
   add_on_demand(out);
@@ -69,7 +70,8 @@
   }
 }
 
-// Of each resource the least that any task takes: a machine with less left is full.
+// Returns for each resource the smallest amount that any task needs. A machine with less free
+// capacity is full.
 Resources SpotPlacement::smallest_need() const {
   constexpr double infinite = std::numeric_limits<double>::infinity();
   Resources smallest{infinite, infinite, infinite};
--- a/src/coordination/autoscaling/spot_placement.hpp
+++ b/src/coordination/autoscaling/spot_placement.hpp
@@ -1,4 +1,4 @@
-/// Plans spot machines for all work that may use them. Part of the autoscaler. Pure.
+/// Plans the spot machines for all work that may use them. Part of the autoscaler. Does no I/O.
 #pragma once
 #include <set>
 #include <string>
@@ -9,23 +9,27 @@
 
 namespace damsonport::autoscaling {
 
-/// Work that runs on spot machines leaves the on-demand ones, and the images that they hold, to
-/// work that needs those: replicas of services then start without preempting anything.
+/// Places work that may use spot machines and requests the spot machines that are missing. This
+/// leaves the on-demand machines and their cached images to work that depends on them: replicas of
+/// services then start without preempting other tasks.
 ///
-/// Lives for one plan; refers to what it is given.
+/// One object serves one plan. All arguments of the constructor must outlive it; the requests go to
+/// `fleet`, and the number of candidates examined is added to `examined`.
 class SpotPlacement {
  public:
   SpotPlacement(const AutoscalerInput& input, const MachineKindSelector& selector,
                 PlannedFleet& fleet, size_t& examined)
       : input_(input), selector_(selector), fleet_(fleet), examined_(examined) {}
 
-  /// Requests the machines that are missing; returns the ids of existing ones that are needed.
+  /// Places all spot work and requests the missing machines. Returns the ids of the existing
+  /// machines that the placement uses. To be called once.
   std::set<std::string> run();
 
  private:
+  // A machine on which spot work may be placed.
   struct Candidate {
     FreeCapacity capacity;
-    const MachineState* machine;  // null: it is requested by this plan
+    const MachineState* machine;  // null for a machine requested by this plan
   };
 
   bool is_scarce(const MachineState& machine) const;
