--- a/tests/autoscaling/booting_machines_test.cpp
+++ b/tests/autoscaling/booting_machines_test.cpp
@@ -1,3 +1,4 @@
+/// Booting machines: their creation times, and when a machine counts as late or as failed.
 #include "coordination/autoscaling/booting_machines.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/autoscaling/cost_and_headroom_test.cpp
+++ b/tests/autoscaling/cost_and_headroom_test.cpp
@@ -1,4 +1,4 @@
-// What the fleet costs, and how much room is kept ready for work to come.
+/// Cost account of the fleet, expected arrivals and target headroom.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -33,7 +33,7 @@
   EXPECT_DOUBLE_EQ(account.spent().booting, 10);
   EXPECT_DOUBLE_EQ(account.spent().in_use, 7.5);
   EXPECT_DOUBLE_EQ(account.spent().idle, 2.5 + 4);
-  // A machine that is gone costs no more; what it cost stays.
+  // A machine that no longer exists adds no cost, but its earlier cost remains in the account.
   account.charge({machine("g", true, 0)}, types, 100 + 3600);
   EXPECT_DOUBLE_EQ(account.spent().total(), 24 + 4);
   double by_kind = 0;
@@ -64,11 +64,12 @@
 }
 
 TEST(Headroom, CoversArrivalsDuringABootAndTheirSpread) {
-  // One job of 4 in each of five boot times; a boot is taken to last half as long again.
+  // One job with 4 units arrives in each of five boot times. A boot is assumed to take 1.5 times
+  // the boot time.
   std::vector<headroom::Arrival> arrivals;
   arrivals.reserve(6);
   for (int i = 0; i < 5; ++i) arrivals.push_back({60.0 * i + 30, 4});
-  arrivals.push_back({10000, 1000});  // too old to count
+  arrivals.push_back({10000, 1000});  // outside the window
   EXPECT_DOUBLE_EQ(headroom::expected_arrivals(arrivals, 60, 0), 6);
   EXPECT_NEAR(headroom::expected_arrivals(arrivals, 60, 2), 6 + 2 * std::sqrt(24), 1e-9);
   EXPECT_DOUBLE_EQ(headroom::expected_arrivals({}, 60, 2), 0);
--- a/tests/autoscaling/scale_in_tracker_test.cpp
+++ b/tests/autoscaling/scale_in_tracker_test.cpp
@@ -1,3 +1,5 @@
+/// Progress of machine returns: transitions between the states, effects of heartbeats and return
+/// calls, and tombstones that are written after an outage of the key-value store.
 #include "coordination/autoscaling/scale_in_tracker.hpp"
 
 #include <gtest/gtest.h>
@@ -104,7 +106,7 @@
   for (auto* machine : {"i-3", "i-1", "i-2"}) {
     tracker.request(machine, ScaleInCause::keeps_cancelled_task);
     tracker.defer_tombstone(machine);
-    tracker.defer_tombstone(machine);  // asked for again after a failed call
+    tracker.defer_tombstone(machine);  // repeated after a failed return call
     tracker.confirm_return(machine);
   }
   EXPECT_EQ(tracker.awaiting_tombstone(2), (Machines{"i-1", "i-2"}));
