--- a/tests/autoscaling/booting_machines_test.cpp
+++ b/tests/autoscaling/booting_machines_test.cpp
@@ -6,13 +6,13 @@
 namespace damsonport {
 namespace {
 
-MachineType type_that_boots_in(double boot_s) {
+MachineType machine_type_with_boot_time(double boot_s) {
   MachineType type;
   type.boot_s = boot_s;
   return type;
 }
 
-TEST(BootingMachines, TheFirstMentionSaysWhenAMachineWasCreated) {
+TEST(BootingMachines, KeepsFirstCreationTime) {
   BootingMachines booting;
   booting.add("i-1", {"g1", "a", false}, 10);
   const BootingMachine& again = booting.add("i-1", {"g1", "a", false}, 50);
@@ -22,8 +22,8 @@
   EXPECT_TRUE(booting.all().empty());
 }
 
-TEST(BootingMachines, AMachineIsLateAfterMoreThanItsBootTime) {
-  const MachineType type = type_that_boots_in(100);
+TEST(BootingMachines, MachineIsLateAfter160PercentOfItsBootTime) {
+  const MachineType type = machine_type_with_boot_time(100);
   const BootingMachine machine{{"g1", "a", false}, 1000};
   EXPECT_FALSE(BootingMachines::is_late(machine, type, 1100));
   EXPECT_FALSE(BootingMachines::is_late(machine, type, 1159));
@@ -32,14 +32,14 @@
   EXPECT_DOUBLE_EQ(BootingMachines::late_after_s(nullptr), 0);
 }
 
-TEST(BootingMachines, AMachineHasFailedAfterFourTimesItsBootTime) {
-  const MachineType type = type_that_boots_in(100);
+TEST(BootingMachines, MachineHasFailedAfterFourTimesItsBootTime) {
+  const MachineType type = machine_type_with_boot_time(100);
   const BootingMachine machine{{"g1", "a", false}, 1000};
   EXPECT_FALSE(BootingMachines::has_failed(machine, &type, 1399));
   EXPECT_TRUE(BootingMachines::has_failed(machine, &type, 1401));
 }
 
-TEST(BootingMachines, AMachineOfAnUnknownTypeHasFailedAfterFourMinutes) {
+TEST(BootingMachines, MachineOfUnknownTypeHasFailedAfterFourMinutes) {
   const BootingMachine machine{{"g9", "a", false}, 1000};
   EXPECT_FALSE(BootingMachines::has_failed(machine, nullptr, 1239));
   EXPECT_TRUE(BootingMachines::has_failed(machine, nullptr, 1241));
--- a/tests/autoscaling/cost_and_headroom_test.cpp
+++ b/tests/autoscaling/cost_and_headroom_test.cpp
@@ -63,7 +63,7 @@
   EXPECT_TRUE(account.report(3622, 22));
 }
 
-TEST(Headroom, CoversArrivalsDuringABootAndTheirSpread) {
+TEST(Headroom, CoversArrivalsDuringBootAndTheirDeviation) {
   // One job with 4 units arrives in each of five boot times. A boot is assumed to take 1.5 times
   // the boot time.
   std::vector<headroom::Arrival> arrivals;
--- a/tests/autoscaling/scale_in_tracker_test.cpp
+++ b/tests/autoscaling/scale_in_tracker_test.cpp
@@ -10,7 +10,7 @@
 using Selection = ScaleInTracker::Selection;
 using Machines = std::vector<std::string>;
 
-TEST(ScaleInTracker, AMachineIsRequestedOnce) {
+TEST(ScaleInTracker, RequestsMachineOnce) {
   ScaleInTracker tracker;
   EXPECT_FALSE(tracker.is_requested("i-1"));
   EXPECT_TRUE(tracker.request("i-1", ScaleInCause::policy));
@@ -19,13 +19,13 @@
   EXPECT_FALSE(tracker.is_returned("i-1"));
 }
 
-TEST(ScaleInTracker, RequestsAreListedInTheOrderOfTheirIds) {
+TEST(ScaleInTracker, ListsRequestedMachinesInOrderOfIds) {
   ScaleInTracker tracker;
   for (auto* machine : {"i-3", "i-1", "i-2"}) tracker.request(machine, ScaleInCause::policy);
   EXPECT_EQ(tracker.ready_for_return(Selection::all), (Machines{"i-1", "i-2", "i-3"}));
 }
 
-TEST(ScaleInTracker, AMachineUnderCallIsNotReadyUntilTheCallEnds) {
+TEST(ScaleInTracker, MachineIsNotReadyWhileReturnCallIsInFlight) {
   ScaleInTracker tracker;
   tracker.request("i-1", ScaleInCause::policy);
   tracker.begin_return_call("i-1");
@@ -35,7 +35,7 @@
   EXPECT_EQ(tracker.ready_for_return(Selection::all), Machines{"i-1"});
 }
 
-TEST(ScaleInTracker, AReturnedMachineIsNeverRequestedAgain) {
+TEST(ScaleInTracker, ReturnedMachineIsNeverRequestedAgain) {
   ScaleInTracker tracker;
   tracker.request("i-1", ScaleInCause::policy);
   EXPECT_FALSE(tracker.confirm_return("i-1"));
@@ -45,7 +45,7 @@
   EXPECT_EQ(tracker.ready_for_return(Selection::all), Machines{});
 }
 
-TEST(ScaleInTracker, ADeadMachineThatIsHeardBeforeItsTombstoneIsRetained) {
+TEST(ScaleInTracker, HeartbeatBeforeTombstoneRetainsDeadMachine) {
   ScaleInTracker tracker;
   tracker.request("i-1", ScaleInCause::declared_dead);
   EXPECT_TRUE(tracker.is_declared_dead("i-1"));
@@ -55,7 +55,7 @@
   EXPECT_TRUE(tracker.request("i-1", ScaleInCause::policy));
 }
 
-TEST(ScaleInTracker, ADeadMachineThatIsHeardAfterItsTombstoneStaysRequested) {
+TEST(ScaleInTracker, HeartbeatAfterTombstoneDoesNotRetainDeadMachine) {
   ScaleInTracker tracker;
   tracker.request("i-1", ScaleInCause::declared_dead);
   EXPECT_FALSE(tracker.note_heartbeat("i-1", true));
@@ -63,14 +63,14 @@
   EXPECT_TRUE(tracker.is_requested("i-1"));
 }
 
-TEST(ScaleInTracker, AMachineRequestedForAnotherCauseIsNotRetainedWhenHeard) {
+TEST(ScaleInTracker, HeartbeatDoesNotRetainMachineRequestedForOtherCause) {
   ScaleInTracker tracker;
   tracker.request("i-1", ScaleInCause::policy);
   EXPECT_FALSE(tracker.note_heartbeat("i-1", false));
   EXPECT_TRUE(tracker.is_requested("i-1"));
 }
 
-TEST(ScaleInTracker, AMachineHeardDuringTheCallIsRetainedAndNotAskedForTwice) {
+TEST(ScaleInTracker, HeartbeatDuringCallRetainsMachineWithoutSecondCall) {
   ScaleInTracker tracker;
   tracker.request("i-1", ScaleInCause::declared_dead);
   tracker.begin_return_call("i-1");
@@ -81,14 +81,14 @@
   EXPECT_EQ(tracker.ready_for_return(Selection::all), Machines{"i-1"});
 }
 
-TEST(ScaleInTracker, ConfirmationSaysWhetherTheMachineWasDeclaredDead) {
+TEST(ScaleInTracker, ConfirmReturnReportsWhetherMachineWasDeclaredDead) {
   ScaleInTracker tracker;
   tracker.request("i-1", ScaleInCause::declared_dead);
   EXPECT_TRUE(tracker.confirm_return("i-1"));
   EXPECT_FALSE(tracker.is_declared_dead("i-1"));
 }
 
-TEST(ScaleInTracker, MachinesWithCancelledTasksCanBeSelectedAlone) {
+TEST(ScaleInTracker, SelectsOnlyMachinesWithCancelledTasks) {
   ScaleInTracker tracker;
   tracker.request("i-1", ScaleInCause::policy);
   tracker.request("i-2", ScaleInCause::policy);
@@ -101,7 +101,7 @@
   EXPECT_FALSE(tracker.any_keeps_cancelled_task());
 }
 
-TEST(ScaleInTracker, TombstonesDeferredInAnOutageAreListedUntilWritten) {
+TEST(ScaleInTracker, ListsDeferredTombstonesUntilWritten) {
   ScaleInTracker tracker;
   for (auto* machine : {"i-3", "i-1", "i-2"}) {
     tracker.request(machine, ScaleInCause::keeps_cancelled_task);
@@ -116,7 +116,7 @@
   EXPECT_TRUE(tracker.is_returned("i-1"));
 }
 
-TEST(ScaleInTracker, ClearForgetsEverything) {
+TEST(ScaleInTracker, ClearRemovesAllRecords) {
   ScaleInTracker tracker;
   tracker.request("i-1", ScaleInCause::keeps_cancelled_task);
   tracker.request("i-2", ScaleInCause::policy);
