--- a/src/coordination/machines/machine.hpp
+++ b/src/coordination/machines/machine.hpp
@@ -41,7 +41,7 @@
 struct Machine {
   std::string id, address, type, zone;
   bool spot = false;
-  std::optional<size_t> slot;  ///< its index in SchedulerSnapshot::machines
+  std::optional<size_t> snapshot_index;  ///< its index in SchedulerSnapshot::machines
   // Of the newest message that was processed.
   uint64_t agent_epoch = 0, sequence = 0, fencing_token = 0;
   double first_heartbeat_at = 0;
--- a/src/coordination/replicas/replica_manager.hpp
+++ b/src/coordination/replicas/replica_manager.hpp
@@ -33,8 +33,8 @@
     TaskRange parts;
   };
 
-  ReplicaManager(Loop& loop, const Settings& settings, RecordCache& cache, const TaskFacts& facts,
-                 GangTracker& gangs)
+  ReplicaManager(Loop& loop, const Settings& settings, RecordCache& cache,
+                 const TaskStateProvider& facts, GangTracker& gangs)
       : loop_(loop), settings_(settings), cache_(cache), facts_(facts), gangs_(gangs) {}
 
   /// A shard lease begins: forgets all replicas.
@@ -110,7 +110,7 @@
   Loop& loop_;
   const Settings& settings_;
   RecordCache& cache_;
-  const TaskFacts& facts_;
+  const TaskStateProvider& facts_;
   GangTracker& gangs_;
   std::map<ReplicaId, History> replicas_;
   std::set<ReplicaId> unready_;  // of replicas_, those that are not ready
--- a/src/coordination/replicas/replica_state.cpp
+++ b/src/coordination/replicas/replica_state.cpp
@@ -29,7 +29,7 @@
     return standing.last_attempt == 0 ? ReplicaState::queued : ReplicaState::repairing;
   if (gang.stopping || gang.broken) return ReplicaState::stopping;
   if (standing.ready) return ReplicaState::ready;
-  if (gang.ran) return ReplicaState::degraded;
+  if (gang.has_run) return ReplicaState::degraded;
   return first_attempt ? ReplicaState::starting : ReplicaState::repairing;
 }
 
--- a/src/coordination/scheduling/chunk_edits.cpp
+++ b/src/coordination/scheduling/chunk_edits.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 // Of the 64 KiB that a transaction may have. The rest is for its keys and preconditions.
-constexpr size_t max_bytes = size_t{48} * 1024;
+constexpr size_t max_transaction_bytes = size_t{48} * 1024;
 // Estimated sizes of an encoded chunk without tasks, and of one task in it.
 constexpr size_t chunk_header_bytes = 64;
 constexpr size_t task_entry_bytes = 48;
@@ -23,7 +23,7 @@
     record = known->second.record;
   const size_t entries = record.live.size() + record.waiting.size();
   const size_t size = chunk_header_bytes + task_entry_bytes * entries;
-  if (bytes_ + size > max_bytes && !edits_.empty()) return nullptr;
+  if (bytes_ + size > max_transaction_bytes && !edits_.empty()) return nullptr;
   bytes_ += size;
   transaction_.preconditions[key] = cache_.chunk_version(job.spec.id, chunk);
   return &edits_.insert_or_assign(key, std::move(record)).first->second;
@@ -31,10 +31,10 @@
 
 // A chunk that was nearly empty may have hundreds of tasks started in it at once. The first entry
 // always fits, since a chunk with one does.
-bool ChunkEdits::take_entry() {
-  if (any_entry_ && bytes_ + task_entry_bytes > max_bytes) return false;
+bool ChunkEdits::reserve_task_entry() {
+  if (has_task_entry_ && bytes_ + task_entry_bytes > max_transaction_bytes) return false;
   bytes_ += task_entry_bytes;
-  any_entry_ = true;
+  has_task_entry_ = true;
   return true;
 }
 
@@ -42,7 +42,7 @@
   transaction_.preconditions[keys::job(job.spec.id)] = job.version;
 }
 
-bool ChunkEdits::end_with_edit(const Job& job) {
+bool ChunkEdits::end_job(const Job& job) {
   if (writes() + writes_to_end_job > limits_.txn_writes) return false;
   const std::string& id = job.spec.id;
   require_unchanged(job);
--- a/src/coordination/scheduling/chunk_edits.hpp
+++ b/src/coordination/scheduling/chunk_edits.hpp
@@ -21,13 +21,13 @@
   /// The chunk to edit, valid until finish(). Null: the transaction is full.
   [[nodiscard]] TaskChunk* edit(const Job& job, uint32_t chunk);
   /// Accounts for one more started task in the edited chunks. False: the transaction is full.
-  [[nodiscard]] bool take_entry();
+  [[nodiscard]] bool reserve_task_entry();
   [[nodiscard]] bool empty() const { return edits_.empty(); }
   /// The job's own record has to be unchanged, too.
   void require_unchanged(const Job& job);
   /// The edit of the job's only chunk ends the job: its records are deleted, and its final state is
   /// written. False: the transaction has no room for that, and the edit stands as it is.
-  [[nodiscard]] bool end_with_edit(const Job& job);
+  [[nodiscard]] bool end_job(const Job& job);
   /// The transaction; nothing may be called after it.
   [[nodiscard]] Transaction finish();
 
@@ -39,7 +39,7 @@
   const RecordCache& cache_;
   StateLimits limits_;
   size_t bytes_ = 0;  // estimated size of the transaction
-  bool any_entry_ = false;
+  bool has_task_entry_ = false;
   std::map<std::string, TaskChunk> edits_;  // by key
   std::set<std::string> ended_;             // keys of chunks that are deleted with their jobs
   Transaction transaction_;
--- a/src/coordination/scheduling/cycle_state.hpp
+++ b/src/coordination/scheduling/cycle_state.hpp
@@ -22,12 +22,12 @@
 /// A running task of a gang.
 struct GangTask {
   MachineIndex machine;
-  size_t live = 0;  ///< position in the machine's list of running tasks
+  size_t running_task_index = 0;  ///< position in the machine's list of running tasks
 };
 
 /// Which running tasks a preemption may stop.
 enum class PreemptionScope : uint8_t {
-  spare_urgent_services,  ///< all but replicas of services with an urgent priority
+  exclude_urgent_services,  ///< all but replicas of services with an urgent priority
   any,
 };
 constexpr size_t preemption_scopes = 2;
@@ -42,12 +42,12 @@
   std::vector<MachineIndex> freeing_machines;
   std::vector<BootingMachine> booting;  ///< `room`: what is not promised to a job yet
   /// Jobs for which no preemption was possible since the last one, by PreemptionScope.
-  std::array<std::vector<JobIndex>, preemption_scopes> without_victims;
+  std::array<std::vector<JobIndex>, preemption_scopes> jobs_without_victims;
 
   // Of the job that is being decided:
   std::vector<uint32_t> tasks_on;  ///< by machine: its tasks, or those of its replica set
   std::vector<uint8_t> part_on;    ///< by machine: whether a part of the same replica is there
-  NameId parts_zone = any_zone;    ///< the zone of its parts, if `parts_together`
+  NameId parts_zone = any_zone;    ///< the zone of its parts, if `parts_in_one_zone`
 };
 
 class CycleState {
@@ -59,12 +59,12 @@
   void end_job(JobIndex job);
 
   /// The parts of the job being decided have to be in one zone.
-  [[nodiscard]] bool parts_together() const { return parts_together_; }
+  [[nodiscard]] bool parts_in_one_zone() const { return parts_in_one_zone_; }
   /// The spread constraint leaves no zone for all of them.
-  void allow_parts_apart() { parts_together_ = false; }
+  void allow_parts_in_several_zones() { parts_in_one_zone_ = false; }
 
   [[nodiscard]] const PlacementCount& placement_count(JobIndex job) const {
-    return placement_counts_[*placement_count_of_[job]];
+    return placement_counts_[*placement_count_index_[job]];
   }
 
   /// Running tasks of a gang; none: it doesn't run.
@@ -78,12 +78,12 @@
   /// the highest number.
   [[nodiscard]] int least_urgency_on(MachineIndex machine) const { return least_urgency_[machine]; }
   /// Seconds until all tasks that are being stopped on the machine have saved their state.
-  [[nodiscard]] double time_to_save(MachineIndex machine) const;
+  [[nodiscard]] double time_to_save_s(MachineIndex machine) const;
 
   /// One more task of the job will run on the machine: counts it, and charges the team's quota.
-  void occupy(JobIndex job, MachineIndex machine);
+  void add_task(JobIndex job, MachineIndex machine);
   /// Takes a task's resources from what is free there first, and the rest from what is freeing.
-  void take_freeing(JobIndex job, MachineIndex machine);
+  void allocate_freeing(JobIndex job, MachineIndex machine);
 
   struct Checkpoint {
     CapacityLedger ledger;
@@ -96,20 +96,20 @@
 
  private:
   void create_placement_counts();
-  void share_placement_counts(const std::unordered_map<size_t, size_t>& count_of_replica_set);
-  void count_machine(MachineIndex index);
-  void bind_parts(JobIndex replica);
+  void share_placement_counts(const std::unordered_map<size_t, size_t>& count_index_of_replica_set);
+  void add_machine(MachineIndex index);
+  void constrain_parts_to_zone(JobIndex replica);
   PlacementCount& mutable_placement_count(JobIndex job) {
-    return placement_counts_[*placement_count_of_[job]];
+    return placement_counts_[*placement_count_index_[job]];
   }
 
   const SchedulerSnapshot& snapshot_;
   const QueueOrder& queue_;
-  std::vector<int> least_urgency_;                         // by machine
-  std::vector<std::optional<size_t>> placement_count_of_;  // by job: into placement_counts_
+  std::vector<int> least_urgency_;                            // by machine
+  std::vector<std::optional<size_t>> placement_count_index_;  // by job: into placement_counts_
   std::vector<PlacementCount> placement_counts_;
   std::unordered_map<size_t, std::vector<GangTask>> gang_tasks_;  // by job
-  bool parts_together_ = false;
+  bool parts_in_one_zone_ = false;
 };
 
 }  // namespace damsonport::scheduling
--- a/src/coordination/scheduling/equivalence_class.cpp
+++ b/src/coordination/scheduling/equivalence_class.cpp
@@ -12,10 +12,10 @@
 
 bool represents_class(const SchedulerSnapshot& snapshot, const JobSnapshot& job) {
   if (job.one_zone || job.spread) return false;
-  return std::none_of(snapshot.machines.begin(), snapshot.machines.end(),
-                      [&job](const MachineSnapshot& machine) {
-                        return !machine.bad_jobs.empty() && contains(machine.bad_jobs, job.id);
-                      });
+  return std::none_of(
+      snapshot.machines.begin(), snapshot.machines.end(), [&job](const MachineSnapshot& machine) {
+        return !machine.failed_jobs.empty() && contains(machine.failed_jobs, job.id);
+      });
 }
 
 bool UnschedulableClasses::is_known_unschedulable(const JobSnapshot& job) const {
--- a/src/coordination/scheduling/feasibility.cpp
+++ b/src/coordination/scheduling/feasibility.cpp
@@ -34,7 +34,7 @@
   const JobSnapshot& snapshot = snapshot_.jobs[job];
   const NameId parts_zone = state_.ledger.parts_zone;
   if (snapshot.zone != any_zone && snapshot.zone != zone) return false;
-  if (state_.parts_together() && parts_zone != any_zone && parts_zone != zone) return false;
+  if (state_.parts_in_one_zone() && parts_zone != any_zone && parts_zone != zone) return false;
   if (!snapshot.one_zone && !snapshot.spread) return true;
   const PlacementCount& count = state_.placement_count(job);
   // Tasks on machines of an unknown zone may be in any.
@@ -42,15 +42,15 @@
   if (snapshot.one_zone && (unknown > 0 || has_tasks_in_other_zones(count, zone))) return false;
   if (!snapshot.spread) return true;
   // The first part of a replica needs a zone that may take all of them.
-  const bool needs_all = state_.parts_together() && parts_zone == any_zone;
-  const uint32_t needed = needs_all ? snapshot.waiting : 1;
+  const bool needs_all = state_.parts_in_one_zone() && parts_zone == any_zone;
+  const uint32_t needed = needs_all ? snapshot.pending_tasks : 1;
   return count.in_zone[zone] + unknown + needed <= spread_limit(snapshot);
 }
 
 uint32_t Feasibility::zone_allowance(JobIndex job, NameId zone) const {
   const JobSnapshot& snapshot = snapshot_.jobs[job];
   if (!zone_allows(job, zone)) return 0;
-  if (!snapshot.spread) return snapshot.waiting;
+  if (!snapshot.spread) return snapshot.pending_tasks;
   const PlacementCount& count = state_.placement_count(job);
   return spread_limit(snapshot) - count.in_zone[zone] - count.in_zone[unknown_zone];
 }
@@ -58,8 +58,8 @@
 bool Feasibility::fits_one_zone(JobIndex job) const {
   const JobSnapshot& snapshot = snapshot_.jobs[job];
   if (!snapshot.spread) return true;
-  for (NameId zone = first_name; zone < snapshot_.zones.size(); ++zone)
-    if (zone_allowance(job, zone) >= snapshot.waiting) return true;
+  for (NameId zone = first_name_id; zone < snapshot_.zones.size(); ++zone)
+    if (zone_allowance(job, zone) >= snapshot.pending_tasks) return true;
   return false;
 }
 
@@ -74,9 +74,9 @@
   const JobSnapshot& snapshot = snapshot_.jobs[job];
   const MachineSnapshot& target = snapshot_.machines[machine];
   if (snapshot.distinct_machines && state_.ledger.part_on[machine]) return false;
-  if (!target.open || !snapshot.need.fits(target.total)) return false;
+  if (!target.schedulable || !snapshot.need.fits(target.total)) return false;
   if (!matches_constraints(job, target.type, target.zone, target.spot)) return false;
-  return target.bad_jobs.empty() || !contains(target.bad_jobs, snapshot.id);
+  return target.failed_jobs.empty() || !contains(target.failed_jobs, snapshot.id);
 }
 
 }  // namespace damsonport::scheduling
--- a/src/coordination/scheduling/gang_placement.cpp
+++ b/src/coordination/scheduling/gang_placement.cpp
@@ -6,47 +6,47 @@
 
 void GangPlacer::place(JobIndex gang) {
   const JobSnapshot& job = context_.snapshot.jobs[gang];
-  if (!context_.feasibility.quota_allows(gang, job.waiting)) return;
+  if (!context_.feasibility.quota_allows(gang, job.pending_tasks)) return;
   if (is_known_unschedulable(gang)) {
     context_.decisions.unschedulable.push_back(*unschedulable_replica_);
     context_.decisions.unschedulable.back().job = gang;
     return;
   }
   const Plan plan = make_plan(gang);
-  if (is_whole(gang, plan)) {
-    take(gang, plan);
-    context_.decisions.gangs.push_back({gang, plan.machines});
+  if (is_complete(gang, plan)) {
+    allocate(gang, plan);
+    context_.decisions.gang_placements.push_back({gang, plan.machines});
     return;
   }
-  if (job.faulty || reserve(gang, plan)) return;
+  if (job.faulty || reserve_pending_capacity(gang, plan)) return;
   if (may_hold_capacity(gang)) {
     capacity_held_ = true;
-    take(gang, plan);
+    allocate(gang, plan);
   }
   report_unschedulable(gang, plan);
 }
 
-bool GangPlacer::is_whole(JobIndex gang, const Plan& plan) const {
-  return missing_in(gang, plan) == 0;
+bool GangPlacer::is_complete(JobIndex gang, const Plan& plan) const {
+  return count_unplaced(gang, plan) == 0;
 }
 
-uint32_t GangPlacer::missing_in(JobIndex gang, const Plan& plan) const {
-  return context_.snapshot.jobs[gang].waiting - static_cast<uint32_t>(plan.machines.size());
+uint32_t GangPlacer::count_unplaced(JobIndex gang, const Plan& plan) const {
+  return context_.snapshot.jobs[gang].pending_tasks - static_cast<uint32_t>(plan.machines.size());
 }
 
 GangPlacer::Plan GangPlacer::make_plan(JobIndex gang) const {
   const std::vector<NameId> zones = zones_to_try(gang);
   // Machines that all have the image start the gang at once; one fetch delays all of it.
   Plan cached = best_plan(gang, zones, ImageFilter::cached_only);
-  if (is_whole(gang, cached)) return cached;
+  if (is_complete(gang, cached)) return cached;
   return best_plan(gang, zones, ImageFilter::any_machine);
 }
 
 std::vector<NameId> GangPlacer::zones_to_try(JobIndex gang) const {
-  const bool one_zone = context_.snapshot.jobs[gang].one_zone || context_.state.parts_together();
+  const bool one_zone = context_.snapshot.jobs[gang].one_zone || context_.state.parts_in_one_zone();
   if (!one_zone) return {any_zone};
   std::vector<NameId> zones;
-  for (NameId zone = first_name; zone < context_.snapshot.zones.size(); ++zone)
+  for (NameId zone = first_name_id; zone < context_.snapshot.zones.size(); ++zone)
     if (context_.feasibility.zone_allows(gang, zone)) zones.push_back(zone);
   return zones;
 }
@@ -66,7 +66,7 @@
 std::vector<GangPlacer::Candidate> GangPlacer::find_candidates(JobIndex gang, NameId zone,
                                                                ImageFilter filter) const {
   const JobSnapshot& job = context_.snapshot.jobs[gang];
-  const uint32_t most = job.distinct_machines ? 1 : job.waiting;
+  const uint32_t most = job.distinct_machines ? 1 : job.pending_tasks;
   std::vector<Candidate> candidates;
   for (MachineIndex index; index < context_.snapshot.machines.size(); ++index) {
     const MachineSnapshot& machine = context_.snapshot.machines[index];
@@ -91,20 +91,20 @@
   for (const Candidate& candidate : find_candidates(gang, zone, filter)) {
     const NameId at = context_.snapshot.machines[candidate.machine].zone;
     const uint32_t allowance = context_.feasibility.zone_allowance(gang, at) - planned[at];
-    const uint32_t tasks = std::min({candidate.capacity, missing_in(gang, plan), allowance});
+    const uint32_t tasks = std::min({candidate.capacity, count_unplaced(gang, plan), allowance});
     if (tasks == 0) continue;
     planned[at] += tasks;
     plan.machines.insert(plan.machines.end(), tasks, candidate.machine);
     plan.score = std::max(plan.score, candidate.score);
-    if (is_whole(gang, plan)) break;
+    if (is_complete(gang, plan)) break;
   }
   return plan;
 }
 
-void GangPlacer::take(JobIndex gang, const Plan& plan) {
+void GangPlacer::allocate(JobIndex gang, const Plan& plan) {
   for (const MachineIndex machine : plan.machines) {
     context_.state.ledger.free[machine] -= context_.snapshot.jobs[gang].need;
-    context_.state.occupy(gang, machine);
+    context_.state.add_task(gang, machine);
   }
 }
 
@@ -116,21 +116,21 @@
          pending_s < *hold_after_s + context_.snapshot.gang_hold_for_s;
 }
 
-bool GangPlacer::reserve(JobIndex gang, const Plan& partial) {
+bool GangPlacer::reserve_pending_capacity(JobIndex gang, const Plan& partial) {
   CycleState::Checkpoint checkpoint = context_.state.checkpoint(gang);
-  const size_t stops = context_.decisions.stops.size();
-  take(gang, partial);
+  const size_t previous_preemptions = context_.decisions.preemptions.size();
+  allocate(gang, partial);
   uint32_t freeing = 0;
   uint32_t booting = 0;
-  for (uint32_t missing = missing_in(gang, partial); missing > 0; --missing) {
-    const PromisedCapacity promised = pending_capacity_.promise(gang);
-    if (promised == PromisedCapacity::none) {
+  for (uint32_t missing = count_unplaced(gang, partial); missing > 0; --missing) {
+    const ReservedCapacity reserved = pending_capacity_.reserve(gang);
+    if (reserved == ReservedCapacity::none) {
       // Nothing is preempted for a gang that doesn't start.
       context_.state.restore(gang, std::move(checkpoint));
-      context_.decisions.stops.resize(stops);
+      context_.decisions.preemptions.resize(previous_preemptions);
       return false;
     }
-    if (promised == PromisedCapacity::booting) {
+    if (reserved == ReservedCapacity::booting) {
       ++booting;
     } else {
       ++freeing;
@@ -142,10 +142,10 @@
 
 void GangPlacer::report_unschedulable(JobIndex gang, const Plan& plan) {
   const JobSnapshot& job = context_.snapshot.jobs[gang];
-  context_.report_unschedulable(gang, job.waiting, 0);
+  context_.report_unschedulable(gang, job.pending_tasks, 0);
   UnschedulableTasks& report = context_.decisions.unschedulable.back();
-  report.missing = missing_in(gang, plan);
-  report.one_zone = job.one_zone || context_.state.parts_together();
+  report.missing = count_unplaced(gang, plan);
+  report.one_zone = job.one_zone || context_.state.parts_in_one_zone();
   report.zone = zone_for_new_capacity(gang, plan);
   const bool none_runs = !context_.state.find_gang_tasks(gang);
   if (job.replica && none_runs) unschedulable_replica_ = report;
@@ -153,7 +153,7 @@
 
 NameId GangPlacer::zone_for_new_capacity(JobIndex gang, const Plan& plan) const {
   const JobSnapshot& job = context_.snapshot.jobs[gang];
-  const bool one_zone = job.one_zone || context_.state.parts_together();
+  const bool one_zone = job.one_zone || context_.state.parts_in_one_zone();
   if (one_zone && !plan.machines.empty()) {
     const NameId planned = context_.snapshot.machines[plan.machines.front()].zone;
     if (planned != unknown_zone) return planned;
@@ -163,12 +163,12 @@
 
 // New capacity in any other zone would not help the gang.
 NameId GangPlacer::only_zone_left(JobIndex gang, const Plan& plan) const {
-  const uint32_t needed = context_.state.parts_together() ? missing_in(gang, plan) : 1;
+  const uint32_t needed = context_.state.parts_in_one_zone() ? count_unplaced(gang, plan) : 1;
   std::vector<uint32_t> planned(context_.snapshot.zones.size());  // tasks, by zone
   for (const MachineIndex machine : plan.machines)
     ++planned[context_.snapshot.machines[machine].zone];
   NameId only = any_zone;
-  for (NameId zone = first_name; zone < context_.snapshot.zones.size(); ++zone) {
+  for (NameId zone = first_name_id; zone < context_.snapshot.zones.size(); ++zone) {
     const uint32_t allowance = context_.feasibility.zone_allowance(gang, zone);
     const uint32_t left = allowance - std::min(allowance, planned[zone]);
     if (left < needed) continue;
--- a/src/coordination/scheduling/gang_placement.hpp
+++ b/src/coordination/scheduling/gang_placement.hpp
@@ -40,12 +40,12 @@
   [[nodiscard]] std::vector<NameId> zones_to_try(JobIndex gang) const;
   [[nodiscard]] std::vector<Candidate> find_candidates(JobIndex gang, NameId zone,
                                                        ImageFilter filter) const;
-  [[nodiscard]] bool is_whole(JobIndex gang, const Plan& plan) const;
-  [[nodiscard]] uint32_t missing_in(JobIndex gang, const Plan& plan) const;
-  void take(JobIndex gang, const Plan& plan);
+  [[nodiscard]] bool is_complete(JobIndex gang, const Plan& plan) const;
+  [[nodiscard]] uint32_t count_unplaced(JobIndex gang, const Plan& plan) const;
+  void allocate(JobIndex gang, const Plan& plan);
 
   /// Adds pending capacity to a partial plan. Changes nothing unless there is enough for all tasks.
-  bool reserve(JobIndex gang, const Plan& partial);
+  bool reserve_pending_capacity(JobIndex gang, const Plan& partial);
   /// One gang in a cycle may hold free capacity without starting, for a bounded time.
   [[nodiscard]] bool may_hold_capacity(JobIndex gang) const;
 
--- a/src/coordination/scheduling/gang_tracker.cpp
+++ b/src/coordination/scheduling/gang_tracker.cpp
@@ -24,7 +24,7 @@
   state.attempt = attempt;
   // Started by an earlier leader, under which the replica may have been ready. No part of such an
   // attempt is started any more, so that no attempt becomes ready again after it has lost a part.
-  state.ran = job.spec.replicated() && attempt != 0;
+  state.has_run = job.spec.replicated() && attempt != 0;
   return state;
 }
 
@@ -37,7 +37,7 @@
 
 void GangTracker::note_running(const Job& job, TaskRange gang, uint64_t attempt) {
   AttemptState& state = attempt_state(job, gang);
-  if (state.attempt == attempt) state.ran = true;
+  if (state.attempt == attempt) state.has_run = true;
 }
 
 void GangTracker::note_exit(const Job& job, TaskRange gang, uint64_t attempt, ExitCause cause,
@@ -45,14 +45,14 @@
   AttemptState& state = attempt_state(job, gang);
   if (state.attempt != attempt) return;
   if (cause == ExitCause::error) ++state.failures;
-  const bool because_of_others = cause == ExitCause::peers || cause == ExitCause::alone;
+  const bool stopped_by_gang = cause == ExitCause::peers || cause == ExitCause::alone;
   const bool too_many_failures = job.spec.replicated() && state.failures > max_failures_per_attempt;
-  if (state.ran || stopped || because_of_others || too_many_failures) state.broken = true;
+  if (state.has_run || stopped || stopped_by_gang || too_many_failures) state.broken = true;
 }
 
 void GangTracker::note_task_missing(const Job& job, TaskRange gang, uint64_t attempt) {
   AttemptState& state = attempt_state(job, gang);
-  if (state.attempt == attempt && state.ran) state.broken = true;
+  if (state.attempt == attempt && state.has_run) state.broken = true;
 }
 
 GangStatus GangTracker::status(const Job& job, TaskRange gang) {
@@ -63,11 +63,11 @@
   status.tasks = gang.count;
   status.live = record.live;
   status.done = record.done;
-  status.ran = state.ran;
+  status.has_run = state.has_run;
   status.broken = state.broken || record.has_mixed_attempts;
   status.stopping =
       std::any_of(live_tasks.begin(), live_tasks.end(),
-                  [this](const PlacedTask& task) { return facts_.is_stopping(task); });
+                  [this](const PlacedTask& task) { return task_states_.is_stopping(task); });
   const bool incomplete = status.live > 0 && status.live < status.tasks;
   status.incomplete_s = update_incomplete_s(state, incomplete);
   return status;
@@ -95,22 +95,22 @@
 bool GangTracker::all_machines_reported(const Job& job, TaskRange gang) const {
   const std::vector<PlacedTask> live_tasks = job.live_tasks(gang);
   return std::all_of(live_tasks.begin(), live_tasks.end(), [this](const PlacedTask& task) {
-    const Machine* machine = facts_.find_machine(task.machine);
+    const Machine* machine = task_states_.find_machine(task.machine);
     return machine && machine->agent_epoch != 0;
   });
 }
 
 GangAction GangTracker::action_for(const Job& job, TaskRange gang, const GangStatus& status) const {
   const GangAction action = gang_action(status, replacement_timeout_s());
-  if (action != GangAction::complete) return action;
+  if (action != GangAction::replace_missing) return action;
   // Before all its machines have sent a heartbeat it is not known whether the gang runs already.
-  return all_machines_reported(job, gang) ? GangAction::complete : GangAction::none;
+  return all_machines_reported(job, gang) ? GangAction::replace_missing : GangAction::none;
 }
 
-uint32_t GangTracker::startable(const Job& job, TaskRange gang) {
+uint32_t GangTracker::count_startable(const Job& job, TaskRange gang) {
   const GangStatus current = status(job, gang);
   const GangAction action = action_for(job, gang, current);
-  if (action != GangAction::start && action != GangAction::complete) return 0;
+  if (action != GangAction::start && action != GangAction::replace_missing) return 0;
   return current.tasks - current.live - current.done;
 }
 
--- a/src/coordination/scheduling/gang_tracker.hpp
+++ b/src/coordination/scheduling/gang_tracker.hpp
@@ -7,7 +7,7 @@
 
 #include "config/settings.hpp"
 #include "coordination/scheduling/gangs.hpp"
-#include "coordination/scheduling/task_facts.hpp"
+#include "coordination/scheduling/task_state_provider.hpp"
 #include "transport/loop.hpp"
 
 namespace damsonport {
@@ -17,8 +17,8 @@
 class GangTracker {
  public:
   /// All references have to outlive the tracker.
-  GangTracker(Loop& loop, const Settings& settings, const TaskFacts& facts)
-      : loop_(loop), settings_(settings), facts_(facts) {}
+  GangTracker(Loop& loop, const Settings& settings, const TaskStateProvider& task_states)
+      : loop_(loop), settings_(settings), task_states_(task_states) {}
 
   void clear() { attempts_.clear(); }
   void forget_job(const std::string& job);
@@ -37,12 +37,12 @@
   [[nodiscard]] GangStatus status(const Job& job, TaskRange gang);
   [[nodiscard]] GangAction next_action(const Job& job, TaskRange gang);
   /// How many of its tasks may be started now.
-  [[nodiscard]] uint32_t startable(const Job& job, TaskRange gang);
+  [[nodiscard]] uint32_t count_startable(const Job& job, TaskRange gang);
 
  private:
   struct AttemptState {
     uint64_t attempt = 0;  // 0: no task is live
-    bool ran = false;      // see note_running(); also where an earlier leader may have seen it
+    bool has_run = false;  // see note_running(); also where an earlier leader may have seen it
     bool broken = false;   // some task ended because of the others, failed, or was stopped
     int failures = 0;      // tasks that ended with an error
     std::optional<double> incomplete_since;  // monotonic, seconds; none: no task is missing
@@ -57,7 +57,7 @@
 
   Loop& loop_;
   const Settings& settings_;
-  const TaskFacts& facts_;
+  const TaskStateProvider& task_states_;
   std::map<Key, AttemptState> attempts_;
 };
 
--- a/src/coordination/scheduling/gangs.cpp
+++ b/src/coordination/scheduling/gangs.cpp
@@ -8,9 +8,9 @@
   if (gang.done > 0) return GangAction::none;
   if (gang.broken) return GangAction::abandon;
   if (gang.live == gang.tasks) return GangAction::none;
-  if (gang.stopping || gang.ran) return GangAction::abandon;
+  if (gang.stopping || gang.has_run) return GangAction::abandon;
   if (gang.incomplete_s >= replacement_timeout_s) return GangAction::abandon;
-  return GangAction::complete;
+  return GangAction::replace_missing;
 }
 
 uint32_t gang_count(const JobSpec& spec) {
--- a/src/coordination/scheduling/gangs.hpp
+++ b/src/coordination/scheduling/gangs.hpp
@@ -16,17 +16,17 @@
   uint32_t tasks = 0;
   uint32_t live = 0;  ///< that the records place on machines
   uint32_t done = 0;
-  bool ran = false;         ///< a task of this attempt was seen running or saving its state
+  bool has_run = false;     ///< a task of this attempt was seen running or saving its state
   bool broken = false;      ///< a task of this attempt ended because of the others, or was stopped
   bool stopping = false;    ///< the attempt is being stopped
   double incomplete_s = 0;  ///< seconds for which some task of the attempt has been missing
 };
 
 enum class GangAction : uint8_t {
-  none,      ///< nothing is missing, or it has to be waited for
-  start,     ///< nothing of it is left: the whole gang may be started, under a new attempt
-  complete,  ///< the missing tasks may be started under the attempt of the others
-  abandon,   ///< the rest of the attempt has to be stopped
+  none,             ///< nothing is missing, or it has to be waited for
+  start,            ///< nothing of it is left: the whole gang may be started, under a new attempt
+  replace_missing,  ///< the missing tasks may be started under the attempt of the others
+  abandon,          ///< the rest of the attempt has to be stopped
 };
 
 /// What is to be done about a gang next.
--- a/src/coordination/scheduling/pending_capacity.cpp
+++ b/src/coordination/scheduling/pending_capacity.cpp
@@ -5,41 +5,43 @@
 
 namespace damsonport::scheduling {
 
-PromisedCapacity PendingCapacity::promise(JobIndex job) {
+ReservedCapacity PendingCapacity::reserve(JobIndex job) {
   // Capacity that is being freed already serves the most urgent first. Urgent services are
-  // preempted only for what no booting machine has room for: their replicas would be back later
+  // preempted only for what no booting machine has capacity for: their replicas would be back later
   // than it.
-  if (claim_freeing(job, std::nullopt)) return PromisedCapacity::freeing;
-  if (preemptor_.preempt_for(job, PreemptionScope::spare_urgent_services))
-    return PromisedCapacity::freeing;
-  if (claim_booting(job)) return PromisedCapacity::booting;
-  if (preemptor_.preempt_for(job, PreemptionScope::any)) return PromisedCapacity::freeing;
-  return PromisedCapacity::none;
+  if (reserve_freeing(job, std::nullopt)) return ReservedCapacity::freeing;
+  if (preemptor_.preempt_for(job, PreemptionScope::exclude_urgent_services))
+    return ReservedCapacity::freeing;
+  if (reserve_booting(job)) return ReservedCapacity::booting;
+  if (preemptor_.preempt_for(job, PreemptionScope::any)) return ReservedCapacity::freeing;
+  return ReservedCapacity::none;
 }
 
-bool PendingCapacity::promise_beside_image(JobIndex job, double fetch_s, double score) {
+bool PendingCapacity::reserve_with_cached_image(JobIndex job, double fetch_s, double score) {
   // Capacity that takes as long as the fetch, or longer than the start should, is no gain.
   const double within_s = std::min(fetch_s, context_.snapshot.jobs[job].start_within_s);
   // First what an earlier cycle began to free: the task would start elsewhere meanwhile otherwise.
-  if (claim_freeing(job, BesideImage{within_s, score})) return true;
-  return preemptor_.preempt_beside_image(job, within_s, score);
+  if (reserve_freeing(job, CachedImageBounds{within_s, score})) return true;
+  return preemptor_.preempt_with_cached_image(job, within_s, score);
 }
 
-bool PendingCapacity::is_beside_image(JobIndex job, MachineIndex machine, double within_s) const {
+bool PendingCapacity::has_image_within(JobIndex job, MachineIndex machine, double within_s) const {
   return has_image(context_.snapshot.machines[machine], context_.snapshot.jobs[job].image) &&
-         context_.state.time_to_save(machine) < within_s;
+         context_.state.time_to_save_s(machine) < within_s;
 }
 
-bool PendingCapacity::claim_freeing(JobIndex job, const std::optional<BesideImage>& beside_image) {
+bool PendingCapacity::reserve_freeing(JobIndex job,
+                                      const std::optional<CachedImageBounds>& cached_image_bounds) {
   const CapacityLedger& ledger = context_.state.ledger;
   const Resources& need = context_.snapshot.jobs[job].need;
-  context_.decisions.examined += ledger.freeing_machines.size();
-  double best_score =
-      beside_image ? beside_image->max_score : std::numeric_limits<double>::infinity();
+  context_.decisions.machines_examined += ledger.freeing_machines.size();
+  double best_score = cached_image_bounds ? cached_image_bounds->max_score
+                                          : std::numeric_limits<double>::infinity();
   std::optional<MachineIndex> best;
   for (const MachineIndex machine : ledger.freeing_machines) {
     if (!ledger.freeing[machine].any()) continue;
-    if (beside_image && !is_beside_image(job, machine, beside_image->within_s)) continue;
+    if (cached_image_bounds && !has_image_within(job, machine, cached_image_bounds->within_s))
+      continue;
     const Resources capacity = ledger.free[machine] + ledger.freeing[machine];
     if (!need.fits(capacity) || !context_.feasibility.is_feasible(job, machine)) continue;
     const double score = context_.scorer.score(job, machine, capacity);
@@ -49,20 +51,20 @@
     best = machine;
   }
   if (!best) return false;
-  context_.state.take_freeing(job, *best);
+  context_.state.allocate_freeing(job, *best);
   return true;
 }
 
-bool PendingCapacity::claim_booting(JobIndex job) {
+bool PendingCapacity::reserve_booting(JobIndex job) {
   const JobSnapshot& pending = context_.snapshot.jobs[job];
   CapacityLedger& ledger = context_.state.ledger;
   for (BootingMachine& machine : ledger.booting) {
-    if (!pending.need.fits(machine.room)) continue;
+    if (!pending.need.fits(machine.capacity)) continue;
     if (!context_.feasibility.matches_constraints(job, machine.type, machine.zone, machine.spot))
       continue;
-    machine.room -= pending.need;
+    machine.capacity -= pending.need;
     ledger.team_usage[*pending.team] += pending.need;  // it starts there soon
-    if (context_.state.parts_together()) ledger.parts_zone = machine.zone;
+    if (context_.state.parts_in_one_zone()) ledger.parts_zone = machine.zone;
     return true;
   }
   return false;
--- a/src/coordination/scheduling/pending_capacity.hpp
+++ b/src/coordination/scheduling/pending_capacity.hpp
@@ -11,7 +11,7 @@
 namespace damsonport::scheduling {
 
 /// Where the capacity for a pending task comes from.
-enum class PromisedCapacity : uint8_t {
+enum class ReservedCapacity : uint8_t {
   none,
   freeing,  ///< tasks are being stopped for it
   booting,  ///< a machine is starting up
@@ -23,20 +23,20 @@
       : context_(context), preemptor_(preemptor) {}
 
   /// Promises capacity to one more task of the job. Preempts tasks where nothing else is left.
-  [[nodiscard]] PromisedCapacity promise(JobIndex job);
+  [[nodiscard]] ReservedCapacity reserve(JobIndex job);
   /// For a task whose fetch of the image on the best free machine would take `fetch_s`, at `score`:
   /// promises it capacity on a machine that has the image, if that is better. May preempt tasks.
-  [[nodiscard]] bool promise_beside_image(JobIndex job, double fetch_s, double score);
+  [[nodiscard]] bool reserve_with_cached_image(JobIndex job, double fetch_s, double score);
 
  private:
   /// Bounds on capacity beside a cached image.
-  struct BesideImage {
+  struct CachedImageBounds {
     double within_s;   // it has to be free by then
     double max_score;  // the machine has to score better
   };
-  bool claim_freeing(JobIndex job, const std::optional<BesideImage>& beside_image);
-  [[nodiscard]] bool is_beside_image(JobIndex job, MachineIndex machine, double within_s) const;
-  bool claim_booting(JobIndex job);
+  bool reserve_freeing(JobIndex job, const std::optional<CachedImageBounds>& cached_image_bounds);
+  [[nodiscard]] bool has_image_within(JobIndex job, MachineIndex machine, double within_s) const;
+  bool reserve_booting(JobIndex job);
 
   const CycleContext context_;
   Preemptor& preemptor_;
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -13,16 +13,16 @@
 constexpr double base_cost = 2;
 constexpr double cost_per_priority = 15;
 constexpr double service_cost = 60;  // users notice the loss of a replica
-constexpr double started_in_vain_cost = 10;
+constexpr double short_run_cost = 10;
 constexpr double guaranteed_cost = 15;
 
 // A task without checkpoints loses its run time, up to this many times its estimate: beyond that
 // the estimate is wrong and says nothing.
-constexpr double max_loss_in_estimates = 2;
+constexpr double max_lost_run_time_in_estimates = 2;
 constexpr double min_estimate_s = 1;
 
 // A task is stopped abruptly if it loses at most this many times what saving its state would take.
-constexpr double bearable_abrupt_loss_in_graces = 2;
+constexpr double max_unsaved_run_time_in_grace_periods = 2;
 
 // Services of this priority and above never give back what they borrow of another team's guarantee.
 constexpr int production_priority = 3;
@@ -32,7 +32,8 @@
 }
 
 // Whether the need of a victim includes a resource that the job still lacks.
-bool frees_what_lacks(const Resources& victim, const Resources& need, const Resources& capacity) {
+bool frees_lacking_resource(const Resources& victim, const Resources& need,
+                            const Resources& capacity) {
   return (victim.gpus > 0 && need.gpus > capacity.gpus) ||
          (victim.cpus > 0 && need.cpus > capacity.cpus) ||
          (victim.memory_gb > 0 && need.memory_gb > capacity.memory_gb);
@@ -70,23 +71,23 @@
 }
 
 double Preemptor::run_time_s(const RunningTaskSnapshot& task) const {
-  return std::max(context_.snapshot.steady_now - task.since, 0.0);
+  return std::max(context_.snapshot.steady_now - task.running_since, 0.0);
 }
 
 // On average half of its interval between checkpoints.
-double Preemptor::abrupt_loss_s(const RunningTaskSnapshot& task) const {
+double Preemptor::unsaved_run_time_s(const RunningTaskSnapshot& task) const {
   return std::min(run_time_s(task), context_.snapshot.jobs[task.job].checkpoint_s / 2);
 }
 
 // A task with checkpoints loses little when it is stopped at once. It is where the job would start
 // too late otherwise.
-bool Preemptor::is_abrupt(JobIndex job, MachineIndex machine,
-                          const RunningTaskSnapshot& victim) const {
+bool Preemptor::skips_grace_period(JobIndex job, MachineIndex machine,
+                                   const RunningTaskSnapshot& victim) const {
   const JobSnapshot& victim_job = context_.snapshot.jobs[victim.job];
   if (victim_job.gang) return false;  // its tasks save their state together
   const double grace_s = victim_job.grace_s;
   if (grace_s <= 0) return false;
-  if (abrupt_loss_s(victim) > bearable_abrupt_loss_in_graces * grace_s) return false;
+  if (unsaved_run_time_s(victim) > max_unsaved_run_time_in_grace_periods * grace_s) return false;
   const std::optional<double> objective_s = start_objective_s(job);
   if (!objective_s) return false;
   const double delay_s =
@@ -94,16 +95,18 @@
   return delay_s + grace_s > *objective_s;
 }
 
-double Preemptor::cost_of(JobIndex job, MachineIndex machine,
-                          const RunningTaskSnapshot& victim) const {
+double Preemptor::preemption_cost(JobIndex job, MachineIndex machine,
+                                  const RunningTaskSnapshot& victim) const {
   const JobSnapshot& victim_job = context_.snapshot.jobs[victim.job];
-  const double max_loss = std::max(victim_job.estimate_s, min_estimate_s) * max_loss_in_estimates;
+  const double max_loss =
+      std::max(victim_job.estimate_s, min_estimate_s) * max_lost_run_time_in_estimates;
   // With checkpoints, a task that has time to save its state loses nothing but that time.
   const double lost = victim_job.checkpoint_s > 0 ? 0 : std::min(run_time_s(victim), max_loss);
-  double cost = is_abrupt(job, machine, victim) ? abrupt_loss_s(victim) : lost + victim_job.grace_s;
+  double cost = skips_grace_period(job, machine, victim) ? unsaved_run_time_s(victim)
+                                                         : lost + victim_job.grace_s;
   cost = cost + base_cost + victim_job.priority * cost_per_priority;
   if (victim_job.service) cost += service_cost;
-  if (run_time_s(victim) < context_.snapshot.min_useful_run_s) cost += started_in_vain_cost;
+  if (run_time_s(victim) < context_.snapshot.min_useful_run_s) cost += short_run_cost;
   if (context_.queue.within_guarantee(victim.job)) cost += guaranteed_cost;
   if (!victim_job.gang) return cost;
   return cost * static_cast<double>(context_.state.find_gang_tasks(victim.job)->size());
@@ -111,34 +114,37 @@
 
 // Where a job had no victims, no job has any that needs as much under the same constraints and may
 // preempt no more.
-bool Preemptor::is_known_without_victims(JobIndex job, PreemptionScope scope) const {
-  const JobSnapshot& asking = context_.snapshot.jobs[job];
+bool Preemptor::is_known_to_lack_victims(JobIndex job, PreemptionScope scope) const {
+  const JobSnapshot& pending = context_.snapshot.jobs[job];
   const QueueOrder& queue = context_.queue;
-  const auto& known = context_.state.ledger.without_victims[static_cast<size_t>(scope)];
+  const auto& known = context_.state.ledger.jobs_without_victims[static_cast<size_t>(scope)];
   return std::any_of(known.begin(), known.end(), [&](JobIndex other) {
     const JobSnapshot& representative = context_.snapshot.jobs[other];
     const bool same_guarantee =
         !queue.within_guarantee(job) ||
-        (queue.within_guarantee(other) && representative.team == asking.team);
-    return representative.need.fits(asking.need) && has_same_constraints(representative, asking) &&
+        (queue.within_guarantee(other) && representative.team == pending.team);
+    return representative.need.fits(pending.need) &&
+           has_same_constraints(representative, pending) &&
            queue.urgency(job) <= queue.urgency(other) &&
-           asking.priority <= representative.priority && same_guarantee;
+           pending.priority <= representative.priority && same_guarantee;
   });
 }
 
 std::vector<size_t> Preemptor::find_victims(JobIndex job, MachineIndex machine,
                                             PreemptionScope scope) const {
-  const std::vector<RunningTaskSnapshot>& live = context_.snapshot.machines[machine].live;
+  const std::vector<RunningTaskSnapshot>& running =
+      context_.snapshot.machines[machine].running_tasks;
   const std::vector<size_t>& preempted = context_.state.ledger.preempted[machine];
   std::vector<size_t> victims;
-  for (size_t i = 0; i < live.size(); ++i) {
-    if (!may_preempt(job, live[i])) continue;
-    const bool spared = scope == PreemptionScope::spare_urgent_services &&
-                        is_urgent_service(context_.snapshot.jobs[live[i].job]);
+  for (size_t i = 0; i < running.size(); ++i) {
+    if (!may_preempt(job, running[i])) continue;
+    const bool spared = scope == PreemptionScope::exclude_urgent_services &&
+                        is_urgent_service(context_.snapshot.jobs[running[i].job]);
     if (!spared && !contains(preempted, i)) victims.push_back(i);
   }
   std::sort(victims.begin(), victims.end(), [&](size_t left, size_t right) {
-    return cost_of(job, machine, live[left]) < cost_of(job, machine, live[right]);
+    return preemption_cost(job, machine, running[left]) <
+           preemption_cost(job, machine, running[right]);
   });
   return victims;
 }
@@ -151,14 +157,14 @@
   Plan plan{image_delay(starting, target), machine, {}};
   for (const size_t victim : find_victims(job, machine, scope)) {
     if (starting.need.fits(capacity)) break;
-    const RunningTaskSnapshot& task = target.live[victim];
+    const RunningTaskSnapshot& task = target.running_tasks[victim];
     const Resources& victim_need = context_.snapshot.jobs[task.job].need;
-    if (!frees_what_lacks(victim_need, starting.need, capacity)) continue;
+    if (!frees_lacking_resource(victim_need, starting.need, capacity)) continue;
     capacity += victim_need;
-    plan.cost += cost_of(job, machine, task);
-    plan.live.push_back(victim);
+    plan.cost += preemption_cost(job, machine, task);
+    plan.victims.push_back(victim);
   }
-  if (plan.live.empty() || !starting.need.fits(capacity)) return std::nullopt;
+  if (plan.victims.empty() || !starting.need.fits(capacity)) return std::nullopt;
   return plan;
 }
 
@@ -166,7 +172,7 @@
   std::optional<Plan> best;
   for (MachineIndex machine; machine < context_.snapshot.machines.size(); ++machine) {
     if (context_.state.least_urgency_on(machine) >= context_.queue.urgency(job)) continue;
-    ++context_.decisions.examined;
+    ++context_.decisions.machines_examined;
     if (!context_.feasibility.is_feasible(job, machine)) continue;
     std::optional<Plan> plan = plan_on(job, machine, scope);
     if (plan && (!best || plan->cost < best->cost)) best = std::move(plan);
@@ -174,89 +180,94 @@
   return best;
 }
 
-void Preemptor::stop_task(MachineIndex machine, size_t live, double grace_s) {
+void Preemptor::stop_task(MachineIndex machine, size_t running_task_index, double grace_s) {
   CapacityLedger& ledger = context_.state.ledger;
-  const RunningTaskSnapshot& task = context_.snapshot.machines[machine].live[live];
-  context_.decisions.stops.push_back({machine, live, grace_s});
-  ledger.preempted[machine].push_back(live);
+  const RunningTaskSnapshot& task =
+      context_.snapshot.machines[machine].running_tasks[running_task_index];
+  context_.decisions.preemptions.push_back({machine, running_task_index, grace_s});
+  ledger.preempted[machine].push_back(running_task_index);
   ledger.freeing[machine] += context_.snapshot.jobs[task.job].need;
 }
 
 void Preemptor::stop_gang(JobIndex gang) {
   const double grace_s = context_.snapshot.jobs[gang].grace_s;
   for (const GangTask& task : *context_.state.find_gang_tasks(gang)) {
-    stop_task(task.machine, task.live, grace_s);
+    stop_task(task.machine, task.running_task_index, grace_s);
     context_.state.ledger.freeing_machines.push_back(task.machine);
   }
 }
 
 void Preemptor::execute(JobIndex job, const Plan& plan) {
   CapacityLedger& ledger = context_.state.ledger;
-  for (const size_t live : plan.live) {
-    const RunningTaskSnapshot& task = context_.snapshot.machines[plan.machine].live[live];
+  for (const size_t victim : plan.victims) {
+    const RunningTaskSnapshot& task =
+        context_.snapshot.machines[plan.machine].running_tasks[victim];
     const JobSnapshot& victim_job = context_.snapshot.jobs[task.job];
     // Already with another task of its gang.
-    if (contains(ledger.preempted[plan.machine], live)) continue;
+    if (contains(ledger.preempted[plan.machine], victim)) continue;
     if (victim_job.gang) {
       stop_gang(task.job);
     } else {
-      const bool abrupt = is_abrupt(job, plan.machine, task);
-      stop_task(plan.machine, live, abrupt ? 0 : victim_job.grace_s);
+      const bool skip_grace_period = skips_grace_period(job, plan.machine, task);
+      stop_task(plan.machine, victim, skip_grace_period ? 0 : victim_job.grace_s);
     }
   }
-  context_.state.take_freeing(job, plan.machine);
+  context_.state.allocate_freeing(job, plan.machine);
   ledger.freeing_machines.push_back(plan.machine);
   // More may become free now than this job takes.
-  for (std::vector<JobIndex>& known : ledger.without_victims) known.clear();
+  for (std::vector<JobIndex>& known : ledger.jobs_without_victims) known.clear();
 }
 
 bool Preemptor::preempt_for(JobIndex job, PreemptionScope scope) {
-  if (is_known_without_victims(job, scope)) return false;
+  if (is_known_to_lack_victims(job, scope)) return false;
   const std::optional<Plan> best = find_cheapest(job, scope);
   if (best) {
     execute(job, *best);
     return true;
   }
   if (represents_class(context_.snapshot, context_.snapshot.jobs[job]))
-    context_.state.ledger.without_victims[static_cast<size_t>(scope)].push_back(job);
+    context_.state.ledger.jobs_without_victims[static_cast<size_t>(scope)].push_back(job);
   return false;
 }
 
 bool Preemptor::frees_within(JobIndex job, const Plan& plan, double within_s) const {
-  double longest_s = context_.state.time_to_save(plan.machine);
-  for (const size_t live : plan.live) {
-    const RunningTaskSnapshot& victim = context_.snapshot.machines[plan.machine].live[live];
-    const JobSnapshot& victim_job = context_.snapshot.jobs[victim.job];
+  double longest_s = context_.state.time_to_save_s(plan.machine);
+  for (const size_t victim : plan.victims) {
+    const RunningTaskSnapshot& task =
+        context_.snapshot.machines[plan.machine].running_tasks[victim];
+    const JobSnapshot& victim_job = context_.snapshot.jobs[task.job];
     if (victim_job.gang) return false;  // too much for one start
-    if (!is_abrupt(job, plan.machine, victim)) longest_s = std::max(longest_s, victim_job.grace_s);
+    if (!skips_grace_period(job, plan.machine, task))
+      longest_s = std::max(longest_s, victim_job.grace_s);
   }
   return longest_s < within_s;
 }
 
 // Of the machine itself, once the tasks are stopped.
-double Preemptor::score_after(JobIndex job, const Plan& plan) const {
+double Preemptor::score_after_preemption(JobIndex job, const Plan& plan) const {
   const MachineSnapshot& machine = context_.snapshot.machines[plan.machine];
   Resources capacity =
       context_.state.ledger.free[plan.machine] + context_.state.ledger.freeing[plan.machine];
-  for (const size_t live : plan.live)
-    capacity += context_.snapshot.jobs[machine.live[live].job].need;
+  for (const size_t victim : plan.victims)
+    capacity += context_.snapshot.jobs[machine.running_tasks[victim].job].need;
   return context_.scorer.score(job, plan.machine, capacity);
 }
 
-bool Preemptor::preempt_beside_image(JobIndex job, double within_s, double score) {
+bool Preemptor::preempt_with_cached_image(JobIndex job, double within_s, double score) {
   const JobSnapshot& starting = context_.snapshot.jobs[job];
   std::optional<Plan> best;
   double best_cost = score;
   for (MachineIndex machine; machine < context_.snapshot.machines.size(); ++machine) {
     if (context_.state.least_urgency_on(machine) >= context_.queue.urgency(job)) continue;
     if (!has_image(context_.snapshot.machines[machine], starting.image)) continue;
-    ++context_.decisions.examined;
+    ++context_.decisions.machines_examined;
     if (!context_.feasibility.is_feasible(job, machine)) continue;
-    std::optional<Plan> plan = plan_on(job, machine, PreemptionScope::spare_urgent_services);
+    std::optional<Plan> plan = plan_on(job, machine, PreemptionScope::exclude_urgent_services);
     if (!plan || plan->cost >= best_cost) continue;
     // Where the machine itself scores worse than the other one, the task would not start there once
     // the capacity is free. What was stopped would, and be stopped again.
-    if (score_after(job, *plan) >= score || !frees_within(job, *plan, within_s)) continue;
+    if (score_after_preemption(job, *plan) >= score || !frees_within(job, *plan, within_s))
+      continue;
     best_cost = plan->cost;
     best = std::move(plan);
   }
--- a/src/coordination/scheduling/queue_order.cpp
+++ b/src/coordination/scheduling/queue_order.cpp
@@ -17,7 +17,7 @@
 constexpr int guaranteed_bonus = 5;
 
 // An overdue job that has begun already is deferred for this many times as long.
-constexpr double begun_patience_factor = 3;
+constexpr double begun_deferral_factor = 3;
 
 // Whether an amount is within a quota that may be absent in this dimension.
 bool within_optional_quota(double amount, double quota) {
@@ -42,7 +42,7 @@
   std::vector<JobIndex> pending;
   for (JobIndex job; job < snapshot_.jobs.size(); ++job) {
     const JobSnapshot& snapshot = snapshot_.jobs[job];
-    if (snapshot.waiting > 0 && !snapshot.cancelled) pending.push_back(job);
+    if (snapshot.pending_tasks > 0 && !snapshot.cancelled) pending.push_back(job);
   }
   std::sort(pending.begin(), pending.end(),
             [this](JobIndex left, JobIndex right) { return precedes(left, right); });
@@ -68,7 +68,7 @@
     const JobSnapshot& job = snapshot_.jobs[index];
     if (!job.team || job.cancelled) continue;
     Resources& sum = team_need[*job.team];
-    sum += job.need * job.unfinished;
+    sum += job.need * job.unfinished_tasks;
     within_guarantee_[index] = is_within_guarantee(sum, snapshot_.teams[*job.team].guaranteed);
   }
 }
@@ -101,9 +101,10 @@
 // deferred behind the others for a while; not for ever, since it has to run as well.
 double QueueOrder::queue_key(const JobSnapshot& job) const {
   if (job.deadline <= 0) return job.accepted_at;
-  const double patience = snapshot_.begin_within_s * (job.begun ? begun_patience_factor : 1);
-  const bool deferred = snapshot_.now > job.deadline && snapshot_.now < job.accepted_at + patience;
-  return deferred ? snapshot_.now + job.accepted_at + patience : job.deadline;
+  const double deferral_s = snapshot_.begin_within_s * (job.begun ? begun_deferral_factor : 1);
+  const bool deferred =
+      snapshot_.now > job.deadline && snapshot_.now < job.accepted_at + deferral_s;
+  return deferred ? snapshot_.now + job.accepted_at + deferral_s : job.deadline;
 }
 
 }  // namespace damsonport::scheduling
--- a/src/coordination/scheduling/rechunker.cpp
+++ b/src/coordination/scheduling/rechunker.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // Between a transaction that was not written and the next try.
-constexpr double retry_after_s = 0.2;
+constexpr double retry_delay_s = 0.2;
 
 }  // namespace
 
@@ -23,7 +23,7 @@
   return job.chunk_size > chunk_size(limits().value_kb);
 }
 
-bool Rechunker::must_wait(const Job& job, const TaskChunk& chunk) {
+bool Rechunker::start_must_wait(const Job& job, const TaskChunk& chunk) {
   if (requested_.contains(job.spec.id)) return true;
   if (!is_oversized(job)) return false;
   if (chunk_fits(chunk, limits().value_kb)) return false;
@@ -33,16 +33,16 @@
 
 bool Rechunker::exit_must_wait(const Job& job, uint32_t chunk) {
   // Until all controllers are upgraded the larger limits hold, and an exit has to be written.
-  return must_wait(job, job.chunks.at(chunk).record) && requested_.contains(job.spec.id);
+  return start_must_wait(job, job.chunks.at(chunk).record) && requested_.contains(job.spec.id);
 }
 
-bool Rechunker::gang_must_wait(const Job& gang) {
+bool Rechunker::gang_start_must_wait(const Job& gang) {
   const uint32_t most = chunk_size(limits().value_kb);
   if (gang.chunk_size > most && gang.size_of(0) > most) requested_.insert(gang.spec.id);
   return requested_.contains(gang.spec.id);
 }
 
-void Rechunker::note_refused(const std::vector<Write>& writes) {
+void Rechunker::note_rejected_writes(const std::vector<Write>& writes) {
   for (const Write& write : writes) {
     if (!write.key.starts_with(keys::chunk_prefix)) continue;
     const auto name =
@@ -66,7 +66,7 @@
                                                : co_await commit_new_chunks(id, stop_token);
   if (!done) {
     progress_ = {};
-    co_await Sleep(loop_, retry_after_s, stop_token);
+    co_await Sleep(loop_, retry_delay_s, stop_token);
   }
   co_return true;
 }
--- a/src/coordination/scheduling/rechunker.hpp
+++ b/src/coordination/scheduling/rechunker.hpp
@@ -40,13 +40,13 @@
 
   /// Whether a start has to wait until the job is rechunked, because the chunk must not grow.
   /// Requests the rechunking if it is possible now.
-  [[nodiscard]] bool must_wait(const Job& job, const TaskChunk& chunk);
+  [[nodiscard]] bool start_must_wait(const Job& job, const TaskChunk& chunk);
   /// Likewise for the exit of a task. It waits only if the rechunking is possible now.
   [[nodiscard]] bool exit_must_wait(const Job& job, uint32_t chunk);
   /// Likewise for the start of a gang.
-  [[nodiscard]] bool gang_must_wait(const Job& gang);
+  [[nodiscard]] bool gang_start_must_wait(const Job& gang);
   /// The key-value store rejected these writes as too large: requests the rechunking of their jobs.
-  void note_refused(const std::vector<Write>& writes);
+  void note_rejected_writes(const std::vector<Write>& writes);
   /// Commits the next transaction of a rechunking. False: none is requested.
   [[nodiscard]] Task<bool> commit_next(std::stop_token stop_token);
 
--- a/src/coordination/scheduling/scheduler.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -4,6 +4,6 @@
 
 namespace damsonport::scheduling {
 
-Decisions place(const SchedulerSnapshot& snapshot) { return SchedulingCycle(snapshot).run(); }
+Decisions schedule(const SchedulerSnapshot& snapshot) { return SchedulingCycle(snapshot).run(); }
 
 }  // namespace damsonport::scheduling
--- a/src/coordination/scheduling/scheduler.hpp
+++ b/src/coordination/scheduling/scheduler.hpp
@@ -9,7 +9,7 @@
 
 namespace damsonport::scheduling {
 
-/// One task of the job starts on the machine.
+/// One task of the job placements on the machine.
 struct Placement {
   JobIndex job;
   MachineIndex machine;
@@ -24,8 +24,8 @@
 /// A running task is stopped to free capacity.
 struct Preemption {
   MachineIndex machine;
-  size_t live = 0;     ///< position in the machine's list of running tasks
-  double grace_s = 0;  ///< time it gets to save its state; 0: it is stopped at once
+  size_t running_task_index = 0;  ///< position in the machine's list of running tasks
+  double grace_s = 0;             ///< time it gets to save its state; 0: it is stopped at once
 };
 
 /// Pending tasks of a job that don't start now for want of capacity. Tasks that their team's quota
@@ -43,15 +43,15 @@
 };
 
 struct Decisions {
-  std::vector<Placement> starts;
-  std::vector<GangPlacement> gangs;
-  std::vector<Preemption> stops;
+  std::vector<Placement> placements;
+  std::vector<GangPlacement> gang_placements;
+  std::vector<Preemption> preemptions;
   std::vector<UnschedulableTasks> unschedulable;
   /// How often a machine was examined for a task: a measure of the work of the cycle.
-  size_t examined = 0;
+  size_t machines_examined = 0;
 };
 
 /// Runs one scheduling cycle.
-[[nodiscard]] Decisions place(const SchedulerSnapshot& snapshot);
+[[nodiscard]] Decisions schedule(const SchedulerSnapshot& snapshot);
 
 }  // namespace damsonport::scheduling
--- a/src/coordination/scheduling/scheduler_snapshot.hpp
+++ b/src/coordination/scheduling/scheduler_snapshot.hpp
@@ -51,19 +51,19 @@
 /// its tasks alone until its first heartbeat.
 constexpr NameId unknown_zone = no_name;
 /// The first number of a non-empty name.
-constexpr NameId first_name = 1;
+constexpr NameId first_name_id = 1;
 
 /// Numbers for the names of one kind, in order of their first use.
-class Names {
+class NameTable {
  public:
   /// The number of this name; a new one if the name was not seen before.
   NameId id(const std::string& name) {
     if (name.empty()) return no_name;
-    const auto next = static_cast<NameId>(ids_.size() + first_name);
+    const auto next = static_cast<NameId>(ids_.size() + first_name_id);
     return ids_.try_emplace(name, next).first->second;
   }
   /// All numbers are below this one.
-  [[nodiscard]] size_t size() const { return ids_.size() + first_name; }
+  [[nodiscard]] size_t size() const { return ids_.size() + first_name_id; }
 
  private:
   std::unordered_map<std::string, NameId> ids_;
@@ -76,7 +76,7 @@
   uint64_t attempt = 0;
   /// When it began to run, in seconds on the clock of SchedulerSnapshot::steady_now. Infinite: it
   /// does not run yet.
-  double since = 0;
+  double running_since = 0;
   bool stopping = false;  ///< it was told to stop, or has ended and the records don't say so yet
 };
 
@@ -86,17 +86,18 @@
   NameId type = no_name;
   NameId zone = unknown_zone;
   bool spot = false;
-  bool open = true;  ///< takes new tasks now
+  bool schedulable = true;  ///< takes new tasks now
   Resources total;
-  Resources free;                     ///< not used by the tasks in `live`
-  double fetch_gb_per_s = 1;          ///< rate at which it fetches an image
-  double price_share = 0;             ///< its price, as a share of that of the dearest type
-  double speed = 1.0;                 ///< running average; 1: as fast as the others of its type
-  bool straggler = false;             ///< slow enough to be replaced
-  std::vector<NameId> images;         ///< cached, or being fetched
-  std::vector<NameId> fetching;       ///< being fetched
-  std::vector<std::string> bad_jobs;  ///< ids of jobs that failed here: they don't start here again
-  std::vector<RunningTaskSnapshot> live;
+  Resources free;                ///< not used by the tasks in `running_tasks`
+  double fetch_gb_per_s = 1;     ///< rate at which it fetches an image
+  double relative_price = 0;     ///< its price, as a share of that of the dearest type
+  double speed = 1.0;            ///< running average; 1: as fast as the others of its type
+  bool straggler = false;        ///< slow enough to be replaced
+  std::vector<NameId> images;    ///< cached, or being fetched
+  std::vector<NameId> fetching;  ///< being fetched
+  std::vector<std::string>
+      failed_jobs;  ///< ids of jobs that failed here: they don't start here again
+  std::vector<RunningTaskSnapshot> running_tasks;
 };
 
 /// A machine that is expected to take tasks soon.
@@ -104,7 +105,7 @@
   NameId type = no_name;
   NameId zone = unknown_zone;
   bool spot = false;
-  Resources room;  ///< its whole capacity
+  Resources capacity;  ///< its whole capacity
 };
 
 struct TeamSnapshot {
@@ -139,9 +140,9 @@
   bool spread = false;        ///< at most half of its tasks, rounded up, in one zone
   bool spot = false;          ///< may run on spot machines
 
-  uint32_t tasks = 1;       ///< of the job in all
-  uint32_t waiting = 0;     ///< pending tasks that may be started now
-  uint32_t unfinished = 0;  ///< pending, running, and held back ones
+  uint32_t tasks = 1;             ///< of the job in all
+  uint32_t pending_tasks = 0;     ///< pending tasks that may be started now
+  uint32_t unfinished_tasks = 0;  ///< pending, running, and held back ones
   bool cancelled = false;
   /// Fails on every machine: it gets what is left over, and nothing is preempted or scaled out for
   /// it.
@@ -158,9 +159,9 @@
 
 /// Everything that a scheduling cycle depends on.
 struct SchedulerSnapshot {
-  Names types;
-  Names zones;
-  Names images;
+  NameTable types;
+  NameTable zones;
+  NameTable images;
   std::vector<MachineSnapshot> machines;
   std::vector<TeamSnapshot> teams;
   std::vector<JobSnapshot> jobs;
--- a/src/coordination/scheduling/scheduling_cycle.cpp
+++ b/src/coordination/scheduling/scheduling_cycle.cpp
@@ -33,7 +33,8 @@
   state_.begin_job(job);
   // The spread constraint comes before the wish to keep the parts of a replica together: where no
   // zone may take all that are pending, they are divided.
-  if (state_.parts_together() && !feasibility_.fits_one_zone(job)) state_.allow_parts_apart();
+  if (state_.parts_in_one_zone() && !feasibility_.fits_one_zone(job))
+    state_.allow_parts_in_several_zones();
 }
 
 }  // namespace damsonport::scheduling
--- a/src/coordination/scheduling/scoring.cpp
+++ b/src/coordination/scheduling/scoring.cpp
@@ -15,7 +15,7 @@
 // proportion to their price.
 constexpr double empty_machine_penalty = 15;
 // Jobs that may run on spot machines leave the others free.
-constexpr double not_spot_penalty = 3;
+constexpr double on_demand_penalty = 3;
 constexpr double slow_machine_penalty = 20;  // at no speed at all, else in proportion
 // Replicas are kept apart, so that the loss of one machine takes few of them.
 constexpr double same_machine_penalty = 2;
@@ -23,7 +23,7 @@
 // Accelerators without CPUs or memory beside them are lost. Where it can't be helped, they are lost
 // on machines with few usable ones left, and not a few on each.
 constexpr double cpu_task_on_accelerator_penalty = 15;
-constexpr double lost_accelerator_penalty = 30;
+constexpr double stranded_accelerator_penalty = 30;
 constexpr double usable_accelerator_penalty = 5;  // for each that is left usable there
 
 constexpr double fragmentation_weight = 4;  // for each largest task that no longer fits
@@ -32,7 +32,7 @@
 
 // For gangs: each further machine, since the loss of any one stops all of it.
 constexpr double gang_machine_penalty = 2;
-constexpr double gang_lost_accelerator_penalty = 10;
+constexpr double gang_stranded_accelerator_penalty = 10;
 
 constexpr double min_fetch_gb_per_s = 1e-3;  // a rate of 0 is not to be divided by
 
@@ -56,22 +56,22 @@
   return std::clamp((longest - objective_s) / (longest - shortest), 0.0, 1.0);
 }
 
-AcceleratorShape AcceleratorShape::of(const SchedulerSnapshot& snapshot) {
-  const bool any_fixed =
+AcceleratorDemand AcceleratorDemand::from_jobs(const SchedulerSnapshot& snapshot) {
+  const bool any_on_demand =
       std::any_of(snapshot.jobs.begin(), snapshot.jobs.end(),
                   [](const JobSnapshot& job) { return job.need.gpus > 0 && !job.spot; });
-  AcceleratorShape shape;
+  AcceleratorDemand demand;
   for (const JobSnapshot& job : snapshot.jobs) {
     const Resources& need = job.need;
-    if (need.gpus <= 0 || (any_fixed && job.spot)) continue;
-    shape.largest_task_gpus = std::max(shape.largest_task_gpus, need.gpus);
-    shape.cpus_per_gpu = std::max(shape.cpus_per_gpu, need.cpus / need.gpus);
-    shape.memory_gb_per_gpu = std::max(shape.memory_gb_per_gpu, need.memory_gb / need.gpus);
+    if (need.gpus <= 0 || (any_on_demand && job.spot)) continue;
+    demand.largest_task_gpus = std::max(demand.largest_task_gpus, need.gpus);
+    demand.cpus_per_gpu = std::max(demand.cpus_per_gpu, need.cpus / need.gpus);
+    demand.memory_gb_per_gpu = std::max(demand.memory_gb_per_gpu, need.memory_gb / need.gpus);
   }
-  return shape;
+  return demand;
 }
 
-double AcceleratorShape::usable_gpus(const Resources& capacity) const {
+double AcceleratorDemand::usable_gpus(const Resources& capacity) const {
   double usable = std::max(capacity.gpus, 0.0);
   if (cpus_per_gpu > 0) usable = std::min(usable, capacity.cpus / cpus_per_gpu);
   if (memory_gb_per_gpu > 0) usable = std::min(usable, capacity.memory_gb / memory_gb_per_gpu);
@@ -80,7 +80,7 @@
 
 bool Scorer::uses_empty_machine(const JobSnapshot& job, MachineIndex machine) const {
   const MachineSnapshot& target = snapshot_.machines[machine];
-  if (!target.live.empty() || state_.ledger.tasks_on[machine] > 0) return false;
+  if (!target.running_tasks.empty() || state_.ledger.tasks_on[machine] > 0) return false;
   // A machine with the image is kept empty for jobs with a start-up objective.
   return job.start_within_s <= 0 || !has_image(target, job.image);
 }
@@ -90,9 +90,9 @@
   const MachineSnapshot& target = snapshot_.machines[machine];
   double score = image_delay(snapshot, target);
   score += missed_objective_penalty * miss_probability(score, snapshot.start_within_s);
-  if (snapshot.spot && !target.spot) score += not_spot_penalty;
+  if (snapshot.spot && !target.spot) score += on_demand_penalty;
   score += (1.0 - std::min(target.speed, 1.0)) * slow_machine_penalty;
-  if (uses_empty_machine(snapshot, machine)) score += empty_machine_penalty * target.price_share;
+  if (uses_empty_machine(snapshot, machine)) score += empty_machine_penalty * target.relative_price;
   if (snapshot.service) score += same_machine_penalty * state_.ledger.tasks_on[machine];
   return add_packing_penalty(score, snapshot, target, capacity);
 }
@@ -105,7 +105,7 @@
   const Resources left = capacity - job.need;
   if (machine.total.gpus > 0 && job.need.gpus <= 0)
     return add_cpu_task_penalty(score, capacity, left);
-  if (job.need.gpus > 0 && shape_.largest_task_gpus > 0) {
+  if (job.need.gpus > 0 && accelerator_demand_.largest_task_gpus > 0) {
     score += fragmentation_penalty(capacity.gpus, left.gpus, job.need.gpus);
     return score + free_gpus_weight * left.gpus / std::max(machine.total.gpus, 1.0);
   }
@@ -115,15 +115,15 @@
 double Scorer::add_cpu_task_penalty(double score, const Resources& capacity,
                                     const Resources& left) const {
   score += cpu_task_on_accelerator_penalty;
-  const double usable_before = shape_.usable_gpus(capacity);
-  const double usable_after = shape_.usable_gpus(left);
+  const double usable_before = accelerator_demand_.usable_gpus(capacity);
+  const double usable_after = accelerator_demand_.usable_gpus(left);
   if (usable_after < usable_before - resource_tolerance)
-    score += lost_accelerator_penalty + usable_accelerator_penalty * usable_after;
+    score += stranded_accelerator_penalty + usable_accelerator_penalty * usable_after;
   return score + 1.0 / (1.0 + left.cpus);
 }
 
 double Scorer::fragmentation_penalty(double free_gpus, double left_gpus, double need_gpus) const {
-  const double largest = shape_.largest_task_gpus;
+  const double largest = accelerator_demand_.largest_task_gpus;
   const double slots_before = std::floor(free_gpus / largest + resource_tolerance);
   const double slots_after = std::floor(left_gpus / largest + resource_tolerance);
   const double slots_broken = slots_before - slots_after - need_gpus / largest;
@@ -136,14 +136,15 @@
   const Resources& free = state_.ledger.free[machine];
   double score = image_delay(snapshot, target);
   score += (1.0 - std::min(target.speed, 1.0)) * slow_machine_penalty;
-  score += gang_machine_penalty * std::ceil(static_cast<double>(snapshot.waiting) / tasks);
+  score += gang_machine_penalty * std::ceil(static_cast<double>(snapshot.pending_tasks) / tasks);
   if (snapshot.replica) score += same_machine_penalty * state_.ledger.tasks_on[machine];
   if (target.total.gpus <= 0 || snapshot.need.gpus > 0) return score;
   Resources left = free;
   for (uint32_t i = 0; i < tasks; ++i) left -= snapshot.need;
   score += cpu_task_on_accelerator_penalty;
-  const double lost_gpus = shape_.usable_gpus(free) - shape_.usable_gpus(left);
-  return score + gang_lost_accelerator_penalty * lost_gpus;
+  const double stranded_gpus =
+      accelerator_demand_.usable_gpus(free) - accelerator_demand_.usable_gpus(left);
+  return score + gang_stranded_accelerator_penalty * stranded_gpus;
 }
 
 }  // namespace damsonport::scheduling
--- a/src/coordination/scheduling/scoring.hpp
+++ b/src/coordination/scheduling/scoring.hpp
@@ -18,12 +18,12 @@
 /// The bin packing of accelerators is judged by the tasks there are: the most accelerators that one
 /// task asks for, and the CPUs and memory that go with each. Jobs that may use spot machines have
 /// capacity of their own there, and count only where there are no others.
-struct AcceleratorShape {
+struct AcceleratorDemand {
   double largest_task_gpus = 0;
   double cpus_per_gpu = 0;
   double memory_gb_per_gpu = 0;
 
-  static AcceleratorShape of(const SchedulerSnapshot& snapshot);
+  static AcceleratorDemand from_jobs(const SchedulerSnapshot& snapshot);
   /// How many accelerators can be used, going by the CPUs and memory that are left beside them.
   [[nodiscard]] double usable_gpus(const Resources& capacity) const;
 };
@@ -31,7 +31,9 @@
 class Scorer {
  public:
   Scorer(const SchedulerSnapshot& snapshot, const CycleState& state)
-      : snapshot_(snapshot), state_(state), shape_(AcceleratorShape::of(snapshot)) {}
+      : snapshot_(snapshot),
+        state_(state),
+        accelerator_demand_(AcceleratorDemand::from_jobs(snapshot)) {}
 
   /// Of one task on a machine of which `capacity` is free.
   [[nodiscard]] double score(JobIndex job, MachineIndex machine, const Resources& capacity) const;
@@ -51,7 +53,7 @@
 
   const SchedulerSnapshot& snapshot_;
   const CycleState& state_;
-  AcceleratorShape shape_;
+  AcceleratorDemand accelerator_demand_;
 };
 
 }  // namespace damsonport::scheduling
--- a/src/coordination/scheduling/snapshot_builder.cpp
+++ b/src/coordination/scheduling/snapshot_builder.cpp
@@ -15,7 +15,7 @@
   for (auto& team : settings.teams)
     snapshot_.teams.push_back({team.name, deps_.quotas.guarantee(team), deps_.quotas.limit(team)});
   job_index_.clear();
-  free_machine_indices_.clear();
+  free_machine_indexes_.clear();
   changed_jobs_.clear();
   changed_machines_.clear();
   held_back_.clear();
@@ -28,15 +28,15 @@
 }
 
 void SnapshotBuilder::forget_machine(const Machine& machine) {
-  if (!machine.slot) return;
-  snapshot_.machines[*machine.slot] = {};
-  snapshot_.machines[*machine.slot].open = false;
-  free_machine_indices_.push_back(*machine.slot);
+  if (!machine.snapshot_index) return;
+  snapshot_.machines[*machine.snapshot_index] = {};
+  snapshot_.machines[*machine.snapshot_index].schedulable = false;
+  free_machine_indexes_.push_back(*machine.snapshot_index);
 }
 
 void SnapshotBuilder::refresh(std::map<std::string, Machine>& machines,
                               const std::set<std::string>& unreachable_zones,
-                              const std::vector<ExpectedMachine>& expected) {
+                              const std::vector<BootingMachine>& booting) {
   const double now = deps_.loop.now();
   // Jobs first: the machines' tasks refer to them.
   refresh_jobs();
@@ -44,11 +44,11 @@
     if (auto it = machines.find(id); it != machines.end()) refresh_machine(it->second);
   changed_machines_.clear();
   for (auto& [id, machine] : machines) {
-    if (!machine.slot) continue;
-    snapshot_.machines[*machine.slot].open =
-        facts_.is_schedulable(machine) && !unreachable_zones.contains(machine.zone);
+    if (!machine.snapshot_index) continue;
+    snapshot_.machines[*machine.snapshot_index].schedulable =
+        callbacks_.is_schedulable(machine) && !unreachable_zones.contains(machine.zone);
   }
-  refresh_expected(expected);
+  refresh_booting(booting);
   refresh_limits();
   snapshot_.now = deps_.loop.wall();
   snapshot_.steady_now = now;
@@ -67,37 +67,38 @@
 }
 
 // What doesn't change as long as the job is there.
-void SnapshotBuilder::describe_job(const JobSpec& spec, scheduling::JobSnapshot& view) {
-  view.id = spec.id;
+void SnapshotBuilder::describe_job(const JobSpec& spec, scheduling::JobSnapshot& entry) {
+  entry.id = spec.id;
   for (size_t team = 0; team < snapshot_.teams.size(); ++team)
-    if (snapshot_.teams[team].name == spec.team) view.team = team;
-  view.image = snapshot_.images.id(spec.image);
-  view.image_gb = spec.image_gb;
-  view.service = spec.kind == JobKind::service;
-  view.gang = spec.gang_size() > 0;
-  view.replica = spec.replicated();
+    if (snapshot_.teams[team].name == spec.team) entry.team = team;
+  entry.image = snapshot_.images.id(spec.image);
+  entry.image_gb = spec.image_gb;
+  entry.service = spec.kind == JobKind::service;
+  entry.gang = spec.gang_size() > 0;
+  entry.replica = spec.replicated();
   // Also zones without a machine that has sent a heartbeat.
-  if (view.replica)
+  if (entry.replica)
     for (auto& zone : deps_.settings.zones) snapshot_.zones.id(zone);
-  view.distinct_machines = spec.distinct_machines;
-  view.priority = static_cast<int>(spec.priority);
-  view.need = {spec.cpus, spec.gpus, spec.memory_gb};
-  for (auto& type : spec.types) view.types.push_back(snapshot_.types.id(type));
-  view.zone = snapshot_.zones.id(spec.zone);
-  view.one_zone = spec.one_zone;
-  view.spread = spec.spread;
-  view.spot = spec.spot;
-  view.tasks = spec.tasks;
-  view.accepted_at = spec.accepted_at;
-  view.deadline = spec.deadline_s ? spec.accepted_at + *spec.deadline_s : 0;
-  view.start_within_s = deps_.settings.start_within(spec.job_class);
-  view.estimate_s = spec.estimate_s;
-  view.checkpoint_s = spec.checkpoint_s;
-  view.grace_s = facts_.stop_grace_s(spec);
+  entry.distinct_machines = spec.distinct_machines;
+  entry.priority = static_cast<int>(spec.priority);
+  entry.need = {spec.cpus, spec.gpus, spec.memory_gb};
+  for (auto& type : spec.types) entry.types.push_back(snapshot_.types.id(type));
+  entry.zone = snapshot_.zones.id(spec.zone);
+  entry.one_zone = spec.one_zone;
+  entry.spread = spec.spread;
+  entry.spot = spec.spot;
+  entry.tasks = spec.tasks;
+  entry.accepted_at = spec.accepted_at;
+  entry.deadline = spec.deadline_s ? spec.accepted_at + *spec.deadline_s : 0;
+  entry.start_within_s = deps_.settings.start_within(spec.job_class);
+  entry.estimate_s = spec.estimate_s;
+  entry.checkpoint_s = spec.checkpoint_s;
+  entry.grace_s = callbacks_.stop_grace_s(spec);
 }
 
 uint32_t SnapshotBuilder::startable_tasks(const Job& job, uint32_t gang) const {
-  if (job.spec.gang_size() > 0) return facts_.startable_gang_tasks(job, gang_range(job.spec, gang));
+  if (job.spec.gang_size() > 0)
+    return callbacks_.startable_gang_tasks(job, gang_range(job.spec, gang));
   const auto unstarted = static_cast<uint32_t>(job.unstarted());
   if (!deps_.faults.is_job_faulty(job.spec.id)) return unstarted;
   // One task finds out whether it still fails.
@@ -105,85 +106,86 @@
 }
 
 void SnapshotBuilder::refresh_job(Job& job) {
-  bool fresh = false;
-  const auto& indices = job_index_.take(job, snapshot_.jobs, fresh);
+  bool created = false;
+  const auto& indexes = job_index_.get_or_create(job, snapshot_.jobs, created);
   const JobSpec& spec = job.spec;
-  const bool cancelled = facts_.is_cancelled(job);
-  const bool backing_off = facts_.is_backing_off(spec.id);
+  const bool cancelled = callbacks_.is_cancelled(job);
+  const bool backing_off = callbacks_.is_backing_off(spec.id);
   const bool faulty = deps_.faults.is_job_faulty(spec.id);
   if (backing_off || faulty) held_back_.insert(spec.id);
-  for (uint32_t n = 0; n < indices.size(); ++n) {
-    auto& view = snapshot_.jobs[indices[n]];
-    if (fresh) {
-      describe_job(spec, view);
-      view.replica_number = n;
-      view.replica_set = indices.front();
+  for (uint32_t n = 0; n < indexes.size(); ++n) {
+    auto& entry = snapshot_.jobs[indexes[n]];
+    if (created) {
+      describe_job(spec, entry);
+      entry.replica_number = n;
+      entry.replica_set = indexes.front();
     }
-    view.cancelled = cancelled;
+    entry.cancelled = cancelled;
     // What is left over is hardly ever enough for a whole replica, and its tries are spaced out and
     // bounded by its class.
-    view.faulty = faulty && !spec.replicated();
-    view.unfinished = static_cast<uint32_t>(spec.tasks - job.done);
-    view.begun = job.live + job.done > 0;
+    entry.faulty = faulty && !spec.replicated();
+    entry.unfinished_tasks = static_cast<uint32_t>(spec.tasks - job.done);
+    entry.begun = job.live + job.done > 0;
     if (spec.replicated()) {
       const TaskRangeSummary record = job.summarize(gang_range(spec, n));
-      view.unfinished = spec.parts - record.done;
-      view.begun = record.live > 0;
+      entry.unfinished_tasks = spec.parts - record.done;
+      entry.begun = record.live > 0;
     }
-    view.waiting = cancelled || backing_off ? 0 : startable_tasks(job, n);
+    entry.pending_tasks = cancelled || backing_off ? 0 : startable_tasks(job, n);
   }
 }
 
 void SnapshotBuilder::refresh_machine(Machine& machine) {
-  if (!machine.slot) {
-    machine.slot = take_slot(free_machine_indices_, snapshot_.machines);
-    snapshot_.machines[*machine.slot].id = machine.id;
+  if (!machine.snapshot_index) {
+    machine.snapshot_index = allocate_index(free_machine_indexes_, snapshot_.machines);
+    snapshot_.machines[*machine.snapshot_index].id = machine.id;
   }
-  auto& view = snapshot_.machines[*machine.slot];
-  describe_machine(machine, view);
-  view.live.clear();
+  auto& entry = snapshot_.machines[*machine.snapshot_index];
+  describe_machine(machine, entry);
+  entry.running_tasks.clear();
   for (auto& [assignment, attempt] : deps_.cache.assigned(machine.id))
-    view.live.push_back(describe_task(machine, assignment, attempt));
+    entry.running_tasks.push_back(describe_task(machine, assignment, attempt));
 }
 
-void SnapshotBuilder::describe_machine(const Machine& machine, scheduling::MachineSnapshot& view) {
-  view.type = snapshot_.types.id(machine.type);
-  view.zone = snapshot_.zones.id(machine.zone);
-  view.spot = machine.spot;
-  view.total = facts_.total_resources(machine);
-  view.free = facts_.free_resources(machine);
-  view.straggler = machine.straggler.flagged;
+void SnapshotBuilder::describe_machine(const Machine& machine, scheduling::MachineSnapshot& entry) {
+  entry.type = snapshot_.types.id(machine.type);
+  entry.zone = snapshot_.zones.id(machine.zone);
+  entry.spot = machine.spot;
+  entry.total = callbacks_.total_resources(machine);
+  entry.free = callbacks_.free_resources(machine);
+  entry.straggler = machine.straggler.flagged;
   const bool speed_known = machine.straggler.updates >= deps_.settings.tuning.straggler_test_every;
-  view.speed = speed_known ? machine.straggler.average : 1.0;
+  entry.speed = speed_known ? machine.straggler.average : 1.0;
   if (auto* type = deps_.catalog.type(machine.type)) {
-    view.fetch_gb_per_s = type->fetch_gb_per_s;
-    view.price_share = hourly_price(*type, machine.spot) / deps_.catalog.dearest_price();
+    entry.fetch_gb_per_s = type->fetch_gb_per_s;
+    entry.relative_price = hourly_price(*type, machine.spot) / deps_.catalog.dearest_price();
   }
-  view.images.clear();
+  entry.images.clear();
   for (auto& [image, use] : machine.images.images())
-    view.images.push_back(snapshot_.images.id(image));
-  view.fetching.clear();
-  for (auto& [image, since] : machine.fetching) view.fetching.push_back(snapshot_.images.id(image));
-  view.bad_jobs.clear();
-  for (auto& [job, at] : machine.failed_jobs) view.bad_jobs.push_back(job);
+    entry.images.push_back(snapshot_.images.id(image));
+  entry.fetching.clear();
+  for (auto& [image, since] : machine.fetching)
+    entry.fetching.push_back(snapshot_.images.id(image));
+  entry.failed_jobs.clear();
+  for (auto& [job, at] : machine.failed_jobs) entry.failed_jobs.push_back(job);
 }
 
 scheduling::RunningTaskSnapshot SnapshotBuilder::describe_task(const Machine& machine,
                                                                const Assignment& assignment,
                                                                uint64_t attempt) const {
   const TaskId id{assignment.job->spec.id, assignment.index};
-  scheduling::RunningTaskSnapshot view;
-  view.job = job_index_.of(assignment.job, assignment.index);
-  view.index = assignment.index;
-  view.attempt = attempt;
-  view.since = facts_.running_since(id, attempt);
-  view.stopping = facts_.is_ending({id, attempt, machine.id});
-  return view;
+  scheduling::RunningTaskSnapshot entry;
+  entry.job = job_index_.entry_of(assignment.job, assignment.index);
+  entry.index = assignment.index;
+  entry.attempt = attempt;
+  entry.running_since = callbacks_.running_since(id, attempt);
+  entry.stopping = callbacks_.is_ending({id, attempt, machine.id});
+  return entry;
 }
 
-void SnapshotBuilder::refresh_expected(const std::vector<ExpectedMachine>& expected) {
+void SnapshotBuilder::refresh_booting(const std::vector<BootingMachine>& booting) {
   snapshot_.booting.clear();
-  for (auto& machine : expected) {
+  for (auto& machine : booting) {
     const scheduling::NameId type = snapshot_.types.id(machine.type);
     const scheduling::NameId zone = snapshot_.zones.id(machine.zone);
     snapshot_.booting.push_back({type, zone, machine.spot, machine.total});
@@ -196,18 +198,18 @@
     snapshot_.teams[team].limit = deps_.quotas.limit(deps_.settings.teams[team]);
 }
 
-DecidedStart SnapshotBuilder::start_by_name(scheduling::JobIndex job,
+DecidedStart SnapshotBuilder::resolve_start(scheduling::JobIndex job,
                                             scheduling::MachineIndex machine) const {
-  auto& machine_view = snapshot_.machines[machine];
-  auto& job_view = snapshot_.jobs[job];
-  return {job_view.id, machine_view.id, scheduling::has_image(machine_view, job_view.image)};
+  auto& machine_entry = snapshot_.machines[machine];
+  auto& job_entry = snapshot_.jobs[job];
+  return {job_entry.id, machine_entry.id, scheduling::has_image(machine_entry, job_entry.image)};
 }
 
-DecidedGang SnapshotBuilder::gang_by_name(const scheduling::GangPlacement& gang) const {
+DecidedGang SnapshotBuilder::resolve_gang(const scheduling::GangPlacement& gang) const {
   const auto& owner = job_index_.owner(gang.job);
   DecidedGang named{gang_range(owner.job->spec, owner.gang), {}};
   for (scheduling::MachineIndex machine : gang.machines)
-    named.starts.push_back(start_by_name(gang.job, machine));
+    named.starts.push_back(resolve_start(gang.job, machine));
   return named;
 }
 
--- a/src/coordination/scheduling/snapshot_builder.hpp
+++ b/src/coordination/scheduling/snapshot_builder.hpp
@@ -26,7 +26,7 @@
 /// - Every running task of a machine in the snapshot refers to a job that has its entries there:
 ///   jobs are refreshed before machines.
 /// - Entries of jobs and machines that are gone stay empty until they are used again, so the
-///   indices in a decision are valid until the next refresh() or forget_...() only.
+///   indexes in a decision are valid until the next refresh() or forget_...() only.
 ///
 /// Not a coroutine's: no call suspends. Used by the shard leader's coroutines on the loop's thread.
 class SnapshotBuilder {
@@ -40,7 +40,7 @@
     const FaultAttribution& faults;
   };
   /// What else has to be known of jobs, tasks and machines.
-  struct Facts {
+  struct Callbacks {
     std::function<bool(const Job&)> is_cancelled;
     /// After errors, no task of the job is started for a time.
     std::function<bool(const std::string& job)> is_backing_off;
@@ -57,14 +57,14 @@
     std::function<scheduling::Resources(const Machine&)> free_resources;
   };
   /// A machine that was asked for and has not sent a heartbeat yet.
-  struct ExpectedMachine {
+  struct BootingMachine {
     std::string type, zone;
     bool spot = false;
     scheduling::Resources total;
   };
 
-  SnapshotBuilder(Dependencies dependencies, Facts facts)
-      : deps_(dependencies), facts_(std::move(facts)) {}
+  SnapshotBuilder(Dependencies dependencies, Callbacks callbacks)
+      : deps_(dependencies), callbacks_(std::move(callbacks)) {}
 
   /// Begins with an empty snapshot. Machines must not have an index in an earlier one.
   void begin_lease();
@@ -79,7 +79,7 @@
   /// Describes what has changed. `unreachable_zones`: no machine there takes tasks now.
   void refresh(std::map<std::string, Machine>& machines,
                const std::set<std::string>& unreachable_zones,
-               const std::vector<ExpectedMachine>& expected);
+               const std::vector<BootingMachine>& booting);
 
   /// Jobs that back off after errors or are faulty wait to be looked at again.
   bool has_held_back_jobs() const { return !held_back_.empty(); }
@@ -87,29 +87,29 @@
   /// The job behind a job index of the snapshot.
   const Job& job_at(scheduling::JobIndex job) const { return *job_index_.owner(job).job; }
   /// Decisions by name, which stay valid while their commits are under way.
-  DecidedStart start_by_name(scheduling::JobIndex job, scheduling::MachineIndex machine) const;
-  DecidedGang gang_by_name(const scheduling::GangPlacement& gang) const;
+  DecidedStart resolve_start(scheduling::JobIndex job, scheduling::MachineIndex machine) const;
+  DecidedGang resolve_gang(const scheduling::GangPlacement& gang) const;
   /// Empty: the index is 0 or that of no zone in the settings.
   std::string zone_name(scheduling::NameId zone);
 
  private:
   void refresh_jobs();
   void refresh_job(Job& job);
-  void describe_job(const JobSpec& spec, scheduling::JobSnapshot& view);
+  void describe_job(const JobSpec& spec, scheduling::JobSnapshot& entry);
   uint32_t startable_tasks(const Job& job, uint32_t gang) const;
   void refresh_machine(Machine& machine);
-  void describe_machine(const Machine& machine, scheduling::MachineSnapshot& view);
+  void describe_machine(const Machine& machine, scheduling::MachineSnapshot& entry);
   scheduling::RunningTaskSnapshot describe_task(const Machine& machine,
                                                 const Assignment& assignment,
                                                 uint64_t attempt) const;
-  void refresh_expected(const std::vector<ExpectedMachine>& expected);
+  void refresh_booting(const std::vector<BootingMachine>& booting);
   void refresh_limits();
 
   const Dependencies deps_;
-  const Facts facts_;
+  const Callbacks callbacks_;
   scheduling::SchedulerSnapshot snapshot_;
   SnapshotIndex job_index_;
-  std::vector<size_t> free_machine_indices_;
+  std::vector<size_t> free_machine_indexes_;
   std::unordered_set<Job*> changed_jobs_;
   std::unordered_set<std::string> changed_machines_;
   std::set<std::string> held_back_;  ///< Jobs that back off or are faulty.
--- a/src/coordination/scheduling/snapshot_index.cpp
+++ b/src/coordination/scheduling/snapshot_index.cpp
@@ -6,14 +6,14 @@
 
 namespace damsonport {
 
-const std::vector<scheduling::JobIndex>& SnapshotIndex::take(
-    Job& job, std::vector<scheduling::JobSnapshot>& jobs, bool& fresh) {
+const std::vector<scheduling::JobIndex>& SnapshotIndex::get_or_create(
+    Job& job, std::vector<scheduling::JobSnapshot>& jobs, bool& created) {
   auto [it, added] = entries_.try_emplace(&job);
-  fresh = added;
+  created = added;
   if (!added) return it->second;
   const uint32_t count = std::max(gang_count(job.spec), 1U);
   for (uint32_t gang = 0; gang < count; ++gang) {
-    const JobIndex entry(take_slot(free_, jobs));
+    const JobIndex entry(allocate_index(free_, jobs));
     owners_.resize(jobs.size());
     owners_[entry] = {&job, gang};
     it->second.push_back(entry);
@@ -32,7 +32,7 @@
   entries_.erase(it);
 }
 
-scheduling::JobIndex SnapshotIndex::of(const Job* job, uint32_t task) const {
+scheduling::JobIndex SnapshotIndex::entry_of(const Job* job, uint32_t task) const {
   return entries_.at(job)[gang_of(job->spec, task)];
 }
 
--- a/src/coordination/scheduling/snapshot_index.hpp
+++ b/src/coordination/scheduling/snapshot_index.hpp
@@ -19,13 +19,13 @@
     uint32_t gang = 0;   ///< the number of the gang within the job
   };
 
-  /// The job's entries, by gang. `fresh`: they were created by this call and are to be filled in.
-  const std::vector<JobIndex>& take(Job& job, std::vector<scheduling::JobSnapshot>& jobs,
-                                    bool& fresh);
+  /// The job's entries, by gang. `created`: they were created by this call and are to be filled in.
+  const std::vector<JobIndex>& get_or_create(Job& job, std::vector<scheduling::JobSnapshot>& jobs,
+                                             bool& created);
   /// Empties the job's entries, if it has any.
   void release(const Job* job, std::vector<scheduling::JobSnapshot>& jobs);
   /// The entry of one of the job's tasks. The job has to have its entries.
-  [[nodiscard]] JobIndex of(const Job* job, uint32_t task) const;
+  [[nodiscard]] JobIndex entry_of(const Job* job, uint32_t task) const;
   [[nodiscard]] const Owner& owner(JobIndex entry) const { return owners_[entry]; }
   void clear();
 
@@ -37,14 +37,14 @@
 
 /// Position of an unused entry: one that became free, or a new one at the end.
 template <class T>
-[[nodiscard]] size_t take_slot(std::vector<size_t>& free, std::vector<T>& entries) {
+[[nodiscard]] size_t allocate_index(std::vector<size_t>& free, std::vector<T>& entries) {
   if (free.empty()) {
     entries.emplace_back();
     return entries.size() - 1;
   }
-  const size_t slot = free.back();
+  const size_t index = free.back();
   free.pop_back();
-  return slot;
+  return index;
 }
 
 }  // namespace damsonport
--- a/src/coordination/scheduling/start_edits.cpp
+++ b/src/coordination/scheduling/start_edits.cpp
@@ -4,8 +4,8 @@
 
 namespace damsonport {
 
-StartableTask find_startable(const Job& job, ChunkEdits& edits,
-                             const std::function<bool(const TaskChunk&)>& must_wait) {
+StartableTask find_startable_task(const Job& job, ChunkEdits& edits,
+                                  const std::function<bool(const TaskChunk&)>& must_wait) {
   StartableTask found;
   for (; found.chunk < job.chunk_count(); ++found.chunk) {
     if (job.all_started(found.chunk)) continue;
@@ -55,7 +55,7 @@
     const uint32_t end = std::min(gang_.tasks.end() - chunk_start, job_.size_of(chunk));
     for (uint32_t index = first; index < end && !all_placed(); ++index) {
       if (!record.is_startable(index)) continue;
-      if (!edits_.take_entry()) break;
+      if (!edits_.reserve_task_entry()) break;
       const DecidedStart& start = gang_.starts[placed()];
       record.start(index, attempt_, start.machine);
       const TaskId task{job_.spec.id, chunk_start + index};
--- a/src/coordination/scheduling/start_edits.hpp
+++ b/src/coordination/scheduling/start_edits.hpp
@@ -40,8 +40,8 @@
 };
 
 /// `must_wait`: whether the chunk may not be written now.
-[[nodiscard]] StartableTask find_startable(const Job& job, ChunkEdits& edits,
-                                           const std::function<bool(const TaskChunk&)>& must_wait);
+[[nodiscard]] StartableTask find_startable_task(
+    const Job& job, ChunkEdits& edits, const std::function<bool(const TaskChunk&)>& must_wait);
 
 /// Edits the chunks for the gang's starts after the first `committed`, as many as the transaction
 /// has room for. Returns those.
--- a/src/coordination/scheduling/task_placement.cpp
+++ b/src/coordination/scheduling/task_placement.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // A start that misses its objective with a lower probability than this isn't worth a preemption.
-constexpr double bearable_miss_probability = 0.25;
+constexpr double max_miss_probability = 0.25;
 
 // Whether an urgent start should not wait for a fetch of its image.
 bool prefers_cached_image(const JobSnapshot& job) {
@@ -53,37 +53,37 @@
   if (!context_.feasibility.quota_allows(job, 1)) return;
   Progress progress;
   if (!classes_.is_known_unschedulable(pending)) {
-    progress = place_on_free(job);
-    if (progress.started < pending.waiting && context_.feasibility.quota_allows(job, 1))
+    progress = place_on_free_capacity(job);
+    if (progress.started < pending.pending_tasks && context_.feasibility.quota_allows(job, 1))
       classes_.mark_unschedulable(pending);
   }
   if (pending.faulty) return;
-  place_on_pending(job, pending.waiting - progress.started, progress.promised);
+  reserve_pending_capacity(job, pending.pending_tasks - progress.started, progress.reserved);
 }
 
-void TaskPlacer::place_on_pending(JobIndex job, uint32_t unplaced, uint32_t promised) {
+void TaskPlacer::reserve_pending_capacity(JobIndex job, uint32_t unplaced, uint32_t reserved) {
   uint32_t on_booting = 0;
   while (unplaced > 0 && context_.feasibility.quota_allows(job, 1)) {
-    switch (pending_capacity_.promise(job)) {
-      case PromisedCapacity::freeing:
-        ++promised;
+    switch (pending_capacity_.reserve(job)) {
+      case ReservedCapacity::freeing:
+        ++reserved;
         break;
-      case PromisedCapacity::booting:
+      case ReservedCapacity::booting:
         ++on_booting;
         break;
-      case PromisedCapacity::none:
-        context_.report_unschedulable(job, unplaced + on_booting, promised);
+      case ReservedCapacity::none:
+        context_.report_unschedulable(job, unplaced + on_booting, reserved);
         return;
     }
     --unplaced;
   }
-  context_.report_unschedulable(job, on_booting, promised);
+  context_.report_unschedulable(job, on_booting, reserved);
 }
 
 TaskPlacer::CandidateHeap TaskPlacer::score_candidates(JobIndex job) {
   const Resources& need = context_.snapshot.jobs[job].need;
   const std::vector<Resources>& free = context_.state.ledger.free;
-  context_.decisions.examined += context_.snapshot.machines.size();
+  context_.decisions.machines_examined += context_.snapshot.machines.size();
   std::vector<Candidate> candidates;
   for (MachineIndex machine; machine < context_.snapshot.machines.size(); ++machine) {
     if (!need.fits(free[machine]) || !context_.feasibility.is_feasible(job, machine)) continue;
@@ -92,37 +92,37 @@
   return CandidateHeap(std::move(candidates));
 }
 
-bool TaskPlacer::promise_beside_image(JobIndex job, const Candidate& best) {
-  return pending_capacity_.promise_beside_image(
+bool TaskPlacer::reserve_with_cached_image(JobIndex job, const Candidate& best) {
+  return pending_capacity_.reserve_with_cached_image(
       job, image_delay(context_.snapshot.jobs[job], context_.snapshot.machines[best.machine]),
       best.score);
 }
 
-TaskPlacer::Progress TaskPlacer::place_on_free(JobIndex job) {
+TaskPlacer::Progress TaskPlacer::place_on_free_capacity(JobIndex job) {
   const JobSnapshot& pending = context_.snapshot.jobs[job];
   std::vector<Resources>& free = context_.state.ledger.free;
   CandidateHeap heap = score_candidates(job);
   Progress progress;
-  bool beside_image = prefers_cached_image(pending);  // until no such capacity is found
-  while (progress.started < pending.waiting && !heap.empty() &&
+  bool prefer_cached_image = prefers_cached_image(pending);  // until no such capacity is found
+  while (progress.started < pending.pending_tasks && !heap.empty() &&
          context_.feasibility.quota_allows(job, 1)) {
     const MachineSnapshot& best = context_.snapshot.machines[heap.top().machine];
-    if (beside_image && miss_probability(image_delay(pending, best), pending.start_within_s) >
-                            bearable_miss_probability) {
-      beside_image = promise_beside_image(job, heap.top());
-      if (beside_image) {
+    if (prefer_cached_image && miss_probability(image_delay(pending, best),
+                                                pending.start_within_s) > max_miss_probability) {
+      prefer_cached_image = reserve_with_cached_image(job, heap.top());
+      if (prefer_cached_image) {
         ++progress.started;
-        ++progress.promised;
+        ++progress.reserved;
         continue;
       }
     }
     const MachineIndex machine = heap.top().machine;
     heap.pop();
-    ++context_.decisions.examined;
+    ++context_.decisions.machines_examined;
     if (!context_.feasibility.zone_allows(job, best.zone)) continue;
-    context_.state.occupy(job, machine);
+    context_.state.add_task(job, machine);
     free[machine] -= pending.need;
-    context_.decisions.starts.push_back({job, machine});
+    context_.decisions.placements.push_back({job, machine});
     ++progress.started;
     if (pending.need.fits(free[machine]))
       heap.push({context_.scorer.score(job, machine, free[machine]), machine});
--- a/src/coordination/scheduling/task_placement.hpp
+++ b/src/coordination/scheduling/task_placement.hpp
@@ -22,14 +22,14 @@
   class CandidateHeap;
   struct Progress {
     uint32_t started = 0;
-    uint32_t promised = 0;  // capacity beside their image is being freed for them
+    uint32_t reserved = 0;  // capacity beside their image is being freed for them
   };
   /// Machines are scored once for the whole job: a start changes the score of its own machine only,
   /// and the zone constraints may rule out others.
-  Progress place_on_free(JobIndex job);
+  Progress place_on_free_capacity(JobIndex job);
   [[nodiscard]] CandidateHeap score_candidates(JobIndex job);
-  bool promise_beside_image(JobIndex job, const Candidate& best);
-  void place_on_pending(JobIndex job, uint32_t unplaced, uint32_t promised);
+  bool reserve_with_cached_image(JobIndex job, const Candidate& best);
+  void reserve_pending_capacity(JobIndex job, uint32_t unplaced, uint32_t reserved);
 
   const CycleContext context_;
   PendingCapacity& pending_capacity_;
--- a/src/coordination/scheduling/task_facts.hpp
+++ b/src/coordination/scheduling/task_state_provider.hpp
@@ -8,12 +8,12 @@
 
 namespace damsonport {
 
-class TaskFacts {
+class TaskStateProvider {
  public:
-  TaskFacts() = default;
-  TaskFacts(const TaskFacts&) = delete;
-  TaskFacts& operator=(const TaskFacts&) = delete;
-  virtual ~TaskFacts() = default;
+  TaskStateProvider() = default;
+  TaskStateProvider(const TaskStateProvider&) = delete;
+  TaskStateProvider& operator=(const TaskStateProvider&) = delete;
+  virtual ~TaskStateProvider() = default;
 
   /// Whether this attempt was told to stop, or is about to be.
   [[nodiscard]] virtual bool is_stopping(const PlacedTask& task) const = 0;
--- a/src/coordination/shard_leader/shard_leader.cpp
+++ b/src/coordination/shard_leader/shard_leader.cpp
@@ -38,7 +38,7 @@
       commands_(loop_, settings_, deps.http, dispatcher_callbacks()),
       snapshot_builder_(
           {loop_, settings_, cache_, deps.catalog, deps.quotas, task_failures_.attribution()},
-          snapshot_facts()) {}
+          snapshot_callbacks()) {}
 
 bool ShardLeader::is_still_wanted(const Machine& m, const Command& command) const {
   if (command.op != Command::Op::start) return true;
@@ -71,8 +71,8 @@
   return callbacks;
 }
 
-SnapshotBuilder::Facts ShardLeader::snapshot_facts() {
-  SnapshotBuilder::Facts facts;
+SnapshotBuilder::Callbacks ShardLeader::snapshot_callbacks() {
+  SnapshotBuilder::Callbacks facts;
   facts.is_cancelled = [this](const Job& job) { return is_cancelled(job); };
   facts.is_backing_off = [this](const std::string& job) {
     return task_failures_.is_held_back(job, loop_.now());
--- a/src/coordination/shard_leader/shard_leader.hpp
+++ b/src/coordination/shard_leader/shard_leader.hpp
@@ -32,7 +32,7 @@
 
 namespace damsonport {
 
-class ShardLeader : private TaskFacts {
+class ShardLeader : private TaskStateProvider {
  public:
   struct Dependencies {
     Loop& loop;
@@ -183,8 +183,8 @@
   void stop_gang(const Job& job, TaskRange gang, double grace_s);
   void stop_task(const PlacedTask& task, double grace_s);
 
-  SnapshotBuilder::Facts snapshot_facts();
-  /// See SnapshotBuilder::Facts.
+  SnapshotBuilder::Callbacks snapshot_callbacks();
+  /// See SnapshotBuilder::Callbacks.
   double running_since(const TaskId& task, uint64_t attempt) const;
   void refresh_snapshot();
   void forget_machine(const std::string& id);
--- a/src/coordination/shard_leader/shard_leader_commit.cpp
+++ b/src/coordination/shard_leader/shard_leader_commit.cpp
@@ -46,7 +46,7 @@
     // Definite: nothing of it was written, and the same again would be refused again.
     spdlog::error("the key-value store refuses a transaction with {} as invalid",
                   writes.empty() ? "no writes" : writes.front().key);
-    rechunker_.note_refused(writes);
+    rechunker_.note_rejected_writes(writes);
     co_await Sleep(loop_, pause_after_refusal_s, stop_token);
   }
   co_return CommitResult::not_committed;
@@ -116,7 +116,7 @@
     if (!record) break;
     record->end(name.index % job->chunk_size,
                 exit.cause == ExitCause::done ? TaskEnd::done : TaskEnd::restart);
-    const bool ends = ends_with(*job, *record, exit) && edits.end_with_edit(*job);
+    const bool ends = ends_with(*job, *record, exit) && edits.end_job(*job);
     (ends ? last : taken).push_back(name);
     ++it;
   }
@@ -202,7 +202,7 @@
 void ShardLeader::refresh_snapshot() {
   for (auto& id : replicas_.offer_repairs())
     if (Job* job = cache_.job(id)) snapshot_builder_.mark_job_changed(*job);
-  std::vector<SnapshotBuilder::ExpectedMachine> expected;
+  std::vector<SnapshotBuilder::BootingMachine> expected;
   autoscaler_.for_each_expected([&](auto&, auto& booting, auto& type) {
     const scheduling::Resources total{type.cpus, type.gpus, type.memory_gb};
     expected.push_back({booting.kind.type, booting.kind.zone, booting.kind.spot, total});
@@ -234,7 +234,7 @@
   scheduling_requested_ = false;
 
   refresh_snapshot();
-  const auto decided = scheduling::place(snapshot_builder_.snapshot());
+  const auto decided = scheduling::schedule(snapshot_builder_.snapshot());
   note_unschedulable(decided);
   dispatch_preemptions(decided);
   // A pass over a large fleet that a new holder hears for the first time takes long: half of the
@@ -244,10 +244,10 @@
 
   // By name from here on: places in the view are used anew while the commits are under way.
   std::vector<DecidedStart> singles;
-  for (auto& start : decided.starts)
-    singles.push_back(snapshot_builder_.start_by_name(start.job, start.machine));
+  for (auto& start : decided.placements)
+    singles.push_back(snapshot_builder_.resolve_start(start.job, start.machine));
   std::vector<DecidedGang> gangs;
-  for (auto& gang : decided.gangs) gangs.push_back(snapshot_builder_.gang_by_name(gang));
+  for (auto& gang : decided.gang_placements) gangs.push_back(snapshot_builder_.resolve_gang(gang));
   const StepResult gang_result = co_await commit_gang_starts(std::move(gangs), stop_token);
   const StepResult single_result = co_await commit_single_starts(std::move(singles), stop_token);
   co_return combine(gang_result, single_result);
@@ -274,9 +274,9 @@
 }
 
 void ShardLeader::dispatch_preemptions(const scheduling::Decisions& decided) {
-  for (auto& s : decided.stops) {
+  for (auto& s : decided.preemptions) {
     const auto& machine = snapshot_builder_.snapshot().machines[s.machine];
-    const auto& live = machine.live[s.live];
+    const auto& live = machine.running_tasks[s.running_task_index];
     const std::string& machine_id = machine.id;
     const TaskId name{snapshot_builder_.job_at(live.job).spec.id, live.index};
     spdlog::info("stopping {} attempt {} on {} to make room", name.text(), live.attempt,
@@ -299,10 +299,10 @@
     if (!job || is_cancelled(*job) || !is_leading()) break;
     if (attempt == 0) {
       // A part that was lost since may have ended the attempt.
-      if (job->spec.replicated() && gangs_.startable(*job, gang.tasks) == 0) break;
+      if (job->spec.replicated() && gangs_.count_startable(*job, gang.tasks) == 0) break;
       attempt = next_attempt(*job, gang.tasks);
     }
-    if (rechunker_.gang_must_wait(*job)) break;
+    if (rechunker_.gang_start_must_wait(*job)) break;
     ChunkEdits edits(cache_, limits());
     edits.require_unchanged(*job);
     const auto started = edit_gang_starts(*job, gang, committed.size(), attempt, edits);
@@ -363,9 +363,10 @@
       Job* job = cache_.job(s.job);
       // Changed while an earlier part was being committed: the next pass sees it as it is.
       if (!job || is_cancelled(*job)) continue;
-      const auto found = find_startable(
-          *job, edits, [&](const TaskChunk& record) { return rechunker_.must_wait(*job, record); });
-      if (found.full || (found.record && !edits.take_entry())) break;
+      const auto found = find_startable_task(*job, edits, [&](const TaskChunk& record) {
+        return rechunker_.start_must_wait(*job, record);
+      });
+      if (found.full || (found.record && !edits.reserve_task_entry())) break;
       if (!found.record) continue;
       found.record->start(found.index, found.attempt, s.machine);
       edits.require_unchanged(*job);
--- a/src/coordination/shard_leader/shard_leader_gangs.cpp
+++ b/src/coordination/shard_leader/shard_leader_gangs.cpp
@@ -26,7 +26,7 @@
   const uint64_t version = replicated ? VersionRegistry::replicas : VersionRegistry::gangs;
   if (!deps_.versions.all_have(version)) return 0;
   if (replicated && !replicas_.may_start(job, gang)) return 0;
-  return gangs_.startable(job, gang);
+  return gangs_.count_startable(job, gang);
 }
 
 void ShardLeader::review_gang(const Job& job, TaskRange gang) {
--- a/tests/replicas/replicas_test.cpp
+++ b/tests/replicas/replicas_test.cpp
@@ -169,7 +169,7 @@
   EXPECT_EQ(replica_state(s), ReplicaState::starting);
   s.gang.live = 2;
   EXPECT_EQ(replica_state(s), ReplicaState::starting);
-  s.ready = s.gang.ran = true;
+  s.ready = s.gang.has_run = true;
   EXPECT_EQ(replica_state(s), ReplicaState::ready);
   s.ready = false;
   EXPECT_EQ(replica_state(s), ReplicaState::degraded);
--- a/tests/scheduling/gang_tracker_test.cpp
+++ b/tests/scheduling/gang_tracker_test.cpp
@@ -8,7 +8,7 @@
 namespace damsonport {
 namespace {
 
-class KnownMachines : public TaskFacts {
+class KnownMachines : public TaskStateProvider {
  public:
   bool is_stopping(const PlacedTask&) const override { return false; }
   bool has_ended(const PlacedTask&) const override { return false; }
@@ -23,8 +23,8 @@
   simulation::World world{1};
   simulation::VirtualLoop loop{world, "n0", std::seed_seq{1}, 1, 0};
   Settings settings;
-  KnownMachines facts;
-  GangTracker tracker{loop, settings, facts};
+  KnownMachines task_states;
+  GangTracker tracker{loop, settings, task_states};
   Job job;
   const TaskRange replica{0, 2};
 
@@ -35,7 +35,7 @@
     job.spec.kind = JobKind::service;
     job.spec.tasks = job.spec.parts = 2;
     job.chunk_size = 2;
-    for (const char* id : {"i-1", "i-2", "i-3"}) facts.machines[id].agent_epoch = 1;
+    for (const char* id : {"i-1", "i-2", "i-3"}) task_states.machines[id].agent_epoch = 1;
   }
   TaskChunk& record() { return job.chunks[0].record; }
   // By this leader, or by an earlier one.
@@ -55,9 +55,9 @@
   f.start_both(1, true);
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::none);
   f.lose_one();
-  EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::complete);
-  EXPECT_EQ(f.tracker.startable(f.job, f.replica), 1u);
-  f.facts.machines["i-1"].agent_epoch = 0;
+  EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::replace_missing);
+  EXPECT_EQ(f.tracker.count_startable(f.job, f.replica), 1u);
+  f.task_states.machines["i-1"].agent_epoch = 0;
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::none)
       << "it has not sent a heartbeat yet";
 }
@@ -101,7 +101,7 @@
   Fixture f;
   f.start_both(1, true);
   f.lose_one(ExitCause::error);
-  EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::complete);
+  EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::replace_missing);
   f.record().start(1, 1, "i-3");
   f.lose_one(ExitCause::error);
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::abandon);
--- a/tests/scheduling/gangs_test.cpp
+++ b/tests/scheduling/gangs_test.cpp
@@ -27,11 +27,11 @@
 
 TEST(GangAction, MissingTaskIsReplacedUntilTheGangRuns) {
   auto gang = status_of(3);
-  EXPECT_EQ(gang_action(gang, replacement_timeout_s), GangAction::complete);
+  EXPECT_EQ(gang_action(gang, replacement_timeout_s), GangAction::replace_missing);
   gang.incomplete_s = replacement_timeout_s;
   EXPECT_EQ(gang_action(gang, replacement_timeout_s), GangAction::abandon);
   gang = status_of(3);
-  gang.ran = true;
+  gang.has_run = true;
   EXPECT_EQ(gang_action(gang, replacement_timeout_s), GangAction::abandon);
   gang = status_of(3);
   gang.stopping = true;
@@ -44,7 +44,7 @@
   EXPECT_EQ(gang_action(gang, replacement_timeout_s), GangAction::abandon);
 }
 
-Job gang_of(uint32_t tasks, uint32_t chunk_size) {
+Job make_gang_job(uint32_t tasks, uint32_t chunk_size) {
   Job job;
   job.spec.kind = JobKind::gang;
   job.spec.tasks = tasks;
@@ -53,7 +53,7 @@
 }
 
 TEST(GangAttempt, MissingTaskJoinsTheAttemptOfLiveTasks) {
-  auto gang = gang_of(4, 2);
+  auto gang = make_gang_job(4, 2);
   EXPECT_EQ(next_attempt(gang, gang_range(gang.spec, 0)), 1u);
   auto& first = gang.chunks[0].record;
   first.start(0, 1, "i-1");
--- a/tests/scheduling/scheduler_parts_test.cpp
+++ b/tests/scheduling/scheduler_parts_test.cpp
@@ -31,8 +31,8 @@
     job.id = id;
     job.team = 0;
     job.need = {2, 0, 4};
-    job.waiting = 1;
-    job.unfinished = 1;
+    job.pending_tasks = 1;
+    job.unfinished_tasks = 1;
     snapshot.jobs.push_back(job);
     return snapshot.jobs.back();
   }
@@ -40,7 +40,7 @@
   void add_live_task(JobIndex job, MachineIndex machine) {
     RunningTaskSnapshot task;
     task.job = job;
-    snapshot.machines[machine].live.push_back(task);
+    snapshot.machines[machine].running_tasks.push_back(task);
     snapshot.machines[machine].free -= snapshot.jobs[job].need;
   }
 };
@@ -73,7 +73,7 @@
   guaranteed.team = 1;
   guaranteed.accepted_at = 3;
   fleet.add_job("cancelled").cancelled = true;
-  fleet.add_job("running").waiting = 0;
+  fleet.add_job("running").pending_tasks = 0;
   const QueueOrder queue(fleet.snapshot);
   std::vector<std::string> order;
   for (const JobIndex job : queue.pending_jobs()) order.push_back(fleet.snapshot.jobs[job].id);
@@ -125,7 +125,7 @@
   JobSnapshot& job = fleet.add_job("job");
   job.spread = true;
   job.tasks = 3;
-  job.waiting = 2;
+  job.pending_tasks = 2;
   fleet.add_live_task(first_job, m0);
   const QueueOrder queue(fleet.snapshot);
   CycleState state(fleet.snapshot, queue);
@@ -133,7 +133,7 @@
   EXPECT_EQ(feasibility.zone_allowance(first_job, fleet.snapshot.zones.id("a")), 1u);
   EXPECT_EQ(feasibility.zone_allowance(first_job, fleet.snapshot.zones.id("b")), 2u);
   state.begin_job(first_job);
-  state.occupy(first_job, m0);
+  state.add_task(first_job, m0);
   EXPECT_FALSE(feasibility.is_feasible(first_job, m0));
   EXPECT_TRUE(feasibility.is_feasible(first_job, m1));
 }
@@ -149,10 +149,10 @@
   machine.spot = true;
   EXPECT_FALSE(feasibility.is_feasible(first_job, m0));
   machine.spot = false;
-  machine.open = false;
+  machine.schedulable = false;
   EXPECT_FALSE(feasibility.is_feasible(first_job, m0));
-  machine.open = true;
-  machine.bad_jobs = {"job"};
+  machine.schedulable = true;
+  machine.failed_jobs = {"job"};
   EXPECT_FALSE(feasibility.is_feasible(first_job, m0));
 }
 
@@ -163,7 +163,7 @@
   CycleState state(fleet.snapshot, queue);
   state.begin_job(first_job);
   CycleState::Checkpoint checkpoint = state.checkpoint(first_job);
-  state.take_freeing(first_job, m0);
+  state.allocate_freeing(first_job, m0);
   EXPECT_EQ(state.ledger.free[m0].cpus, 6);
   EXPECT_EQ(state.ledger.team_usage[0].cpus, 2);
   EXPECT_EQ(state.placement_count(first_job).machines.size(), 1u);
@@ -181,7 +181,7 @@
   CycleState state(fleet.snapshot, queue);
   state.begin_job(first_job);
   state.ledger.freeing[m0] = {4, 0, 0};
-  state.take_freeing(first_job, m0);
+  state.allocate_freeing(first_job, m0);
   EXPECT_EQ(state.ledger.free[m0].cpus, 0);
   EXPECT_EQ(state.ledger.freeing[m0].cpus, 3.5);
 }
--- a/tests/scheduling/scheduling_cost_test.cpp
+++ b/tests/scheduling/scheduling_cost_test.cpp
@@ -30,7 +30,7 @@
     for (uint32_t n = 0; n < 8; ++n) {
       RunningTaskSnapshot task;
       task.index = static_cast<uint32_t>(i) * 8 + n;
-      machine.live.push_back(task);
+      machine.running_tasks.push_back(task);
     }
     snapshot.machines.push_back(machine);
   }
@@ -45,8 +45,8 @@
     job.priority = 1;
     job.need = {4, 1, 12};
     job.tasks = tasks;
-    job.waiting = tasks;
-    job.unfinished = tasks;
+    job.pending_tasks = tasks;
+    job.unfinished_tasks = tasks;
     job.accepted_at = static_cast<double>(i);
     snapshot.jobs.push_back(job);
   }
@@ -56,12 +56,12 @@
 TEST(SchedulingCost, EquivalentUnschedulableJobsExamineTheFleetOnce) {
   auto in = full_fleet();
   add_pending_jobs(in, jobs, 60);
-  auto out = place(in);
-  EXPECT_TRUE(out.starts.empty());
-  EXPECT_TRUE(out.stops.empty());
+  auto out = schedule(in);
+  EXPECT_TRUE(out.placements.empty());
+  EXPECT_TRUE(out.preemptions.empty());
   ASSERT_EQ(out.unschedulable.size(), jobs);
   // The first of them looked at every machine.
-  EXPECT_LE(out.examined, machines);
+  EXPECT_LE(out.machines_examined, machines);
 }
 
 // A search for tasks to preempt that found none holds for the whole class, too.
@@ -70,23 +70,23 @@
   in.jobs[0].priority = 0;
   add_pending_jobs(in, jobs, 60);
   for (size_t i = 1; i < in.jobs.size(); ++i) in.jobs[i].need = {60, 8, 513};
-  auto out = place(in);
-  EXPECT_TRUE(out.stops.empty());
+  auto out = schedule(in);
+  EXPECT_TRUE(out.preemptions.empty());
   // For free capacity, then for preemption without and with urgent services.
-  EXPECT_LE(out.examined, 3 * machines);
+  EXPECT_LE(out.machines_examined, 3 * machines);
 }
 
 // Machines are examined once a job, whatever number of its tasks starts.
 TEST(SchedulingCost, JobExaminesTheFleetOnceForAllItsTasks) {
   auto in = full_fleet();
   for (auto& machine : in.machines) {
-    machine.live.clear();
+    machine.running_tasks.clear();
     machine.free = machine.total;
   }
   add_pending_jobs(in, 40, 60);
-  auto out = place(in);
-  EXPECT_EQ(out.starts.size(), 40u * 60u);
-  EXPECT_LE(out.examined, machines * 40 + out.starts.size());
+  auto out = schedule(in);
+  EXPECT_EQ(out.placements.size(), 40u * 60u);
+  EXPECT_LE(out.machines_examined, machines * 40 + out.placements.size());
 }
 
 // A smaller task may still fit where a larger one did not.
@@ -95,10 +95,10 @@
   in.machines[7].free = {4, 1, 12};
   add_pending_jobs(in, 2, 1);
   in.jobs[1].need = {40, 1, 12};
-  auto out = place(in);
-  ASSERT_EQ(out.starts.size(), 1u);
-  EXPECT_EQ(out.starts[0].job, 2u);
-  EXPECT_EQ(out.starts[0].machine, 7u);
+  auto out = schedule(in);
+  ASSERT_EQ(out.placements.size(), 1u);
+  EXPECT_EQ(out.placements[0].job, 2u);
+  EXPECT_EQ(out.placements[0].machine, 7u);
 }
 
 // What the cloud is asked for is worked out for the like at once: an array of as many tasks as a
--- a/tests/scheduling/snapshot_builder_test.cpp
+++ b/tests/scheduling/snapshot_builder_test.cpp
@@ -59,27 +59,27 @@
     builder_.mark_machine_changed(id);
     return machine;
   }
-  void refresh() { builder_.refresh(machines_, unreachable_zones_, expected_); }
-  const scheduling::JobSnapshot& job_view(const std::string& id) const {
-    for (auto& view : builder_.snapshot().jobs)
-      if (view.id == id) return view;
+  void refresh() { builder_.refresh(machines_, unreachable_zones_, booting_); }
+  const scheduling::JobSnapshot& job_entry(const std::string& id) const {
+    for (auto& entry : builder_.snapshot().jobs)
+      if (entry.id == id) return entry;
     throw std::out_of_range(id);
   }
-  const scheduling::MachineSnapshot& machine_view(const std::string& id) const {
-    return builder_.snapshot().machines[*machines_.at(id).slot];
+  const scheduling::MachineSnapshot& machine_entry(const std::string& id) const {
+    return builder_.snapshot().machines[*machines_.at(id).snapshot_index];
   }
-  SnapshotBuilder::Facts facts() {
-    SnapshotBuilder::Facts facts;
-    facts.is_cancelled = [this](const Job& job) { return job.spec.id == cancelled_; };
-    facts.is_backing_off = [this](const std::string& job) { return job == backing_off_; };
-    facts.startable_gang_tasks = [](const Job&, TaskRange gang) { return gang.count; };
-    facts.stop_grace_s = [](const JobSpec&) { return 7.0; };
-    facts.running_since = [](const TaskId&, uint64_t) { return 900.0; };
-    facts.is_ending = [this](const PlacedTask& task) { return task.machine == ending_on_; };
-    facts.is_schedulable = [this](const Machine& machine) { return machine.id != drained_; };
-    facts.total_resources = [](const Machine&) { return scheduling::Resources{8, 0, 32}; };
-    facts.free_resources = [](const Machine&) { return scheduling::Resources{6, 0, 30}; };
-    return facts;
+  SnapshotBuilder::Callbacks callbacks() {
+    SnapshotBuilder::Callbacks callbacks;
+    callbacks.is_cancelled = [this](const Job& job) { return job.spec.id == cancelled_; };
+    callbacks.is_backing_off = [this](const std::string& job) { return job == backing_off_; };
+    callbacks.startable_gang_tasks = [](const Job&, TaskRange gang) { return gang.count; };
+    callbacks.stop_grace_s = [](const JobSpec&) { return 7.0; };
+    callbacks.running_since = [](const TaskId&, uint64_t) { return 900.0; };
+    callbacks.is_ending = [this](const PlacedTask& task) { return task.machine == ending_on_; };
+    callbacks.is_schedulable = [this](const Machine& machine) { return machine.id != drained_; };
+    callbacks.total_resources = [](const Machine&) { return scheduling::Resources{8, 0, 32}; };
+    callbacks.free_resources = [](const Machine&) { return scheduling::Resources{6, 0, 30}; };
+    return callbacks;
   }
 
   simulation::World world_{1};
@@ -97,22 +97,22 @@
   std::string cancelled_, backing_off_, ending_on_, drained_;
   std::map<std::string, Machine> machines_;
   std::set<std::string> unreachable_zones_;
-  std::vector<SnapshotBuilder::ExpectedMachine> expected_;
-  SnapshotBuilder builder_{{loop_, settings_, cache_, catalog_, quotas_, faults_}, facts()};
+  std::vector<SnapshotBuilder::BootingMachine> booting_;
+  SnapshotBuilder builder_{{loop_, settings_, cache_, catalog_, quotas_, faults_}, callbacks()};
 };
 
 TEST_F(SnapshotBuilderTest, DescribesAJob) {
   add_job("run-1", 4);
   refresh();
-  const auto& view = job_view("run-1");
-  EXPECT_EQ(view.team, 0u);
+  const auto& entry = job_entry("run-1");
+  EXPECT_EQ(entry.team, 0u);
   EXPECT_EQ(builder_.snapshot().teams[0].limit.cpus, 40);
-  EXPECT_EQ(view.need.cpus, 2);
-  EXPECT_EQ(view.waiting, 4u);
-  EXPECT_EQ(view.unfinished, 4u);
-  EXPECT_FALSE(view.begun);
-  EXPECT_EQ(view.grace_s, 7);
-  EXPECT_EQ(builder_.zone_name(view.zone), "b");
+  EXPECT_EQ(entry.need.cpus, 2);
+  EXPECT_EQ(entry.pending_tasks, 4u);
+  EXPECT_EQ(entry.unfinished_tasks, 4u);
+  EXPECT_FALSE(entry.begun);
+  EXPECT_EQ(entry.grace_s, 7);
+  EXPECT_EQ(builder_.zone_name(entry.zone), "b");
   EXPECT_EQ(builder_.zone_name(0), "");
 }
 
@@ -123,18 +123,18 @@
   start_task("run-1", "i-1");
   ending_on_ = "i-1";
   refresh();
-  const auto& view = machine_view("i-1");
-  EXPECT_TRUE(view.open);
-  EXPECT_EQ(view.total.cpus, 8);
-  EXPECT_EQ(view.free.cpus, 6);
-  EXPECT_EQ(view.bad_jobs, std::vector<std::string>{"run-9"});
-  ASSERT_EQ(view.live.size(), 1u);
-  EXPECT_EQ(builder_.job_at(view.live[0].job).spec.id, "run-1");
-  EXPECT_EQ(view.live[0].attempt, 1u);
-  EXPECT_EQ(view.live[0].since, 900);
-  EXPECT_TRUE(view.live[0].stopping);
-  EXPECT_TRUE(job_view("run-1").begun);
-  EXPECT_EQ(job_view("run-1").waiting, 3u);
+  const auto& entry = machine_entry("i-1");
+  EXPECT_TRUE(entry.schedulable);
+  EXPECT_EQ(entry.total.cpus, 8);
+  EXPECT_EQ(entry.free.cpus, 6);
+  EXPECT_EQ(entry.failed_jobs, std::vector<std::string>{"run-9"});
+  ASSERT_EQ(entry.running_tasks.size(), 1u);
+  EXPECT_EQ(builder_.job_at(entry.running_tasks[0].job).spec.id, "run-1");
+  EXPECT_EQ(entry.running_tasks[0].attempt, 1u);
+  EXPECT_EQ(entry.running_tasks[0].running_since, 900);
+  EXPECT_TRUE(entry.running_tasks[0].stopping);
+  EXPECT_TRUE(job_entry("run-1").begun);
+  EXPECT_EQ(job_entry("run-1").pending_tasks, 3u);
 }
 
 TEST_F(SnapshotBuilderTest, OnlyWhatIsMarkedIsDescribedAnew) {
@@ -142,34 +142,34 @@
   refresh();
   machine.spot = true;
   refresh();
-  EXPECT_FALSE(machine_view("i-1").spot);
+  EXPECT_FALSE(machine_entry("i-1").spot);
   builder_.mark_machine_changed("i-1");
   refresh();
-  EXPECT_TRUE(machine_view("i-1").spot);
+  EXPECT_TRUE(machine_entry("i-1").spot);
 }
 
 TEST_F(SnapshotBuilderTest, WhetherAMachineTakesTasksIsLookedAtInEachRefresh) {
   add_machine("i-1");
   refresh();
-  EXPECT_TRUE(machine_view("i-1").open);
+  EXPECT_TRUE(machine_entry("i-1").schedulable);
   drained_ = "i-1";
   refresh();
-  EXPECT_FALSE(machine_view("i-1").open);
+  EXPECT_FALSE(machine_entry("i-1").schedulable);
   drained_.clear();
   unreachable_zones_ = {"a"};
   refresh();
-  EXPECT_FALSE(machine_view("i-1").open);
+  EXPECT_FALSE(machine_entry("i-1").schedulable);
 }
 
 TEST_F(SnapshotBuilderTest, AJobThatBacksOffIsLookedAtAgainUntilItStarts) {
   add_job("run-1");
   backing_off_ = "run-1";
   refresh();
-  EXPECT_EQ(job_view("run-1").waiting, 0u);
+  EXPECT_EQ(job_entry("run-1").pending_tasks, 0u);
   EXPECT_TRUE(builder_.has_held_back_jobs());
   backing_off_.clear();  // without a mark
   refresh();
-  EXPECT_EQ(job_view("run-1").waiting, 4u);
+  EXPECT_EQ(job_entry("run-1").pending_tasks, 4u);
   EXPECT_FALSE(builder_.has_held_back_jobs());
 }
 
@@ -178,19 +178,19 @@
   for (auto* machine : {"i-7", "i-8", "i-9"}) faults_.failed("run-1", machine, 1);
   ASSERT_TRUE(faults_.is_job_faulty("run-1"));
   refresh();
-  EXPECT_TRUE(job_view("run-1").faulty);
-  EXPECT_EQ(job_view("run-1").waiting, 1u);
+  EXPECT_TRUE(job_entry("run-1").faulty);
+  EXPECT_EQ(job_entry("run-1").pending_tasks, 1u);
   start_task("run-1", "i-1");
   refresh();
-  EXPECT_EQ(job_view("run-1").waiting, 0u);
+  EXPECT_EQ(job_entry("run-1").pending_tasks, 0u);
 }
 
 TEST_F(SnapshotBuilderTest, NoTaskOfACancelledJobWaits) {
   add_job("run-1");
   cancelled_ = "run-1";
   refresh();
-  EXPECT_TRUE(job_view("run-1").cancelled);
-  EXPECT_EQ(job_view("run-1").waiting, 0u);
+  EXPECT_TRUE(job_entry("run-1").cancelled);
+  EXPECT_EQ(job_entry("run-1").pending_tasks, 0u);
 }
 
 TEST_F(SnapshotBuilderTest, IndicesOfWhatIsGoneAreUsedAgain) {
@@ -201,26 +201,26 @@
   machines_.erase("i-1");
   builder_.forget_job(job);
   EXPECT_TRUE(builder_.snapshot().jobs[0].id.empty());
-  EXPECT_FALSE(builder_.snapshot().machines[0].open);
+  EXPECT_FALSE(builder_.snapshot().machines[0].schedulable);
   add_job("run-2");
   add_machine("i-2");
   refresh();
   EXPECT_EQ(builder_.snapshot().jobs.size(), 1u);
   EXPECT_EQ(builder_.snapshot().machines.size(), 1u);
-  EXPECT_EQ(builder_.start_by_name(scheduling::JobIndex(0), scheduling::MachineIndex(0)).job,
+  EXPECT_EQ(builder_.resolve_start(scheduling::JobIndex(0), scheduling::MachineIndex(0)).job,
             "run-2");
-  EXPECT_EQ(builder_.start_by_name(scheduling::JobIndex(0), scheduling::MachineIndex(0)).machine,
+  EXPECT_EQ(builder_.resolve_start(scheduling::JobIndex(0), scheduling::MachineIndex(0)).machine,
             "i-2");
 }
 
 TEST_F(SnapshotBuilderTest, ExpectedMachinesAreThoseOfTheLastRefresh) {
-  expected_ = {{"g", "b", true, {4, 1, 16}}};
+  booting_ = {{"g", "b", true, {4, 1, 16}}};
   refresh();
   ASSERT_EQ(builder_.snapshot().booting.size(), 1u);
   EXPECT_EQ(builder_.zone_name(builder_.snapshot().booting[0].zone), "b");
   EXPECT_TRUE(builder_.snapshot().booting[0].spot);
-  EXPECT_EQ(builder_.snapshot().booting[0].room.gpus, 1);
-  expected_.clear();
+  EXPECT_EQ(builder_.snapshot().booting[0].capacity.gpus, 1);
+  booting_.clear();
   refresh();
   EXPECT_TRUE(builder_.snapshot().booting.empty());
 }
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -195,15 +195,15 @@
     machine.type = input_.types.id(str(w, "type"));
     machine.zone = input_.zones.id(str(w, "zone"));
     machine.spot = w.contains("spot");
-    machine.open = !w.contains("closed");
+    machine.schedulable = !w.contains("closed");
     machine.total = {num(w, "cpus"), num(w, "gpus"), num(w, "memory", 1e6)};
     machine.free = machine.total;
     for (auto& image : list(w, "images")) machine.images.push_back(input_.images.id(image));
     machine.fetch_gb_per_s = num(w, "fetch", 1);
     machine.speed = num(w, "speed", 1);
-    machine.price_share = num(w, "price");
+    machine.relative_price = num(w, "price");
     machine.straggler = w.contains("straggler");
-    machine.bad_jobs = list(w, "failed");
+    machine.failed_jobs = list(w, "failed");
     input_.machines.push_back(machine);
   }
 
@@ -233,8 +233,8 @@
     read_constraints(w, job);
     read_gang(w, job);
     job.tasks = static_cast<uint32_t>(num(w, "tasks", 1));
-    job.waiting = static_cast<uint32_t>(num(w, "waiting", job.tasks));
-    job.unfinished = job.tasks;
+    job.pending_tasks = static_cast<uint32_t>(num(w, "waiting", job.tasks));
+    job.unfinished_tasks = job.tasks;
     job.cancelled = w.contains("cancelled");
     job.accepted_at = static_cast<double>(input_.jobs.size());
     job.deadline = num(w, "due");
@@ -270,13 +270,13 @@
     scheduling::RunningTaskSnapshot task;
     for (size_t i = 0; i < input_.jobs.size(); ++i)
       if (input_.jobs[i].id == job) task.job = scheduling::JobIndex(i);
-    task.since = -num(w, "age", 100);
+    task.running_since = -num(w, "age", 100);
     task.stopping = w.contains("stopping");
     for (auto& machine : input_.machines) {
       if (machine.id != str(w, "machine")) continue;
       machine.free -= input_.jobs[task.job].need;
-      task.index = static_cast<uint32_t>(machine.live.size());
-      machine.live.push_back(task);
+      task.index = static_cast<uint32_t>(machine.running_tasks.size());
+      machine.running_tasks.push_back(task);
     }
   }
 
@@ -286,18 +286,18 @@
     // for the second
     if (w.contains("hold_after")) input_.gang_hold_after_s = num(w, "hold_after");
     input_.gang_hold_for_s = num(w, "hold_for");
-    auto d = scheduling::place(input_);
-    for (auto& s : d.starts)
+    auto d = scheduling::schedule(input_);
+    for (auto& s : d.placements)
       actual_.push_back("start " + input_.jobs[s.job].id + " on " + input_.machines[s.machine].id);
-    for (auto& gang : d.gangs)
+    for (auto& gang : d.gang_placements)
       for (size_t m : gang.machines)
         actual_.push_back("start " + input_.jobs[gang.job].id + " on " + input_.machines[m].id);
-    for (auto& s : d.stops) {
+    for (auto& s : d.preemptions) {
       auto& m = input_.machines[s.machine];
       std::ostringstream grace;
       grace << s.grace_s;
-      actual_.push_back("stop " + input_.jobs[m.live[s.live].job].id + " on " + m.id + " grace " +
-                        grace.str());
+      actual_.push_back("stop " + input_.jobs[m.running_tasks[s.running_task_index].job].id +
+                        " on " + m.id + " grace " + grace.str());
     }
     for (auto& u : d.unschedulable)
       actual_.push_back("wait " + input_.jobs[u.job].id + " " + std::to_string(u.count) +
