--- a/src/coordination/scheduling/chunk_edits.cpp
+++ b/src/coordination/scheduling/chunk_edits.cpp
@@ -4,12 +4,12 @@
 
 namespace {
 
-// Of the 64 KiB that a transaction may have. The rest is for its keys and preconditions.
+// A transaction is limited to 64 KiB. The rest is left for the keys and preconditions.
 constexpr size_t max_transaction_bytes = size_t{48} * 1024;
 // Estimated sizes of an encoded chunk without tasks, and of one task in it.
 constexpr size_t chunk_header_bytes = 64;
 constexpr size_t task_entry_bytes = 48;
-// Writes that end a job: its own record, and its final state.
+// A job's end takes one write of the job's record and one of its final state.
 constexpr int writes_to_end_job = 2;
 
 }  // namespace
@@ -29,8 +29,8 @@
   return &edits_.insert_or_assign(key, std::move(record)).first->second;
 }
 
-// A chunk that was nearly empty may have hundreds of tasks started in it at once. The first entry
-// always fits, since a chunk with one does.
+// Starts can add hundreds of entries to a chunk that was nearly empty, so each entry is counted.
+// The first entry always fits, because a chunk with one entry fits into a transaction.
 bool ChunkEdits::reserve_task_entry() {
   if (has_task_entry_ && bytes_ + task_entry_bytes > max_transaction_bytes) return false;
   bytes_ += task_entry_bytes;
--- a/src/coordination/scheduling/chunk_edits.hpp
+++ b/src/coordination/scheduling/chunk_edits.hpp
@@ -1,4 +1,4 @@
-/// Edits of task chunks, gathered into one transaction within the limits of the key-value store.
+/// Collects edits of task chunks in one transaction within the limits of the key-value store.
 #pragma once
 #include <map>
 #include <set>
@@ -9,26 +9,30 @@
 
 namespace damsonport {
 
-/// Used for one transaction: edit, then finish(). Every edited chunk has to be unchanged since it
-/// was read into the cache, and so has the shard table, which makes the leader's writes fail once
-/// it is deposed.
+/// Builds a single transaction: edits, followed by finish(). The preconditions of the transaction
+/// are that the edited chunks and the shard table have not changed since they were read into the
+/// cache. The precondition on the shard table makes the writes of a leader fail after another
+/// leader replaced it.
 class ChunkEdits {
  public:
   /// The cache has to outlive the edits.
   ChunkEdits(const RecordCache& cache, const StateLimits& limits)
       : cache_(cache), limits_(limits) {}
 
-  /// The chunk to edit, valid until finish(). Null: the transaction is full.
+  /// Returns the chunk for editing. The pointer is valid until finish(). Returns null if the
+  /// transaction is full.
   [[nodiscard]] TaskChunk* edit(const Job& job, uint32_t chunk);
-  /// Accounts for one more started task in the edited chunks. False: the transaction is full.
+  /// Accounts for the size of one more started task in the edited chunks. Returns false if the
+  /// transaction is full.
   [[nodiscard]] bool reserve_task_entry();
   [[nodiscard]] bool empty() const { return edits_.empty(); }
-  /// The job's own record has to be unchanged, too.
+  /// Adds the precondition that the job's record has not changed.
   void require_unchanged(const Job& job);
-  /// The edit of the job's only chunk ends the job: its records are deleted, and its final state is
-  /// written. False: the transaction has no room for that, and the edit stands as it is.
+  /// For a job whose only chunk was edited such that all its tasks are done: deletes the job's
+  /// records and writes its final state instead. Returns false, and leaves the edit as it is, if
+  /// the transaction is full.
   [[nodiscard]] bool end_job(const Job& job);
-  /// The transaction; nothing may be called after it.
+  /// Returns the transaction. No other function may be called afterwards.
   [[nodiscard]] Transaction finish();
 
  private:
--- a/src/coordination/scheduling/cycle_context.hpp
+++ b/src/coordination/scheduling/cycle_context.hpp
@@ -1,4 +1,4 @@
-/// What the deciding parts of one scheduling cycle share.
+/// The state that the placement components of one scheduling cycle share.
 #pragma once
 #include <cstdint>
 
@@ -10,7 +10,8 @@
 
 namespace damsonport::scheduling {
 
-/// References to members of the SchedulingCycle; valid as long as that is.
+/// References to the snapshot and to members of the SchedulingCycle. Valid as long as the
+/// SchedulingCycle exists.
 struct CycleContext {
   const SchedulerSnapshot& snapshot;
   const QueueOrder& queue;
@@ -19,7 +20,8 @@
   CycleState& state;
   Decisions& decisions;
 
-  /// Reports pending tasks: `unplaced` ones lack capacity, for `pending` ones it is being freed.
+  /// Adds reports of pending tasks: `unplaced` tasks lack capacity, and for `pending` tasks
+  /// capacity is being freed.
   void report_unschedulable(JobIndex job, uint32_t unplaced, uint32_t pending) const {
     const bool within_guarantee = queue.within_guarantee(job);
     if (unplaced > 0)
--- a/src/coordination/scheduling/cycle_state.cpp
+++ b/src/coordination/scheduling/cycle_state.cpp
@@ -41,7 +41,7 @@
   if (!count_index_of_replica_set.empty()) share_placement_counts(count_index_of_replica_set);
 }
 
-// Replicas without pending tasks count for the pending ones of the same job.
+// A replica without pending tasks shares the count of the pending replicas of the same job.
 void CycleState::share_placement_counts(
     const std::unordered_map<size_t, size_t>& count_index_of_replica_set) {
   for (JobIndex index; index < snapshot_.jobs.size(); ++index) {
@@ -52,7 +52,7 @@
   }
 }
 
-// The only time that a cycle looks at every running task.
+// The only step of a cycle that iterates over all running tasks.
 void CycleState::add_machine(MachineIndex index) {
   const MachineSnapshot& machine = snapshot_.machines[index];
   ledger.free.push_back(machine.free);
@@ -88,7 +88,8 @@
   }
 }
 
-// Parts that run already decide the zone of the others. Where they are in several, it is free.
+// Running parts determine the zone of the pending parts. If they already run in several zones, the
+// pending parts are not restricted to one zone.
 void CycleState::constrain_parts_to_zone(JobIndex replica) {
   parts_in_one_zone_ = true;
   const std::vector<GangTask>* parts = find_gang_tasks(replica);
--- a/src/coordination/scheduling/feasibility.cpp
+++ b/src/coordination/scheduling/feasibility.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// How many tasks of a job with the spread constraint may be in one zone.
+// Maximum number of tasks per zone for a job with the spread constraint.
 uint32_t spread_limit(const JobSnapshot& job) { return (job.tasks + 1) / 2; }
 
 bool within_limit(double used, double limit) {
@@ -37,11 +37,11 @@
   if (state_.parts_in_one_zone() && parts_zone != any_zone && parts_zone != zone) return false;
   if (!snapshot.one_zone && !snapshot.spread) return true;
   const PlacementCount& count = state_.placement_count(job);
-  // Tasks on machines of an unknown zone may be in any.
+  // A task on a machine whose zone is unknown has to be counted in every zone.
   const uint32_t unknown = count.in_zone[unknown_zone];
   if (snapshot.one_zone && (unknown > 0 || has_tasks_in_other_zones(count, zone))) return false;
   if (!snapshot.spread) return true;
-  // The first part of a replica needs a zone that may take all of them.
+  // The first part of a replica needs a zone in which all its pending parts may run.
   const bool needs_all = state_.parts_in_one_zone() && parts_zone == any_zone;
   const uint32_t needed = needs_all ? snapshot.pending_tasks : 1;
   return count.in_zone[zone] + unknown + needed <= spread_limit(snapshot);
--- a/src/coordination/scheduling/gang_placement.cpp
+++ b/src/coordination/scheduling/gang_placement.cpp
@@ -36,7 +36,8 @@
 
 GangPlacer::Plan GangPlacer::make_plan(JobIndex gang) const {
   const std::vector<NameId> zones = zones_to_try(gang);
-  // Machines that all have the image start the gang at once; one fetch delays all of it.
+  // A plan in which all machines have the image cached is preferred: a single image fetch delays
+  // the whole gang.
   Plan cached = best_plan(gang, zones, ImageFilter::cached_only);
   if (is_complete(gang, cached)) return cached;
   return best_plan(gang, zones, ImageFilter::any_machine);
@@ -125,7 +126,7 @@
   for (uint32_t missing = count_unplaced(gang, partial); missing > 0; --missing) {
     const ReservedCapacity reserved = pending_capacity_.reserve(gang);
     if (reserved == ReservedCapacity::none) {
-      // Nothing is preempted for a gang that doesn't start.
+      // No tasks are preempted for a gang that can't start: undoes the reservations made so far.
       context_.state.restore(gang, std::move(checkpoint));
       context_.decisions.preemptions.resize(previous_preemptions);
       return false;
@@ -161,7 +162,8 @@
   return job.replica ? only_zone_left(gang, plan) : any_zone;
 }
 
-// New capacity in any other zone would not help the gang.
+// Returns the only zone in which the gang could place its missing tasks; any_zone if there are
+// several such zones or none.
 NameId GangPlacer::only_zone_left(JobIndex gang, const Plan& plan) const {
   const uint32_t needed = context_.state.parts_in_one_zone() ? count_unplaced(gang, plan) : 1;
   std::vector<uint32_t> planned(context_.snapshot.zones.size());  // tasks, by zone
@@ -178,7 +180,8 @@
   return only;
 }
 
-// Free capacity only shrinks during a cycle.
+// Free capacity only decreases during a cycle, so a replica with the same needs can't be placed
+// either.
 bool GangPlacer::is_known_unschedulable(JobIndex replica) const {
   const JobSnapshot& job = context_.snapshot.jobs[replica];
   if (!job.replica || !unschedulable_replica_) return false;
--- a/src/coordination/scheduling/gang_tracker.cpp
+++ b/src/coordination/scheduling/gang_tracker.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-// A task that fails is tried once more on another machine, under the same attempt of its replica.
+// A part that fails is started once more, on another machine, under the same attempt of its
+// replica.
 constexpr int max_failures_per_attempt = 1;
 
 }  // namespace
@@ -22,8 +23,9 @@
   if (state.attempt == attempt) return state;
   state = {};
   state.attempt = attempt;
-  // Started by an earlier leader, under which the replica may have been ready. No part of such an
-  // attempt is started any more, so that no attempt becomes ready again after it has lost a part.
+  // An earlier leader started this attempt, and the replica may have been ready under that leader.
+  // No more parts of such an attempt are started, because an attempt must not become ready again
+  // after the loss of a part.
   state.has_run = job.spec.replicated() && attempt != 0;
   return state;
 }
@@ -86,7 +88,8 @@
   return action_for(job, gang, status(job, gang));
 }
 
-// Not longer than a machine that failed a task of the gang is kept from starting it again.
+// Limited to lease_s, the time for which a machine on which a task of the gang failed is excluded
+// from starting the task again.
 double GangTracker::replacement_timeout_s() const {
   return std::min(settings_.gang_wait_s * settings_.tuning.gang_replacement_share,
                   settings_.lease_s);
@@ -103,7 +106,7 @@
 GangAction GangTracker::action_for(const Job& job, TaskRange gang, const GangStatus& status) const {
   const GangAction action = gang_action(status, replacement_timeout_s());
   if (action != GangAction::replace_missing) return action;
-  // Before all its machines have sent a heartbeat it is not known whether the gang runs already.
+  // Until all machines of the gang have sent a heartbeat, the gang may already be running.
   return all_machines_reported(job, gang) ? GangAction::replace_missing : GangAction::none;
 }
 
--- a/src/coordination/scheduling/gang_tracker.hpp
+++ b/src/coordination/scheduling/gang_tracker.hpp
@@ -1,4 +1,5 @@
-/// What a shard leader has observed of the current attempts of gangs, and what follows from it.
+/// Tracks what a shard leader has observed of the current attempts of gangs, and derives the next
+/// action for each gang.
 #pragma once
 #include <map>
 #include <optional>
@@ -12,40 +13,46 @@
 
 namespace damsonport {
 
-/// Owned and called by the shard leader, on its event loop. The observations are lost with the
-/// process: after a failover an attempt may be abandoned that could have gone on, and nothing else.
+/// Owned by the shard leader and called on its event loop. The observations are kept in memory
+/// only. Their loss in a failover has a single consequence: an attempt that could have continued
+/// may be abandoned.
 class GangTracker {
  public:
   /// All references have to outlive the tracker.
   GangTracker(Loop& loop, const Settings& settings, const TaskStateProvider& task_states)
       : loop_(loop), settings_(settings), task_states_(task_states) {}
 
+  /// Forgets all jobs.
   void clear() { attempts_.clear(); }
   void forget_job(const std::string& job);
 
-  /// This leader is about to commit a new attempt of the gang.
+  /// Has to be called before this leader commits a new attempt of the gang.
   void note_attempt_started(const Job& job, TaskRange gang, uint64_t attempt);
-  /// A task of this attempt was seen running or saving its state; of a replica, all parts at once.
+  /// A task of this attempt was seen running or saving its state. For a replica: all its parts were
+  /// running at the same time.
   void note_running(const Job& job, TaskRange gang, uint64_t attempt);
-  /// A task of this attempt is proven gone. `stopped`: it was told to stop.
+  /// A task of this attempt is proven to have ended. `stopped`: the task had been told to stop.
   void note_exit(const Job& job, TaskRange gang, uint64_t attempt, ExitCause cause, bool stopped);
-  /// The machine of a part doesn't have it, and no command for it is under way. Where the replica
-  /// may have been ready, that ends the attempt.
+  /// The machine of a part doesn't have the part, and no command for the part is under way. If the
+  /// replica may have been ready, the attempt is broken.
   void note_task_missing(const Job& job, TaskRange gang, uint64_t attempt);
 
-  /// Also starts or ends the time for which the gang counts as incomplete.
+  /// The current status of the gang. Each call also starts or resets the measurement of
+  /// GangStatus::incomplete_s.
   [[nodiscard]] GangStatus status(const Job& job, TaskRange gang);
+  /// The action that the gang needs now. Calls status().
   [[nodiscard]] GangAction next_action(const Job& job, TaskRange gang);
-  /// How many of its tasks may be started now.
+  /// Number of tasks of the gang that may be started now. Calls status().
   [[nodiscard]] uint32_t count_startable(const Job& job, TaskRange gang);
 
  private:
+  /// Observations of the current attempt of a gang.
   struct AttemptState {
-    uint64_t attempt = 0;  // 0: no task is live
-    bool has_run = false;  // see note_running(); also where an earlier leader may have seen it
-    bool broken = false;   // some task ended because of the others, failed, or was stopped
+    uint64_t attempt = 0;  // 0: no live task
+    bool has_run = false;  // note_running() was called, perhaps by an earlier leader
+    bool broken = false;   // a task ended because of the others, failed, or was stopped
     int failures = 0;      // tasks that ended with an error
-    std::optional<double> incomplete_since;  // monotonic, seconds; none: no task is missing
+    std::optional<double> incomplete_since;  // steady time, seconds; unset: no task missing
   };
   using Key = std::pair<std::string, uint32_t>;  // job, first task
   AttemptState& attempt_state(const Job& job, TaskRange gang);
--- a/src/coordination/scheduling/gangs.cpp
+++ b/src/coordination/scheduling/gangs.cpp
@@ -4,7 +4,8 @@
 
 GangAction gang_action(const GangStatus& gang, double replacement_timeout_s) {
   if (gang.live == 0) return gang.done < gang.tasks ? GangAction::start : GangAction::none;
-  // A gang with a finished task has finished: the others only have to report it.
+  // If one task of a gang is done, the whole gang is done, and the other tasks are about to report
+  // it.
   if (gang.done > 0) return GangAction::none;
   if (gang.broken) return GangAction::abandon;
   if (gang.live == gang.tasks) return GangAction::none;
--- a/src/coordination/scheduling/pending_capacity.cpp
+++ b/src/coordination/scheduling/pending_capacity.cpp
@@ -6,9 +6,9 @@
 namespace damsonport::scheduling {
 
 ReservedCapacity PendingCapacity::reserve(JobIndex job) {
-  // Capacity that is being freed already serves the most urgent first. Urgent services are
-  // preempted only for what no booting machine has capacity for: their replicas would be back later
-  // than it.
+  // Capacity that is already being freed goes to the most urgent jobs, which are handled first.
+  // Urgent services are preempted only if no booting machine has capacity for the task: a preempted
+  // replica would be ready again later than the booting machine.
   if (reserve_freeing(job, std::nullopt)) return ReservedCapacity::freeing;
   if (preemptor_.preempt_for(job, PreemptionScope::exclude_urgent_services))
     return ReservedCapacity::freeing;
@@ -18,9 +18,10 @@
 }
 
 bool PendingCapacity::reserve_with_cached_image(JobIndex job, double fetch_s, double score) {
-  // Capacity that takes as long as the fetch, or longer than the start should, is no gain.
+  // Waiting for capacity is useless if it takes as long as the fetch or as the start-up objective.
   const double within_s = std::min(fetch_s, context_.snapshot.jobs[job].start_within_s);
-  // First what an earlier cycle began to free: the task would start elsewhere meanwhile otherwise.
+  // Capacity that an earlier cycle began to free for the task comes first. Otherwise the task would
+  // start on another machine in the meantime.
   if (reserve_freeing(job, CachedImageBounds{within_s, score})) return true;
   return preemptor_.preempt_with_cached_image(job, within_s, score);
 }
@@ -63,7 +64,7 @@
     if (!context_.feasibility.matches_constraints(job, machine.type, machine.zone, machine.spot))
       continue;
     machine.capacity -= pending.need;
-    ledger.team_usage[*pending.team] += pending.need;  // it starts there soon
+    ledger.team_usage[*pending.team] += pending.need;  // charged in advance
     if (context_.state.parts_in_one_zone()) ledger.parts_zone = machine.zone;
     return true;
   }
--- a/src/coordination/scheduling/pending_capacity.hpp
+++ b/src/coordination/scheduling/pending_capacity.hpp
@@ -1,6 +1,6 @@
-/// Capacity that is not free yet: used by tasks that are being stopped, on booting machines, or to
-/// be freed by preemption. It is promised to pending tasks, so that nothing is preempted or scaled
-/// out twice for the same need.
+/// Capacity that is not free yet: capacity that stopping tasks still use, capacity of booting
+/// machines, and capacity that preemption can free. It is reserved for pending tasks, so that no
+/// tasks are preempted and no machines are scaled out twice for the same need.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -10,31 +10,35 @@
 
 namespace damsonport::scheduling {
 
-/// Where the capacity for a pending task comes from.
+/// Kind of capacity that was reserved for a pending task.
 enum class ReservedCapacity : uint8_t {
-  none,
-  freeing,  ///< tasks are being stopped for it
-  booting,  ///< a machine is starting up
+  none,     ///< nothing was reserved
+  freeing,  ///< on a machine whose tasks are being stopped
+  booting,  ///< on a booting machine
 };
 
+/// Used for one scheduling cycle. The preemptor has to outlive the object.
 class PendingCapacity {
  public:
   PendingCapacity(const CycleContext& context, Preemptor& preemptor)
       : context_(context), preemptor_(preemptor) {}
 
-  /// Promises capacity to one more task of the job. Preempts tasks where nothing else is left.
+  /// Reserves capacity for one more task of the job. May preempt tasks.
   [[nodiscard]] ReservedCapacity reserve(JobIndex job);
-  /// For a task whose fetch of the image on the best free machine would take `fetch_s`, at `score`:
-  /// promises it capacity on a machine that has the image, if that is better. May preempt tasks.
+  /// Reserves capacity for one more task of the job on a machine that has the job's image cached,
+  /// if that is better than starting now on the best machine with free capacity. `fetch_s`: time
+  /// in seconds that the image fetch on that machine would take. `score`: score of that machine.
+  /// May preempt tasks.
   [[nodiscard]] bool reserve_with_cached_image(JobIndex job, double fetch_s, double score);
 
  private:
-  /// Bounds on capacity beside a cached image.
+  /// Requirements for capacity on a machine with the cached image.
   struct CachedImageBounds {
-    double within_s;   // it has to be free by then
-    double max_score;  // the machine has to score better
+    double within_s;   // seconds in which the capacity has to be free
+    double max_score;  // the machine's score has to be lower
   };
   bool reserve_freeing(JobIndex job, const std::optional<CachedImageBounds>& cached_image_bounds);
+  /// Whether the machine has the job's image cached and its stopping tasks end within `within_s`.
   [[nodiscard]] bool has_image_within(JobIndex job, MachineIndex machine, double within_s) const;
   bool reserve_booting(JobIndex job);
 
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -9,29 +9,31 @@
 
 namespace {
 
-// Costs of a preemption, in seconds.
+// Costs of a preemption, weighted like seconds.
 constexpr double base_cost = 2;
 constexpr double cost_per_priority = 15;
-constexpr double service_cost = 60;  // users notice the loss of a replica
-constexpr double short_run_cost = 10;
+constexpr double service_cost = 60;    // users notice the loss of a replica
+constexpr double short_run_cost = 10;  // for a run shorter than min_useful_run_s
 constexpr double guaranteed_cost = 15;
 
-// A task without checkpoints loses its run time, up to this many times its estimate: beyond that
-// the estimate is wrong and says nothing.
+// A task without checkpoints loses its run time, which is counted up to this multiple of its
+// estimated run time: a task that has run for longer shows that the estimate is wrong.
 constexpr double max_lost_run_time_in_estimates = 2;
 constexpr double min_estimate_s = 1;
 
-// A task is stopped abruptly if it loses at most this many times what saving its state would take.
+// A task may be stopped without a grace period if it loses at most this multiple of its grace
+// period.
 constexpr double max_unsaved_run_time_in_grace_periods = 2;
 
-// Services of this priority and above never give back what they borrow of another team's guarantee.
+// Jobs of at least this priority are never preempted to reclaim the guaranteed quota of another
+// team.
 constexpr int production_priority = 3;
 
 bool is_urgent_service(const JobSnapshot& job) {
   return job.service && job.priority >= urgent_priority;
 }
 
-// Whether the need of a victim includes a resource that the job still lacks.
+// Whether stopping the victim frees a resource that is still lacking for `need`.
 bool frees_lacking_resource(const Resources& victim, const Resources& need,
                             const Resources& capacity) {
   return (victim.gpus > 0 && need.gpus > capacity.gpus) ||
@@ -43,8 +45,8 @@
 
 bool Preemptor::may_preempt(JobIndex job, const RunningTaskSnapshot& victim) const {
   const JobSnapshot& victim_job = context_.snapshot.jobs[victim.job];
-  // Only what is also queued after the job: what is queued before it would take the capacity back,
-  // and the two would preempt each other for ever.
+  // A victim must also come later in the queue than the job. Otherwise the victim would take the
+  // capacity back, and the two jobs would preempt each other forever.
   if (context_.queue.urgency(job) <= context_.queue.urgency(victim.job)) return false;
   if (context_.state.is_stopping(victim)) return false;
   if (victim_job.gang && context_.state.is_gang_stopping(victim.job)) return false;
@@ -52,8 +54,8 @@
   return may_reclaim_guarantee(job, victim.job);
 }
 
-// For its guaranteed quota a team may take back what another team borrows. Services are left alone
-// all the same, since users notice the loss of a replica.
+// A team may reclaim its guaranteed quota by preempting jobs of other teams that are beyond their
+// own guaranteed quota. Services are exempt because users notice the loss of a replica.
 bool Preemptor::may_reclaim_guarantee(JobIndex job, JobIndex victim) const {
   const JobSnapshot& victim_job = context_.snapshot.jobs[victim];
   return context_.queue.within_guarantee(job) && !context_.queue.within_guarantee(victim) &&
@@ -74,17 +76,17 @@
   return std::max(context_.snapshot.steady_now - task.running_since, 0.0);
 }
 
-// On average half of its interval between checkpoints.
+// On average, a task stops halfway between two checkpoints.
 double Preemptor::unsaved_run_time_s(const RunningTaskSnapshot& task) const {
   return std::min(run_time_s(task), context_.snapshot.jobs[task.job].checkpoint_s / 2);
 }
 
-// A task with checkpoints loses little when it is stopped at once. It is where the job would start
-// too late otherwise.
+// A task with frequent checkpoints loses little when it is stopped without a grace period. This is
+// done only if the job would otherwise miss its start-up objective.
 bool Preemptor::skips_grace_period(JobIndex job, MachineIndex machine,
                                    const RunningTaskSnapshot& victim) const {
   const JobSnapshot& victim_job = context_.snapshot.jobs[victim.job];
-  if (victim_job.gang) return false;  // its tasks save their state together
+  if (victim_job.gang) return false;  // a gang saves its state as a whole
   const double grace_s = victim_job.grace_s;
   if (grace_s <= 0) return false;
   if (unsaved_run_time_s(victim) > max_unsaved_run_time_in_grace_periods * grace_s) return false;
@@ -100,7 +102,7 @@
   const JobSnapshot& victim_job = context_.snapshot.jobs[victim.job];
   const double max_loss =
       std::max(victim_job.estimate_s, min_estimate_s) * max_lost_run_time_in_estimates;
-  // With checkpoints, a task that has time to save its state loses nothing but that time.
+  // A task with checkpoints that gets its grace period loses only the grace period.
   const double lost = victim_job.checkpoint_s > 0 ? 0 : std::min(run_time_s(victim), max_loss);
   double cost = skips_grace_period(job, machine, victim) ? unsaved_run_time_s(victim)
                                                          : lost + victim_job.grace_s;
@@ -112,8 +114,8 @@
   return cost * static_cast<double>(context_.state.find_gang_tasks(victim.job)->size());
 }
 
-// Where a job had no victims, no job has any that needs as much under the same constraints and may
-// preempt no more.
+// A job for which no victims were found shows that there are none for any job that needs at least
+// as much under the same constraints and may not preempt more tasks.
 bool Preemptor::is_known_to_lack_victims(JobIndex job, PreemptionScope scope) const {
   const JobSnapshot& pending = context_.snapshot.jobs[job];
   const QueueOrder& queue = context_.queue;
@@ -203,7 +205,7 @@
     const RunningTaskSnapshot& task =
         context_.snapshot.machines[plan.machine].running_tasks[victim];
     const JobSnapshot& victim_job = context_.snapshot.jobs[task.job];
-    // Already with another task of its gang.
+    // The victim was already stopped together with another task of its gang.
     if (contains(ledger.preempted[plan.machine], victim)) continue;
     if (victim_job.gang) {
       stop_gang(task.job);
@@ -214,7 +216,7 @@
   }
   context_.state.allocate_freeing(job, plan.machine);
   ledger.freeing_machines.push_back(plan.machine);
-  // More may become free now than this job takes.
+  // The victims may free more capacity than this job uses, so other jobs may find capacity now.
   for (std::vector<JobIndex>& known : ledger.jobs_without_victims) known.clear();
 }
 
@@ -236,14 +238,14 @@
     const RunningTaskSnapshot& task =
         context_.snapshot.machines[plan.machine].running_tasks[victim];
     const JobSnapshot& victim_job = context_.snapshot.jobs[task.job];
-    if (victim_job.gang) return false;  // too much for one start
+    if (victim_job.gang) return false;  // too much lost work for one start
     if (!skips_grace_period(job, plan.machine, task))
       longest_s = std::max(longest_s, victim_job.grace_s);
   }
   return longest_s < within_s;
 }
 
-// Of the machine itself, once the tasks are stopped.
+// Score of the machine of the plan after its victims are stopped.
 double Preemptor::score_after_preemption(JobIndex job, const Plan& plan) const {
   const MachineSnapshot& machine = context_.snapshot.machines[plan.machine];
   Resources capacity =
@@ -264,8 +266,8 @@
     if (!context_.feasibility.is_feasible(job, machine)) continue;
     std::optional<Plan> plan = plan_on(job, machine, PreemptionScope::exclude_urgent_services);
     if (!plan || plan->cost >= best_cost) continue;
-    // Where the machine itself scores worse than the other one, the task would not start there once
-    // the capacity is free. What was stopped would, and be stopped again.
+    // If the machine scores worse than the one that is free now, the task would not start on it
+    // once the capacity is free. The victims would start there again, and be preempted again.
     if (score_after_preemption(job, *plan) >= score || !frees_within(job, *plan, within_s))
       continue;
     best_cost = plan->cost;
--- a/src/coordination/scheduling/preemption.hpp
+++ b/src/coordination/scheduling/preemption.hpp
@@ -1,5 +1,5 @@
-/// Preemption: which running tasks are stopped to free capacity for a more urgent job, and at what
-/// cost. Costs are seconds, or count like seconds.
+/// Preemption: selects the running tasks (victims) that are stopped to free capacity for a more
+/// urgent job. Costs are seconds of lost run time plus penalties that are weighted like seconds.
 #pragma once
 #include <optional>
 #include <vector>
@@ -8,45 +8,47 @@
 
 namespace damsonport::scheduling {
 
+/// Used for one scheduling cycle.
 class Preemptor {
  public:
   explicit Preemptor(const CycleContext& context) : context_(context) {}
 
-  /// Preempts the cheapest tasks that free capacity for one more task of the job, and takes that
-  /// capacity. False: there are none.
+  /// Preempts the cheapest set of victims that frees capacity for one more task of the job, and
+  /// allocates this capacity to the task. Returns false if there is no such set.
   bool preempt_for(JobIndex job, PreemptionScope scope);
-  /// Likewise on a machine that has the job's image. Only where that costs less than `score`, the
-  /// score of starting now on another machine, and frees the capacity within `within_s`.
+  /// Does the same on a machine that has the job's image cached, provided that the preemption costs
+  /// less than `score`, which is the score of starting now on another machine, and frees the
+  /// capacity in less than `within_s` seconds.
   bool preempt_with_cached_image(JobIndex job, double within_s, double score);
 
  private:
-  /// Tasks that are stopped together on one machine.
+  /// Victims on one machine that together free enough capacity for a task.
   struct Plan {
     double cost = 0;
     MachineIndex machine;
-    std::vector<size_t> victims;  // positions in the machine's list
+    std::vector<size_t> victims;  // indexes in MachineSnapshot::running_tasks
   };
   [[nodiscard]] std::optional<Plan> find_cheapest(JobIndex job, PreemptionScope scope);
-  /// None: no preemption on this machine frees enough.
+  /// Returns no plan if preemption on this machine can't free enough capacity.
   [[nodiscard]] std::optional<Plan> plan_on(JobIndex job, MachineIndex machine,
                                             PreemptionScope scope) const;
   [[nodiscard]] std::vector<size_t> find_victims(JobIndex job, MachineIndex machine,
                                                  PreemptionScope scope) const;
   void execute(JobIndex job, const Plan& plan);
   void stop_task(MachineIndex machine, size_t running_task_index, double grace_s);
-  /// Stops all tasks of a gang: one of them alone could not save its state.
+  /// Stops all tasks of a gang, because the tasks of a gang can only save their state together.
   void stop_gang(JobIndex gang);
 
   [[nodiscard]] bool may_preempt(JobIndex job, const RunningTaskSnapshot& victim) const;
   [[nodiscard]] bool may_reclaim_guarantee(JobIndex job, JobIndex victim) const;
   [[nodiscard]] bool is_known_to_lack_victims(JobIndex job, PreemptionScope scope) const;
 
-  /// Seconds within which the job should start; none: no objective.
+  /// Time in seconds within which the job should start, if it has an objective.
   [[nodiscard]] std::optional<double> start_objective_s(JobIndex job) const;
   [[nodiscard]] double run_time_s(const RunningTaskSnapshot& task) const;
-  /// Work that is lost when the task gets no time to save its state, in seconds.
+  /// Run time in seconds that is lost if the task is stopped without a grace period.
   [[nodiscard]] double unsaved_run_time_s(const RunningTaskSnapshot& task) const;
-  /// Whether the task gets no time to save its state.
+  /// Whether the victim is stopped without a grace period.
   [[nodiscard]] bool skips_grace_period(JobIndex job, MachineIndex machine,
                                         const RunningTaskSnapshot& victim) const;
   [[nodiscard]] double preemption_cost(JobIndex job, MachineIndex machine,
--- a/src/coordination/scheduling/queue_order.cpp
+++ b/src/coordination/scheduling/queue_order.cpp
@@ -6,20 +6,21 @@
 
 namespace {
 
-constexpr int faulty_job_urgency = -1;  // after all others
+constexpr int faulty_job_urgency = -1;  // lower than that of all other jobs
 
-// Urgent priorities come first, then what is within a guaranteed quota, then the rest; within each
-// of these bands by priority, and among equals what is guaranteed. An urgent job beyond its
-// guarantee thus doesn't wait for guaranteed work that can be preempted and save its state.
+// Three bands of urgency: jobs with an urgent priority, then jobs within a guaranteed quota, then
+// all other jobs. Within a band, jobs are ordered by priority, and at equal priority those within a
+// guaranteed quota come first. An urgent job beyond its team's guaranteed quota therefore doesn't
+// wait for guaranteed jobs that can be preempted and save their state.
 constexpr int urgent_band = 200;
 constexpr int guaranteed_band = 100;
 constexpr int priority_step = 10;
 constexpr int guaranteed_bonus = 5;
 
-// An overdue job that has begun already is deferred for this many times as long.
+// An overdue job that has already begun is deferred for this multiple of the usual time.
 constexpr double begun_deferral_factor = 3;
 
-// Whether an amount is within a quota that may be absent in this dimension.
+// Whether an amount is within a quota, where a quota of 0 means that there is none.
 bool within_optional_quota(double amount, double quota) {
   return quota <= 0 || amount <= quota + resource_tolerance;
 }
@@ -97,8 +98,9 @@
   return a.replica_number < b.replica_number;
 }
 
-// A job that misses its deadline in any case would make the next one miss its own too, so it is
-// deferred behind the others for a while; not for ever, since it has to run as well.
+// An overdue job misses its deadline in any case and could make the next job miss its own, so it is
+// deferred behind the other jobs. The deferral is limited in time because an overdue job has to run
+// eventually.
 double QueueOrder::queue_key(const JobSnapshot& job) const {
   if (job.deadline <= 0) return job.accepted_at;
   const double deferral_s = snapshot_.begin_within_s * (job.begun ? begun_deferral_factor : 1);
--- a/src/coordination/scheduling/queue_order.hpp
+++ b/src/coordination/scheduling/queue_order.hpp
@@ -1,7 +1,8 @@
-/// The order in which a scheduling cycle decides for pending jobs.
+/// The order in which a scheduling cycle handles pending jobs.
 ///
-/// Sorted by urgency, which combines the job's priority with its team's guaranteed quota; among
-/// equals by deadline, and by age where there is none.
+/// Jobs are sorted by urgency, which combines the priority of a job with the guaranteed quota of
+/// its team. Jobs of equal urgency are sorted by deadline, or by acceptance time if they have no
+/// deadline.
 #pragma once
 #include <vector>
 
@@ -9,18 +10,21 @@
 
 namespace damsonport::scheduling {
 
-/// Jobs of this priority and above are urgent: high and production.
+/// Jobs of at least this priority are urgent (the priorities high and production).
 constexpr int urgent_priority = 2;
 
+/// Computed once per cycle. The snapshot has to outlive the object and must not change.
 class QueueOrder {
  public:
   explicit QueueOrder(const SchedulerSnapshot& snapshot);
 
-  /// Jobs with pending tasks, the one to be decided first in front.
+  /// Jobs with pending tasks, in scheduling order.
   [[nodiscard]] std::vector<JobIndex> pending_jobs() const;
-  /// Higher is decided earlier. A job may only preempt tasks of jobs with a lower urgency.
+  /// Jobs with a higher urgency are scheduled earlier. A job may preempt only tasks of jobs with a
+  /// lower urgency.
   [[nodiscard]] int urgency(JobIndex job) const { return urgency_[job]; }
-  /// Whether the job fits into its team's guaranteed quota together with the team's earlier jobs.
+  /// Whether the job fits into the guaranteed quota of its team together with the team's jobs that
+  /// were accepted earlier.
   [[nodiscard]] bool within_guarantee(JobIndex job) const { return within_guarantee_[job]; }
 
  private:
--- a/src/coordination/scheduling/rechunker.cpp
+++ b/src/coordination/scheduling/rechunker.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Between a transaction that was not written and the next try.
+// Delay after a transaction that was not written.
 constexpr double retry_delay_s = 0.2;
 
 }  // namespace
@@ -18,7 +18,7 @@
   progress_ = {};
 }
 
-// Whether its layout allows for larger chunks than the limits do.
+// Whether the job's layout allows for larger chunks than the limits.
 bool Rechunker::is_oversized(const Job& job) const {
   return job.chunk_size > chunk_size(limits().value_kb);
 }
@@ -32,7 +32,7 @@
 }
 
 bool Rechunker::exit_must_wait(const Job& job, uint32_t chunk) {
-  // Until all controllers are upgraded the larger limits hold, and an exit has to be written.
+  // Until all controllers are upgraded, the larger limits are in force and an exit must be written.
   return start_must_wait(job, job.chunks.at(chunk).record) && requested_.contains(job.spec.id);
 }
 
--- a/src/coordination/scheduling/rechunker.hpp
+++ b/src/coordination/scheduling/rechunker.hpp
@@ -1,11 +1,12 @@
-/// Rechunking: the tasks of jobs that were accepted under larger size limits are divided into
-/// chunks that fit the limits the key-value store announces now.
+/// Rechunking: divides the tasks of jobs that were accepted under larger size limits into chunks
+/// that fit the limits that the key-value store announces now.
 ///
-/// First the chunks of the new layout are written, a few in each transaction; meanwhile nothing
-/// else of the job is written. One more transaction then makes the job's record name the new
-/// layout. Until then nobody reads the new chunks, and after a failover the next leader begins
-/// again. Chunks of the old layout are removed as orphans. Controllers of an older version would
-/// remove the new ones, so rechunking begins only when there are none.
+/// The chunks of the new layout are written first, several per transaction. In the meantime nothing
+/// else of the job is written. A final transaction then changes the layout in the job's record.
+/// Until that transaction no controller reads the new chunks; after a failover the next leader
+/// starts over. Chunks of the old layout are removed as orphans. Controllers of an older version
+/// would remove the new chunks as orphans, so rechunking starts only when no such controller is
+/// left.
 #pragma once
 #include <functional>
 #include <map>
@@ -17,12 +18,12 @@
 
 namespace damsonport {
 
-/// Owned by the shard leader. All calls are made by its event loop; commit_next() by one background
-/// task at a time.
+/// Owned by the shard leader and called on its event loop. commit_next() is called by one
+/// background task at a time.
 class Rechunker {
  public:
-  /// Commits a transaction until its result is known, and applies it to the cache. False: nothing
-  /// of it was written.
+  /// Commits a transaction, waits until its result is known and applies it to the cache. Returns
+  /// false if the transaction was not written.
   using Commit = std::function<Task<bool>(Transaction, std::stop_token)>;
 
   /// All references have to outlive the rechunker.
@@ -35,26 +36,29 @@
         versions_(versions),
         commit_(std::move(commit)) {}
 
-  /// Forgets all jobs, as leadership ends.
+  /// Forgets all jobs. Called when the leadership ends.
   void clear();
 
   /// Whether a start has to wait until the job is rechunked, because the chunk must not grow.
-  /// Requests the rechunking if it is possible now.
+  /// Requests the rechunking if all controllers support it.
   [[nodiscard]] bool start_must_wait(const Job& job, const TaskChunk& chunk);
-  /// Likewise for the exit of a task. It waits only if the rechunking is possible now.
+  /// Whether the exit of a task has to wait until the job is rechunked. An exit waits only if the
+  /// rechunking is possible now.
   [[nodiscard]] bool exit_must_wait(const Job& job, uint32_t chunk);
-  /// Likewise for the start of a gang.
+  /// Whether the start of a gang has to wait until its job is rechunked. Requests the rechunking if
+  /// the gang's chunks are larger than the limits allow.
   [[nodiscard]] bool gang_start_must_wait(const Job& gang);
-  /// The key-value store rejected these writes as too large: requests the rechunking of their jobs.
+  /// Requests the rechunking of the jobs whose writes the key-value store rejected as too large.
   void note_rejected_writes(const std::vector<Write>& writes);
-  /// Commits the next transaction of a rechunking. False: none is requested.
+  /// Commits the next transaction of a requested rechunking. Returns false if there was nothing to
+  /// commit.
   [[nodiscard]] Task<bool> commit_next(std::stop_token stop_token);
 
  private:
   /// A rechunking under way.
   struct Progress {
     std::string job;
-    uint64_t job_version = 0;                // it begins again if the job's record changes
+    uint64_t job_version = 0;                // the rechunking starts over if it changes
     std::map<uint32_t, TaskChunk> to_write;  // chunks of the new layout, by number
   };
   [[nodiscard]] const StateLimits& limits() const { return settings_.state_limits.always(); }
--- a/src/coordination/scheduling/resources.cpp
+++ b/src/coordination/scheduling/resources.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr double max_count = 1e6;  // more than the tasks of any job
+constexpr double max_count = 1e6;  // above the task count of any job
 
 double count_in_dimension(double need, double capacity) {
   if (need <= 0) return max_count;
--- a/src/coordination/scheduling/resources.hpp
+++ b/src/coordination/scheduling/resources.hpp
@@ -1,14 +1,14 @@
-/// Amounts of CPUs, accelerators and memory, and how many tasks fit into them.
+/// Amounts of CPUs, accelerators and memory, and the number of tasks that fit into a capacity.
 #pragma once
 #include <cstdint>
 
 namespace damsonport::scheduling {
 
-/// Amounts are sums and differences of decimal fractions. Differences below this are rounding
-/// errors: 0.1 + 0.2 CPUs still fit into 0.3.
+/// Comparisons of amounts ignore differences up to this value. Amounts are sums and differences of
+/// decimal fractions and carry rounding errors: a need of 0.1 + 0.2 CPUs has to fit into 0.3.
 constexpr double resource_tolerance = 1e-6;
 
-/// What a task needs, a machine has, or a team may use.
+/// The need of a task, the capacity of a machine, or the quota or usage of a team.
 struct Resources {
   double cpus = 0;
   double gpus = 0;
@@ -21,7 +21,7 @@
            memory_gb <= capacity.memory_gb + resource_tolerance;
   }
 
-  /// Whether there is anything left in any dimension.
+  /// Whether the amount is positive in any dimension.
   [[nodiscard]] bool any() const { return cpus > 0 || gpus > 0 || memory_gb > 0; }
 
   Resources& operator+=(const Resources& other) {
@@ -53,8 +53,8 @@
   return {one.cpus * times, one.gpus * times, one.memory_gb * times};
 }
 
-/// How many tasks that need `need` each fit into `capacity`. At most a million: the answer for a
-/// task that needs nothing.
+/// Number of tasks with the need `need` that fit into `capacity`. The result is at most a million,
+/// which is also the result for a need of zero.
 [[nodiscard]] uint32_t count_fitting(const Resources& need, const Resources& capacity);
 
 }  // namespace damsonport::scheduling
--- a/src/coordination/scheduling/scheduler.hpp
+++ b/src/coordination/scheduling/scheduler.hpp
@@ -1,5 +1,6 @@
-/// The scheduler: decides which pending tasks start on which machines, and which running tasks are
-/// preempted for them. A pure function of its input; nothing is kept between two calls.
+/// Entry point of the scheduler. A scheduling cycle decides which pending tasks start on which
+/// machines and which running tasks are preempted for them. The decisions depend on the snapshot
+/// alone; no state is kept between two cycles.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -9,49 +10,52 @@
 
 namespace damsonport::scheduling {
 
-/// One task of the job placements on the machine.
+/// Decision to start one pending task of a job on a machine.
 struct Placement {
   JobIndex job;
   MachineIndex machine;
 };
 
-/// All pending tasks of a gang start together.
+/// Decision to start all pending tasks of a gang together.
 struct GangPlacement {
   JobIndex job;
-  std::vector<MachineIndex> machines;  ///< one entry a task
+  std::vector<MachineIndex> machines;  ///< one entry per task
 };
 
-/// A running task is stopped to free capacity.
+/// Decision to stop a running task in order to free capacity.
 struct Preemption {
   MachineIndex machine;
-  size_t running_task_index = 0;  ///< position in the machine's list of running tasks
-  double grace_s = 0;             ///< time it gets to save its state; 0: it is stopped at once
+  size_t running_task_index = 0;  ///< index in MachineSnapshot::running_tasks
+  double grace_s = 0;             ///< time to save its state; 0: no grace period
 };
 
-/// Pending tasks of a job that don't start now for want of capacity. Tasks that their team's quota
-/// limit holds back are not reported.
+/// Pending tasks of a job that can't start in this cycle because capacity is lacking. Tasks that
+/// only exceed the quota limit of their team are not reported.
 struct UnschedulableTasks {
   JobIndex job;
   uint32_t count = 0;
   bool within_guarantee = false;  ///< within the team's guaranteed quota
-  bool capacity_pending = false;  ///< capacity for them is being freed already
-  /// How many of them lack capacity. Fewer than `count` for a gang, which is pending as a whole.
+  bool capacity_pending = false;  ///< capacity is being freed for these tasks
+  /// Number of these tasks that lack capacity. For a gang this can be less than `count`, because
+  /// all its tasks stay pending as long as one of them lacks capacity.
   uint32_t missing = 0;
-  /// Of a gang: the only zone in which new capacity helps it.
+  /// For a gang, the only zone in which new capacity would let the gang start. `any_zone`: not
+  /// restricted to one zone.
   NameId zone = any_zone;
-  bool one_zone = false;  ///< the gang has to be in one zone
+  bool one_zone = false;  ///< all tasks of the gang must run in one zone
 };
 
+/// The outcome of a scheduling cycle. Indexes refer to the snapshot that was passed to schedule().
 struct Decisions {
   std::vector<Placement> placements;
   std::vector<GangPlacement> gang_placements;
   std::vector<Preemption> preemptions;
   std::vector<UnschedulableTasks> unschedulable;
-  /// How often a machine was examined for a task: a measure of the work of the cycle.
+  /// Number of times that a machine was examined for a job; measures the cost of the cycle.
   size_t machines_examined = 0;
 };
 
-/// Runs one scheduling cycle.
+/// Runs one scheduling cycle on the snapshot.
 [[nodiscard]] Decisions schedule(const SchedulerSnapshot& snapshot);
 
 }  // namespace damsonport::scheduling
--- a/src/coordination/scheduling/scheduling_cycle.cpp
+++ b/src/coordination/scheduling/scheduling_cycle.cpp
@@ -31,8 +31,8 @@
 
 void SchedulingCycle::begin_job(JobIndex job) {
   state_.begin_job(job);
-  // The spread constraint comes before the wish to keep the parts of a replica together: where no
-  // zone may take all that are pending, they are divided.
+  // The spread constraint takes precedence over the preference for one zone per replica: if no zone
+  // may take all pending parts, the parts may be placed in several zones.
   if (state_.parts_in_one_zone() && !feasibility_.fits_one_zone(job))
     state_.allow_parts_in_several_zones();
 }
--- a/src/coordination/scheduling/scheduling_cycle.hpp
+++ b/src/coordination/scheduling/scheduling_cycle.hpp
@@ -1,8 +1,10 @@
-/// One scheduling cycle: decides for one pending job after the other, the most urgent first.
+/// One scheduling cycle: makes the decisions for the pending jobs one by one, the most urgent
+/// first.
 ///
-/// The work is divided by concern. QueueOrder: who is next. Feasibility: hard constraints. Scorer:
-/// soft preferences. Preemptor and PendingCapacity: capacity that is not free yet. TaskPlacer and
-/// GangPlacer: the decision itself. CycleState: what was decided so far.
+/// QueueOrder sorts the pending jobs. Feasibility checks hard constraints, and Scorer rates
+/// machines by soft preferences. Preemptor and PendingCapacity reserve capacity that is not free
+/// yet. TaskPlacer and GangPlacer make the decisions. CycleState tracks the capacity and quotas
+/// that the decisions of the cycle have used.
 #pragma once
 #include "coordination/scheduling/cycle_context.hpp"
 #include "coordination/scheduling/gang_placement.hpp"
@@ -12,14 +14,16 @@
 
 namespace damsonport::scheduling {
 
-/// Used once. The snapshot has to outlive it and must not change meanwhile.
+/// Each object runs a single cycle. The snapshot has to outlive the object and must not change
+/// during the cycle.
 class SchedulingCycle {
  public:
   explicit SchedulingCycle(const SchedulerSnapshot& snapshot);
-  // The parts hold references to each other.
+  // Not copyable because the members hold references to each other.
   SchedulingCycle(const SchedulingCycle&) = delete;
   SchedulingCycle& operator=(const SchedulingCycle&) = delete;
 
+  /// Runs the cycle. May be called once.
   [[nodiscard]] Decisions run();
 
  private:
--- a/src/coordination/scheduling/scoring.cpp
+++ b/src/coordination/scheduling/scoring.cpp
@@ -9,34 +9,36 @@
 
 namespace {
 
-// All penalties are in seconds.
+// All penalties are weighted like seconds of delay.
 constexpr double missed_objective_penalty = 25;
-// For using an empty machine that could be scaled in otherwise: on the dearest type, on others in
-// proportion to their price.
+// For using an empty machine, which could be scaled in otherwise. Applies to the most expensive
+// machine type, and to other types in proportion to their price.
 constexpr double empty_machine_penalty = 15;
-// Jobs that may run on spot machines leave the others free.
+// For a job that may run on spot machines: keeps on-demand machines free for other jobs.
 constexpr double on_demand_penalty = 3;
-constexpr double slow_machine_penalty = 20;  // at no speed at all, else in proportion
-// Replicas are kept apart, so that the loss of one machine takes few of them.
+constexpr double slow_machine_penalty = 20;  // at speed 0, proportionally less at higher speeds
+// For each task of the same service on the machine: replicas are placed on different machines, so
+// that the loss of one machine affects few of them.
 constexpr double same_machine_penalty = 2;
 
-// Accelerators without CPUs or memory beside them are lost. Where it can't be helped, they are lost
-// on machines with few usable ones left, and not a few on each.
+// Accelerators are stranded when too little CPU or memory is left on their machine to use them. If
+// a task has to strand accelerators, machines with few usable accelerators are preferred, so that
+// the stranded ones are concentrated on few machines.
 constexpr double cpu_task_on_accelerator_penalty = 15;
 constexpr double stranded_accelerator_penalty = 30;
-constexpr double usable_accelerator_penalty = 5;  // for each that is left usable there
+constexpr double usable_accelerator_penalty = 5;  // for each usable one left
 
-constexpr double fragmentation_weight = 4;  // for each largest task that no longer fits
+constexpr double fragmentation_weight = 4;  // for each slot of the largest task that is lost
 constexpr double free_gpus_weight = 0.3;
 constexpr double free_cpus_weight = 0.5;
 
-// For gangs: each further machine, since the loss of any one stops all of it.
+// For each machine that a gang uses: the loss of any machine stops the whole gang.
 constexpr double gang_machine_penalty = 2;
 constexpr double gang_stranded_accelerator_penalty = 10;
 
-constexpr double min_fetch_gb_per_s = 1e-3;  // a rate of 0 is not to be divided by
+constexpr double min_fetch_gb_per_s = 1e-3;  // avoids a division by zero
 
-// An image that is being fetched is on average halfway there.
+// On average, half of a fetch that is under way is still to be done.
 constexpr double remaining_fetch_share = 0.5;
 
 }  // namespace
@@ -45,7 +47,7 @@
   const double fetch_s = job.image_gb / std::max(machine.fetch_gb_per_s, min_fetch_gb_per_s);
   if (contains(machine.fetching, job.image)) return fetch_s * remaining_fetch_share;
   if (contains(machine.images, job.image)) return 0;
-  // The others are fetched first.
+  // The fetches that are under way on the machine come first.
   return fetch_s * (1.0 + static_cast<double>(machine.fetching.size()));
 }
 
@@ -81,7 +83,8 @@
 bool Scorer::uses_empty_machine(const JobSnapshot& job, MachineIndex machine) const {
   const MachineSnapshot& target = snapshot_.machines[machine];
   if (!target.running_tasks.empty() || state_.ledger.tasks_on[machine] > 0) return false;
-  // A machine with the image is kept empty for jobs with a start-up objective.
+  // An empty machine with the cached image is intended for jobs with a start-up objective and gets
+  // no penalty for them.
   return job.start_within_s <= 0 || !has_image(target, job.image);
 }
 
@@ -97,8 +100,8 @@
   return add_packing_penalty(score, snapshot, target, capacity);
 }
 
-// The terms of a score are added one by one, in this order: sums of floating-point numbers depend
-// on it, and equal scores have to stay equal.
+// The terms of a score have to be added one by one in this order. The result of a floating-point
+// sum depends on the order of its terms, and equal scores have to stay equal.
 double Scorer::add_packing_penalty(double score, const JobSnapshot& job,
                                    const MachineSnapshot& machine,
                                    const Resources& capacity) const {
--- a/src/coordination/scheduling/scoring.hpp
+++ b/src/coordination/scheduling/scoring.hpp
@@ -1,5 +1,5 @@
-/// Soft preferences: how well a machine suits a task. Scores are seconds, or count like seconds;
-/// the lower, the better.
+/// Soft preferences: rates how well a machine suits a task. Scores are seconds of delay plus
+/// penalties that are weighted like seconds. Lower scores are better.
 #pragma once
 #include <cstdint>
 
@@ -8,26 +8,30 @@
 
 namespace damsonport::scheduling {
 
-/// Seconds until the job's image would be on the machine.
+/// Time in seconds until the job's image would be completely fetched on the machine; 0 if the image
+/// is cached there.
 [[nodiscard]] double image_delay(const JobSnapshot& job, const MachineSnapshot& machine);
 
-/// Probability that a fetch takes longer than `objective_s`, if its time is off by up to a third
-/// either way. 0 where there is no objective (0), or nothing to fetch.
+/// Probability that a fetch takes longer than `objective_s`, assuming that its actual duration is
+/// uniformly distributed within a third of `fetch_s` in either direction. Returns 0 if there is no
+/// objective (`objective_s` is 0) or nothing to fetch (`fetch_s` is 0).
 [[nodiscard]] double miss_probability(double fetch_s, double objective_s);
 
-/// The bin packing of accelerators is judged by the tasks there are: the most accelerators that one
-/// task asks for, and the CPUs and memory that go with each. Jobs that may use spot machines have
-/// capacity of their own there, and count only where there are no others.
+/// The largest needs among the snapshot's jobs with accelerators. The bin packing of accelerators
+/// is rated by them. Jobs that may use spot machines can use capacity of their own there, so they
+/// count only if no other job needs accelerators.
 struct AcceleratorDemand {
-  double largest_task_gpus = 0;
-  double cpus_per_gpu = 0;
-  double memory_gb_per_gpu = 0;
+  double largest_task_gpus = 0;  ///< most accelerators of one task
+  double cpus_per_gpu = 0;       ///< most CPUs for each accelerator
+  double memory_gb_per_gpu = 0;  ///< most memory for each accelerator
 
   static AcceleratorDemand from_jobs(const SchedulerSnapshot& snapshot);
-  /// How many accelerators can be used, going by the CPUs and memory that are left beside them.
+  /// Number of accelerators of the capacity that can be used, given its CPUs and memory.
   [[nodiscard]] double usable_gpus(const Resources& capacity) const;
 };
 
+/// Rates machines against the current CycleState. The snapshot and the state have to outlive the
+/// scorer.
 class Scorer {
  public:
   Scorer(const SchedulerSnapshot& snapshot, const CycleState& state)
@@ -35,10 +39,11 @@
         state_(state),
         accelerator_demand_(AcceleratorDemand::from_jobs(snapshot)) {}
 
-  /// Of one task on a machine of which `capacity` is free.
+  /// Score of one task on a machine with the free capacity `capacity`.
   [[nodiscard]] double score(JobIndex job, MachineIndex machine, const Resources& capacity) const;
-  /// Of that many tasks of a gang on the machine. A gang starts with its slowest fetch and runs at
-  /// the speed of its slowest machine.
+  /// Score of `tasks` tasks of a gang on the machine. The score of a whole gang is that of its
+  /// worst machine, because the gang waits for its slowest image fetch and runs at the speed of its
+  /// slowest machine.
   [[nodiscard]] double gang_score(JobIndex job, MachineIndex machine, uint32_t tasks) const;
 
  private:
--- a/src/coordination/scheduling/snapshot_builder.cpp
+++ b/src/coordination/scheduling/snapshot_builder.cpp
@@ -38,7 +38,7 @@
                               const std::set<std::string>& unreachable_zones,
                               const std::vector<BootingMachine>& booting) {
   const double now = deps_.loop.now();
-  // Jobs first: the machines' tasks refer to them.
+  // Jobs have to be refreshed first because running tasks refer to their entries.
   refresh_jobs();
   for (auto& id : changed_machines_)
     if (auto it = machines.find(id); it != machines.end()) refresh_machine(it->second);
@@ -57,16 +57,17 @@
 void SnapshotBuilder::refresh_jobs() {
   for (auto& id : held_back_)
     if (Job* job = deps_.cache.job(id)) changed_jobs_.insert(job);
-  held_back_.clear();  // put back where the reason goes on
+  held_back_.clear();  // refresh_job() adds the jobs that are still held back
   std::vector<Job*> changed(changed_jobs_.begin(), changed_jobs_.end());
-  // In an order of its own, so that equal histories are decided equally.
+  // Sorted because entries are assigned in this order: equal histories have to lead to equal
+  // decisions, and the order of the set depends on addresses.
   std::sort(changed.begin(), changed.end(),
             [](const Job* a, const Job* b) { return a->spec.id < b->spec.id; });
   for (Job* job : changed) refresh_job(*job);
   changed_jobs_.clear();
 }
 
-// What doesn't change as long as the job is there.
+// Sets the fields that stay constant during the life of a job.
 void SnapshotBuilder::describe_job(const JobSpec& spec, scheduling::JobSnapshot& entry) {
   entry.id = spec.id;
   for (size_t team = 0; team < snapshot_.teams.size(); ++team)
@@ -76,7 +77,8 @@
   entry.service = spec.kind == JobKind::service;
   entry.gang = spec.gang_size() > 0;
   entry.replica = spec.replicated();
-  // Also zones without a machine that has sent a heartbeat.
+  // Replicas may be placed in any configured zone, also in those from which no machine has sent a
+  // heartbeat yet.
   if (entry.replica)
     for (auto& zone : deps_.settings.zones) snapshot_.zones.id(zone);
   entry.distinct_machines = spec.distinct_machines;
@@ -101,7 +103,7 @@
     return callbacks_.startable_gang_tasks(job, gang_range(job.spec, gang));
   const auto unstarted = static_cast<uint32_t>(job.unstarted());
   if (!deps_.faults.is_job_faulty(job.spec.id)) return unstarted;
-  // One task finds out whether it still fails.
+  // A faulty job runs one task at a time, to find out whether its tasks still fail.
   return job.live == 0 ? std::min(unstarted, 1U) : 0;
 }
 
@@ -121,8 +123,9 @@
       entry.replica_set = indexes.front();
     }
     entry.cancelled = cancelled;
-    // What is left over is hardly ever enough for a whole replica, and its tries are spaced out and
-    // bounded by its class.
+    // Replicas are never treated as faulty: the capacity that is left over for faulty jobs is
+    // hardly ever enough for a whole replica, and the attempts of a replica are already delayed and
+    // limited according to its class.
     entry.faulty = faulty && !spec.replicated();
     entry.unfinished_tasks = static_cast<uint32_t>(spec.tasks - job.done);
     entry.begun = job.live + job.done > 0;
--- a/src/coordination/scheduling/snapshot_builder.hpp
+++ b/src/coordination/scheduling/snapshot_builder.hpp
@@ -1,4 +1,5 @@
-/// Keeps the scheduler's snapshot of jobs and machines up to date.
+/// Builds the scheduler's snapshot from the records and the shard leader's machines, and keeps it
+/// up to date.
 #pragma once
 #include <functional>
 #include <map>
@@ -17,20 +18,22 @@
 
 namespace damsonport {
 
-/// Builds the snapshot that a scheduling cycle decides on. It is kept from cycle to cycle, and only
-/// jobs and machines that were marked as changed are described anew, so that a cycle costs what has
-/// changed and not what there is. What changes with time alone (missed heartbeats, back-off) is
-/// looked at in each refresh().
+/// Owns the snapshot that is the input of scheduling cycles. The snapshot is kept between cycles,
+/// and refresh() updates only the entries of jobs and machines that were marked as changed, so the
+/// cost of a refresh depends on the number of changes and not on the size of the fleet. State that
+/// changes with time alone (missed heartbeats, back-off) is evaluated in every refresh().
 ///
 /// Invariants:
-/// - Every running task of a machine in the snapshot refers to a job that has its entries there:
+/// - Every running task in the snapshot refers to a job that has entries in the snapshot, because
 ///   jobs are refreshed before machines.
-/// - Entries of jobs and machines that are gone stay empty until they are used again, so the
-///   indexes in a decision are valid until the next refresh() or forget_...() only.
+/// - The entries of removed jobs and machines are emptied and reused by later ones, so the indexes
+///   in Decisions are valid only until the next refresh(), forget_job() or forget_machine().
 ///
-/// Not a coroutine's: no call suspends. Used by the shard leader's coroutines on the loop's thread.
+/// Not thread-safe: used by the shard leader's coroutines on the event loop. No member function
+/// suspends.
 class SnapshotBuilder {
  public:
+  /// Other components of the shard leader. They have to outlive the builder.
   struct Dependencies {
     Loop& loop;
     const Settings& settings;
@@ -39,24 +42,25 @@
     const quotas::TeamQuotas& quotas;
     const FaultAttribution& faults;
   };
-  /// What else has to be known of jobs, tasks and machines.
+  /// Queries to the shard leader about jobs, tasks and machines.
   struct Callbacks {
     std::function<bool(const Job&)> is_cancelled;
-    /// After errors, no task of the job is started for a time.
+    /// Whether the job is in its back-off time after errors, in which none of its tasks is started.
     std::function<bool(const std::string& job)> is_backing_off;
-    /// Tasks of the gang that may be started now.
+    /// Number of tasks of the gang that may be started now.
     std::function<uint32_t(const Job&, TaskRange gang)> startable_gang_tasks;
-    /// What a task needs to save its state when it is stopped, in seconds.
+    /// Time that a task of the job needs to save its state when it is stopped, in seconds.
     std::function<double(const JobSpec&)> stop_grace_s;
-    /// Steady time; infinite: not seen running yet; minus infinity: since before this lease.
+    /// Steady time in seconds since which the attempt has been running. Infinite if the attempt was
+    /// not seen running yet; minus infinity if it has been running since before this lease.
     std::function<double(const TaskId&, uint64_t attempt)> running_since;
-    /// The task is being stopped, or its exit waits to be committed.
+    /// Whether the task is being stopped, or has exited and its exit is not committed yet.
     std::function<bool(const PlacedTask&)> is_ending;
     std::function<bool(const Machine&)> is_schedulable;
     std::function<scheduling::Resources(const Machine&)> total_resources;
     std::function<scheduling::Resources(const Machine&)> free_resources;
   };
-  /// A machine that was asked for and has not sent a heartbeat yet.
+  /// A machine that was requested and has not sent a heartbeat yet.
   struct BootingMachine {
     std::string type, zone;
     bool spot = false;
@@ -66,30 +70,32 @@
   SnapshotBuilder(Dependencies dependencies, Callbacks callbacks)
       : deps_(dependencies), callbacks_(std::move(callbacks)) {}
 
-  /// Begins with an empty snapshot. Machines must not have an index in an earlier one.
+  /// Starts with an empty snapshot. No machine may have a `snapshot_index` of an earlier snapshot.
   void begin_lease();
 
   void mark_job_changed(Job& job) { changed_jobs_.insert(&job); }
   void mark_machine_changed(const std::string& machine) { changed_machines_.insert(machine); }
-  /// The job's object is about to go away.
+  /// Removes the job from the snapshot. Has to be called before `job` is destroyed.
   void forget_job(Job& job);
-  /// The machine is about to be forgotten.
+  /// Removes the machine from the snapshot. Has to be called before the machine is destroyed.
   void forget_machine(const Machine& machine);
 
-  /// Describes what has changed. `unreachable_zones`: no machine there takes tasks now.
+  /// Updates the entries that were marked as changed, and all time-dependent state. Machines in
+  /// `unreachable_zones` are not schedulable.
   void refresh(std::map<std::string, Machine>& machines,
                const std::set<std::string>& unreachable_zones,
                const std::vector<BootingMachine>& booting);
 
-  /// Jobs that back off after errors or are faulty wait to be looked at again.
+  /// Whether any job is backing off or faulty. Such jobs are evaluated in every refresh().
   bool has_held_back_jobs() const { return !held_back_.empty(); }
   const scheduling::SchedulerSnapshot& snapshot() const { return snapshot_; }
-  /// The job behind a job index of the snapshot.
+  /// The job of a snapshot entry.
   const Job& job_at(scheduling::JobIndex job) const { return *job_index_.owner(job).job; }
-  /// Decisions by name, which stay valid while their commits are under way.
+  /// Converts decisions from snapshot indexes to ids, which stay valid while the starts are being
+  /// committed.
   DecidedStart resolve_start(scheduling::JobIndex job, scheduling::MachineIndex machine) const;
   DecidedGang resolve_gang(const scheduling::GangPlacement& gang) const;
-  /// Empty: the index is 0 or that of no zone in the settings.
+  /// The name of a zone of the settings. Empty for 0 and for a zone that is not in the settings.
   std::string zone_name(scheduling::NameId zone);
 
  private:
@@ -112,7 +118,7 @@
   std::vector<size_t> free_machine_indexes_;
   std::unordered_set<Job*> changed_jobs_;
   std::unordered_set<std::string> changed_machines_;
-  std::set<std::string> held_back_;  ///< Jobs that back off or are faulty.
+  std::set<std::string> held_back_;  // ids of jobs that back off or are faulty
 };
 
 }  // namespace damsonport
--- a/src/coordination/scheduling/start_edits.cpp
+++ b/src/coordination/scheduling/start_edits.cpp
@@ -26,7 +26,7 @@
 
 namespace {
 
-/// Puts a gang's starts into the chunks of one transaction, task by task.
+/// Adds the starts of a gang's tasks to the chunks of one transaction.
 class GangStartEditor {
  public:
   GangStartEditor(const Job& job, const DecidedGang& gang, size_t committed, uint64_t attempt,
--- a/src/coordination/scheduling/start_edits.hpp
+++ b/src/coordination/scheduling/start_edits.hpp
@@ -1,5 +1,5 @@
-/// Starts between the scheduler's decision and the command to the machine, and their edits of the
-/// task chunks.
+/// Task starts between the scheduler's decision and the command to the machine, and the edits of
+/// task chunks that record them.
 #pragma once
 #include <functional>
 #include <string>
@@ -9,20 +9,21 @@
 
 namespace damsonport {
 
-/// One start. By name, because indexes into the snapshot are reused while starts are committed.
+/// A decided start of one task. Job and machine are given by id, because snapshot indexes may be
+/// reused while the start is being committed.
 struct DecidedStart {
   std::string job;
   std::string machine;
   bool image_cached;
 };
 
-/// The starts of all pending tasks of a gang.
+/// The decided starts of all pending tasks of a gang.
 struct DecidedGang {
   TaskRange tasks;
   std::vector<DecidedStart> starts;
 };
 
-/// A start in the records, whose command is not dispatched yet.
+/// A start that is committed to the records and whose command is not dispatched yet.
 struct CommittedStart {
   TaskId task;
   uint64_t attempt;
@@ -30,21 +31,23 @@
   bool image_cached;
 };
 
-/// The next task of a job to be started, in a chunk among the edits.
+/// The next task of a job to be started, and its chunk in the edits.
 struct StartableTask {
-  TaskChunk* record = nullptr;  ///< null: there is none; valid until the edits are finished
+  TaskChunk* record = nullptr;  ///< valid until ChunkEdits::finish(); null: none found
   uint32_t chunk = 0;
-  uint32_t index = 0;  ///< within the chunk
+  uint32_t index = 0;  ///< index within the chunk
   uint64_t attempt = 0;
-  bool full = false;  ///< there may be one, but the transaction has no room for another chunk
+  /// The search stopped because the transaction has no space for another chunk.
+  bool full = false;
 };
 
-/// `must_wait`: whether the chunk may not be written now.
+/// Finds the next task of the job to be started. Chunks for which `must_wait` returns true are
+/// skipped.
 [[nodiscard]] StartableTask find_startable_task(
     const Job& job, ChunkEdits& edits, const std::function<bool(const TaskChunk&)>& must_wait);
 
-/// Edits the chunks for the gang's starts after the first `committed`, as many as the transaction
-/// has room for. Returns those.
+/// Edits the chunks for the gang's starts, without the first `committed` ones, until the
+/// transaction is full. Returns the starts that were added to the edits.
 [[nodiscard]] std::vector<CommittedStart> edit_gang_starts(const Job& job, const DecidedGang& gang,
                                                            size_t committed, uint64_t attempt,
                                                            ChunkEdits& edits);
--- a/src/coordination/scheduling/task_placement.cpp
+++ b/src/coordination/scheduling/task_placement.cpp
@@ -7,22 +7,26 @@
 
 namespace {
 
-// A start that misses its objective with a lower probability than this isn't worth a preemption.
+// Tasks are preempted for a start-up objective only if the probability of missing the objective is
+// higher than this.
 constexpr double max_miss_probability = 0.25;
 
-// Whether an urgent start should not wait for a fetch of its image.
+// Whether capacity on a machine with the cached image should be freed for the job, so that its
+// start doesn't have to wait for an image fetch.
 bool prefers_cached_image(const JobSnapshot& job) {
   return job.priority >= urgent_priority && job.start_within_s > 0 && !job.faulty;
 }
 
 }  // namespace
 
+/// A machine with free capacity for a task of the job.
 struct TaskPlacer::Candidate {
   double score;
   MachineIndex machine;
 };
 
-/// Machines with free capacity for a task: the best score on top, among equals the first machine.
+/// Candidates ordered by score, the best on top. Among equal scores the lower machine index comes
+/// first.
 class TaskPlacer::CandidateHeap {
  public:
   explicit CandidateHeap(std::vector<Candidate> candidates) : candidates_(std::move(candidates)) {
@@ -103,7 +107,7 @@
   std::vector<Resources>& free = context_.state.ledger.free;
   CandidateHeap heap = score_candidates(job);
   Progress progress;
-  bool prefer_cached_image = prefers_cached_image(pending);  // until no such capacity is found
+  bool prefer_cached_image = prefers_cached_image(pending);  // until none can be freed
   while (progress.started < pending.pending_tasks && !heap.empty() &&
          context_.feasibility.quota_allows(job, 1)) {
     const MachineSnapshot& best = context_.snapshot.machines[heap.top().machine];
--- a/src/coordination/scheduling/task_placement.hpp
+++ b/src/coordination/scheduling/task_placement.hpp
@@ -1,4 +1,4 @@
-/// Placement of jobs whose tasks start independently of each other.
+/// Placement of jobs that are not gangs: their tasks start independently of each other.
 #pragma once
 #include <cstdint>
 
@@ -8,13 +8,14 @@
 
 namespace damsonport::scheduling {
 
+/// Used for one scheduling cycle.
 class TaskPlacer {
  public:
   TaskPlacer(const CycleContext& context, PendingCapacity& pending_capacity)
       : context_(context), pending_capacity_(pending_capacity), classes_(context.snapshot) {}
 
-  /// Starts as many pending tasks of the job as there is capacity for, promises pending capacity to
-  /// the others, and reports those for which there is none.
+  /// Starts as many pending tasks of the job as fit into free capacity, reserves pending capacity
+  /// for the others, and reports the tasks that don't start in this cycle.
   void place(JobIndex job);
 
  private:
@@ -22,10 +23,10 @@
   class CandidateHeap;
   struct Progress {
     uint32_t started = 0;
-    uint32_t reserved = 0;  // capacity beside their image is being freed for them
+    uint32_t reserved = 0;  // part of `started`: capacity with the image is reserved
   };
-  /// Machines are scored once for the whole job: a start changes the score of its own machine only,
-  /// and the zone constraints may rule out others.
+  /// Scores the machines once for the whole job. A start changes only the score of its own machine;
+  /// zone constraints, which it may change for other machines, are checked again before each start.
   Progress place_on_free_capacity(JobIndex job);
   [[nodiscard]] CandidateHeap score_candidates(JobIndex job);
   bool reserve_with_cached_image(JobIndex job, const Candidate& best);
--- a/src/coordination/scheduling/task_state_provider.hpp
+++ b/src/coordination/scheduling/task_state_provider.hpp
@@ -1,5 +1,5 @@
-/// What a shard leader knows of the tasks that the records place on machines, for the parts of it
-/// that judge several tasks together.
+/// Interface through which GangTracker and ReplicaManager query the shard leader's state of placed
+/// tasks and machines.
 #pragma once
 #include <string>
 
@@ -8,6 +8,7 @@
 
 namespace damsonport {
 
+/// Implemented by the shard leader.
 class TaskStateProvider {
  public:
   TaskStateProvider() = default;
@@ -15,11 +16,12 @@
   TaskStateProvider& operator=(const TaskStateProvider&) = delete;
   virtual ~TaskStateProvider() = default;
 
-  /// Whether this attempt was told to stop, or is about to be.
+  /// Whether this attempt was told to stop, or a stop command for it is about to be sent.
   [[nodiscard]] virtual bool is_stopping(const PlacedTask& task) const = 0;
-  /// Whether this attempt is proven gone and only the records don't say so yet.
+  /// Whether this attempt is known to have ended, but its exit is not committed to the records yet.
   [[nodiscard]] virtual bool has_ended(const PlacedTask& task) const = 0;
-  /// Null: not a machine of this leader. Valid until the machine is forgotten.
+  /// Returns null if this shard leader has no such machine. The pointer is valid until the machine
+  /// is forgotten.
   [[nodiscard]] virtual const Machine* find_machine(const std::string& id) const = 0;
 };
 
