--- a/tests/scheduling/gang_tracker_test.cpp
+++ b/tests/scheduling/gang_tracker_test.cpp
@@ -8,7 +8,7 @@
 namespace damsonport {
 namespace {
 
-class KnownMachines : public TaskStateProvider {
+class FakeTaskStates : public TaskStateProvider {
  public:
   bool is_stopping(const PlacedTask&) const override { return false; }
   bool has_ended(const PlacedTask&) const override { return false; }
@@ -23,7 +23,7 @@
   simulation::World world{1};
   simulation::VirtualLoop loop{world, "n0", std::seed_seq{1}, 1, 0};
   Settings settings;
-  KnownMachines task_states;
+  FakeTaskStates task_states;
   GangTracker tracker{loop, settings, task_states};
   Job job;
   const TaskRange replica{0, 2};
@@ -39,12 +39,12 @@
   }
   TaskChunk& record() { return job.chunks[0].record; }
   // By this leader, or by an earlier one.
-  void start_both(uint64_t attempt, bool begun_here) {
-    if (begun_here) tracker.note_attempt_started(job, replica, attempt);
+  void start_both_parts(uint64_t attempt, bool by_this_leader) {
+    if (by_this_leader) tracker.note_attempt_started(job, replica, attempt);
     record().start(0, attempt, "i-1");
     record().start(1, attempt, "i-2");
   }
-  void lose_one(ExitCause cause = ExitCause::stopped) {
+  void end_second_part(ExitCause cause = ExitCause::stopped) {
     tracker.note_exit(job, replica, record().live.back().attempt, cause, false);
     record().end(1, TaskEnd::restart);
   }
@@ -52,9 +52,9 @@
 
 TEST(GangTracker, PartLostBeforeReadinessIsReplacedInTheAttempt) {
   Fixture f;
-  f.start_both(1, true);
+  f.start_both_parts(1, true);
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::none);
-  f.lose_one();
+  f.end_second_part();
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::replace_missing);
   EXPECT_EQ(f.tracker.count_startable(f.job, f.replica), 1u);
   f.task_states.machines["i-1"].agent_epoch = 0;
@@ -64,9 +64,9 @@
 
 TEST(GangTracker, PartLostAfterReadinessAbandonsTheAttempt) {
   Fixture f;
-  f.start_both(1, true);
+  f.start_both_parts(1, true);
   f.tracker.note_running(f.job, f.replica, 1);
-  f.lose_one();
+  f.end_second_part();
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::abandon);
   f.record().end(0, TaskEnd::restart);
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::start);
@@ -75,15 +75,15 @@
 
 TEST(GangTracker, AttemptOfAnEarlierLeaderCountsAsReady) {
   Fixture f;
-  f.start_both(3, false);
+  f.start_both_parts(3, false);
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::none);
   f.tracker.note_task_missing(f.job, f.replica, 3);
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::abandon);
 }
 
-TEST(GangTracker, PartMissingBeforeReadinessIsAwaited) {
+TEST(GangTracker, PartMissingBeforeReadinessKeepsTheAttempt) {
   Fixture f;
-  f.start_both(1, true);
+  f.start_both_parts(1, true);
   f.tracker.note_task_missing(f.job, f.replica, 1);
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::none);
 }
@@ -99,11 +99,11 @@
 
 TEST(GangTracker, SecondFailureAbandonsTheAttempt) {
   Fixture f;
-  f.start_both(1, true);
-  f.lose_one(ExitCause::error);
+  f.start_both_parts(1, true);
+  f.end_second_part(ExitCause::error);
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::replace_missing);
   f.record().start(1, 1, "i-3");
-  f.lose_one(ExitCause::error);
+  f.end_second_part(ExitCause::error);
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::abandon);
 }
 
--- a/tests/scheduling/gangs_test.cpp
+++ b/tests/scheduling/gangs_test.cpp
@@ -16,7 +16,7 @@
   return gang;
 }
 
-TEST(GangAction, StartsWhenNoTaskIsLeft) {
+TEST(GangAction, StartsWhenNoTaskIsLive) {
   EXPECT_EQ(gang_action(status_of(0), replacement_timeout_s), GangAction::start);
   EXPECT_EQ(gang_action(status_of(4), replacement_timeout_s), GangAction::none);
   EXPECT_EQ(gang_action(status_of(0, 4), replacement_timeout_s), GangAction::none);
--- a/tests/scheduling/scheduler_parts_test.cpp
+++ b/tests/scheduling/scheduler_parts_test.cpp
@@ -50,20 +50,20 @@
 const MachineIndex m0{0};
 const MachineIndex m1{1};
 
-TEST(Resources, RoundingErrorsDoNotPreventAFit) {
+TEST(Resources, RoundingErrorsAreToleratedInFits) {
   const Resources sum = Resources{0.1, 0, 0} + Resources{0.2, 0, 0};
   EXPECT_TRUE(sum.fits({0.3, 0, 0}));
   EXPECT_FALSE(sum.fits({0.29, 0, 0}));
   EXPECT_FALSE((Resources{1, 1, 0}).fits({1, 0, 0}));
 }
 
-TEST(Resources, CountIsBoundByTheScarcestResource) {
+TEST(Resources, CountIsLimitedByTheScarcestResource) {
   EXPECT_EQ(count_fitting({2, 1, 4}, {8, 3, 64}), 3u);
   EXPECT_EQ(count_fitting({0.1, 0, 0}, {0.3, 0, 0}), 3u);
   EXPECT_EQ(count_fitting({2, 0, 0}, {-2, 0, 0}), 0u);
 }
 
-TEST(QueueOrder, PriorityThenGuaranteeThenAge) {
+TEST(QueueOrder, SortsByPriorityThenGuaranteeThenAge) {
   Fleet fleet;
   fleet.snapshot.teams.push_back({"guaranteed", {4, 0, 0}, {}});
   fleet.add_job("old").accepted_at = 1;
@@ -80,7 +80,7 @@
   EXPECT_EQ(order, (std::vector<std::string>{"urgent", "guaranteed", "old", "young"}));
 }
 
-TEST(QueueOrder, GuaranteeIsUsedUpInOrderOfAcceptance) {
+TEST(QueueOrder, GuaranteeIsAllottedInOrderOfAcceptance) {
   Fleet fleet;
   fleet.snapshot.teams[0].guaranteed = {3, 0, 0};
   fleet.add_job("young").accepted_at = 2;
@@ -186,14 +186,14 @@
   EXPECT_EQ(state.ledger.freeing[m0].cpus, 3.5);
 }
 
-TEST(Scoring, MissProbabilityRisesWithTheFetch) {
+TEST(Scoring, MissProbabilityRisesWithFetchTime) {
   EXPECT_EQ(miss_probability(5, 10), 0);
   EXPECT_DOUBLE_EQ(miss_probability(10, 10), 0.5);
   EXPECT_EQ(miss_probability(20, 10), 1);
   EXPECT_EQ(miss_probability(20, 0), 0) << "without an objective nothing is missed";
 }
 
-TEST(Scoring, CachedImageBeatsAFetch) {
+TEST(Scoring, CachedImageScoresBetterThanAFetch) {
   Fleet fleet;
   JobSnapshot& job = fleet.add_job("job");
   job.image = fleet.snapshot.images.id("image");
@@ -206,7 +206,7 @@
   EXPECT_EQ(scorer.score(first_job, m0, free) - scorer.score(first_job, m1, free), 10);
 }
 
-TEST(EquivalenceClass, ALargerNeedUnderTheSameConstraintsIsKnown) {
+TEST(EquivalenceClass, LargerNeedWithSameConstraintsIsKnownUnschedulable) {
   Fleet fleet;
   fleet.add_job("small");
   fleet.add_job("large").need = {4, 0, 4};
@@ -217,7 +217,7 @@
   EXPECT_FALSE(classes.is_known_unschedulable(fleet.snapshot.jobs[second_job]));
 }
 
-TEST(EquivalenceClass, ASpreadJobSpeaksForItselfOnly) {
+TEST(EquivalenceClass, SpreadJobDoesNotRepresentAClass) {
   Fleet fleet;
   fleet.add_job("job").spread = true;
   UnschedulableClasses classes(fleet.snapshot);
--- a/tests/scheduling/snapshot_builder_test.cpp
+++ b/tests/scheduling/snapshot_builder_test.cpp
@@ -137,7 +137,7 @@
   EXPECT_EQ(job_entry("run-1").pending_tasks, 3u);
 }
 
-TEST_F(SnapshotBuilderTest, OnlyWhatIsMarkedIsDescribedAnew) {
+TEST_F(SnapshotBuilderTest, OnlyMarkedEntriesAreUpdated) {
   Machine& machine = add_machine("i-1");
   refresh();
   machine.spot = true;
@@ -148,7 +148,7 @@
   EXPECT_TRUE(machine_entry("i-1").spot);
 }
 
-TEST_F(SnapshotBuilderTest, WhetherAMachineTakesTasksIsLookedAtInEachRefresh) {
+TEST_F(SnapshotBuilderTest, EachRefreshEvaluatesWhetherMachinesAreSchedulable) {
   add_machine("i-1");
   refresh();
   EXPECT_TRUE(machine_entry("i-1").schedulable);
@@ -161,7 +161,7 @@
   EXPECT_FALSE(machine_entry("i-1").schedulable);
 }
 
-TEST_F(SnapshotBuilderTest, AJobThatBacksOffIsLookedAtAgainUntilItStarts) {
+TEST_F(SnapshotBuilderTest, EachRefreshEvaluatesJobsThatBackOff) {
   add_job("run-1");
   backing_off_ = "run-1";
   refresh();
@@ -173,7 +173,7 @@
   EXPECT_FALSE(builder_.has_held_back_jobs());
 }
 
-TEST_F(SnapshotBuilderTest, AFaultyJobIsTriedByOneTaskAtATime) {
+TEST_F(SnapshotBuilderTest, FaultyJobRunsOneTaskAtATime) {
   add_job("run-1");
   for (auto* machine : {"i-7", "i-8", "i-9"}) faults_.failed("run-1", machine, 1);
   ASSERT_TRUE(faults_.is_job_faulty("run-1"));
@@ -185,7 +185,7 @@
   EXPECT_EQ(job_entry("run-1").pending_tasks, 0u);
 }
 
-TEST_F(SnapshotBuilderTest, NoTaskOfACancelledJobWaits) {
+TEST_F(SnapshotBuilderTest, CancelledJobHasNoPendingTasks) {
   add_job("run-1");
   cancelled_ = "run-1";
   refresh();
@@ -193,7 +193,7 @@
   EXPECT_EQ(job_entry("run-1").pending_tasks, 0u);
 }
 
-TEST_F(SnapshotBuilderTest, IndicesOfWhatIsGoneAreUsedAgain) {
+TEST_F(SnapshotBuilderTest, EntriesOfRemovedJobsAndMachinesAreReused) {
   Job& job = add_job("run-1");
   add_machine("i-1");
   refresh();
@@ -213,7 +213,7 @@
             "i-2");
 }
 
-TEST_F(SnapshotBuilderTest, ExpectedMachinesAreThoseOfTheLastRefresh) {
+TEST_F(SnapshotBuilderTest, EachRefreshReplacesTheBootingMachines) {
   booting_ = {{"g", "b", true, {4, 1, 16}}};
   refresh();
   ASSERT_EQ(builder_.snapshot().booting.size(), 1u);
@@ -225,7 +225,7 @@
   EXPECT_TRUE(builder_.snapshot().booting.empty());
 }
 
-TEST_F(SnapshotBuilderTest, ANewLeaseBeginsEmpty) {
+TEST_F(SnapshotBuilderTest, NewLeaseStartsWithAnEmptySnapshot) {
   add_job("run-1");
   add_machine("i-1");
   refresh();
