--- a/tests/scheduling/gang_tracker_test.cpp
+++ b/tests/scheduling/gang_tracker_test.cpp
@@ -1,4 +1,5 @@
-// What a leader concludes about attempts that it started, and about those it found.
+// Tests of GangTracker: the next action for attempts that this leader started, and for attempts
+// that an earlier leader started.
 #include "coordination/scheduling/gang_tracker.hpp"
 
 #include <gtest/gtest.h>
@@ -8,6 +9,7 @@
 namespace damsonport {
 namespace {
 
+/// Provides fixed machines; no task is stopping or has ended.
 class FakeTaskStates : public TaskStateProvider {
  public:
   bool is_stopping(const PlacedTask&) const override { return false; }
@@ -19,6 +21,7 @@
   std::map<std::string, Machine> machines;
 };
 
+/// A service with one replica of two parts.
 struct Fixture {
   simulation::World world{1};
   simulation::VirtualLoop loop{world, "n0", std::seed_seq{1}, 1, 0};
@@ -38,12 +41,13 @@
     for (const char* id : {"i-1", "i-2", "i-3"}) task_states.machines[id].agent_epoch = 1;
   }
   TaskChunk& record() { return job.chunks[0].record; }
-  // By this leader, or by an earlier one.
+  // `by_this_leader`: false if an earlier leader started the attempt.
   void start_both_parts(uint64_t attempt, bool by_this_leader) {
     if (by_this_leader) tracker.note_attempt_started(job, replica, attempt);
     record().start(0, attempt, "i-1");
     record().start(1, attempt, "i-2");
   }
+  // The exit of the second part, which has to be started again.
   void end_second_part(ExitCause cause = ExitCause::stopped) {
     tracker.note_exit(job, replica, record().live.back().attempt, cause, false);
     record().end(1, TaskEnd::restart);
@@ -59,7 +63,7 @@
   EXPECT_EQ(f.tracker.count_startable(f.job, f.replica), 1u);
   f.task_states.machines["i-1"].agent_epoch = 0;
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::none)
-      << "it has not sent a heartbeat yet";
+      << "a machine of the gang has not sent a heartbeat yet";
 }
 
 TEST(GangTracker, PartLostAfterReadinessAbandonsTheAttempt) {
@@ -88,7 +92,7 @@
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::none);
 }
 
-// As an older version leaves them, which starts tasks one by one.
+// An older version starts tasks one by one and can leave parts with different attempt numbers.
 TEST(GangTracker, PartsOfTwoAttemptsAreAbandoned) {
   Fixture f;
   f.record().start(0, 1, "i-1");
--- a/tests/scheduling/gangs_test.cpp
+++ b/tests/scheduling/gangs_test.cpp
@@ -1,4 +1,5 @@
-// Which action a gang needs by its status, and the numbers of its attempts.
+// Tests of gangs.hpp: the action for a gang depending on its status, and the attempt numbers of
+// gangs.
 #include "coordination/scheduling/gangs.hpp"
 
 #include <gtest/gtest.h>
@@ -20,7 +21,8 @@
   EXPECT_EQ(gang_action(status_of(0), replacement_timeout_s), GangAction::start);
   EXPECT_EQ(gang_action(status_of(4), replacement_timeout_s), GangAction::none);
   EXPECT_EQ(gang_action(status_of(0, 4), replacement_timeout_s), GangAction::none);
-  // What is left of a finished gang only has to report it.
+  // Without a live task, the missing task of a gang is started even if the others are done. While a
+  // task is live, the gang is done and the live task is about to report it.
   EXPECT_EQ(gang_action(status_of(0, 3), replacement_timeout_s), GangAction::start);
   EXPECT_EQ(gang_action(status_of(1, 2), replacement_timeout_s), GangAction::none);
 }
@@ -58,7 +60,7 @@
   auto& first = gang.chunks[0].record;
   first.start(0, 1, "i-1");
   first.start(1, 1, "i-2");
-  // Halfway through a start, or with a task missing: the others join the attempt.
+  // After a partial start, or with a task missing, the other tasks start under the same attempt.
   EXPECT_EQ(live_attempt(gang, gang_range(gang.spec, 0)), 1u);
   EXPECT_EQ(next_attempt(gang, gang_range(gang.spec, 0)), 1u);
   first.end(0, TaskEnd::restart);
@@ -66,7 +68,8 @@
   first.end(1, TaskEnd::restart);
   EXPECT_EQ(live_attempt(gang, gang_range(gang.spec, 0)), 0u);
   EXPECT_EQ(next_attempt(gang, gang_range(gang.spec, 0)), 2u);
-  // Attempts that an older version counted task by task.
+  // An older version counted attempts per task: the next attempt exceeds the highest one of any
+  // task.
   gang.chunks[1].record.start(0, 7, "i-1");
   gang.chunks[1].record.end(0, TaskEnd::restart);
   EXPECT_EQ(next_attempt(gang, gang_range(gang.spec, 0)), 8u);
--- a/tests/scheduling/scheduler_parts_test.cpp
+++ b/tests/scheduling/scheduler_parts_test.cpp
@@ -1,4 +1,5 @@
-// The parts of the scheduler, each by itself: resources, queue order, hard constraints, scores.
+// Unit tests of the scheduler's components: resources, queue order, hard constraints, cycle state,
+// scores and equivalence classes.
 #include <gtest/gtest.h>
 
 #include "coordination/scheduling/cycle_state.hpp"
@@ -11,7 +12,7 @@
 namespace damsonport::scheduling {
 namespace {
 
-/// One team, and machines m0 in zone a and m1 in zone b, both of 8 CPUs.
+/// A snapshot with one team and two machines of 8 CPUs each: m0 in zone a and m1 in zone b.
 struct Fleet {
   SchedulerSnapshot snapshot;
 
@@ -190,7 +191,7 @@
   EXPECT_EQ(miss_probability(5, 10), 0);
   EXPECT_DOUBLE_EQ(miss_probability(10, 10), 0.5);
   EXPECT_EQ(miss_probability(20, 10), 1);
-  EXPECT_EQ(miss_probability(20, 0), 0) << "without an objective nothing is missed";
+  EXPECT_EQ(miss_probability(20, 0), 0) << "a job without an objective can't miss it";
 }
 
 TEST(Scoring, CachedImageScoresBetterThanAFetch) {
--- a/tests/scheduling/scheduling_cost_test.cpp
+++ b/tests/scheduling/scheduling_cost_test.cpp
@@ -1,5 +1,6 @@
-// Bounds the work of one scheduling cycle and of one autoscaling plan by the number of examined
-// machines, on a fleet half as large again as the largest deployment.
+// Guards against scheduling cycles and autoscaling plans whose cost grows with jobs or tasks times
+// machines. The cost is measured in examined machines. The scheduling cycles run on a fleet of 1.5
+// times the size of the largest deployment.
 #include <gtest/gtest.h>
 
 #include "coordination/autoscaling/autoscaler.hpp"
@@ -10,7 +11,7 @@
 
 constexpr size_t machines = 1800, jobs = 2500;
 
-// Every machine is full of replicas that nothing may preempt.
+// All machines are full of replicas that no other job may preempt.
 SchedulerSnapshot full_fleet() {
   SchedulerSnapshot snapshot;
   snapshot.teams.push_back({"t", {}, {}});
@@ -52,7 +53,8 @@
   }
 }
 
-// What the first of a class has shown is not looked for again by the others.
+// The search for free capacity for the first job of an equivalence class also covers the other
+// jobs.
 TEST(SchedulingCost, EquivalentUnschedulableJobsExamineTheFleetOnce) {
   auto in = full_fleet();
   add_pending_jobs(in, jobs, 60);
@@ -60,11 +62,11 @@
   EXPECT_TRUE(out.placements.empty());
   EXPECT_TRUE(out.preemptions.empty());
   ASSERT_EQ(out.unschedulable.size(), jobs);
-  // The first of them looked at every machine.
+  // Only the search for the first job examines the machines.
   EXPECT_LE(out.machines_examined, machines);
 }
 
-// A search for tasks to preempt that found none holds for the whole class, too.
+// A search for victims that finds none also covers the whole equivalence class.
 TEST(SchedulingCost, EquivalentJobsWithoutVictimsExamineTheFleetThreeTimes) {
   auto in = full_fleet();
   in.jobs[0].priority = 0;
@@ -72,11 +74,12 @@
   for (size_t i = 1; i < in.jobs.size(); ++i) in.jobs[i].need = {60, 8, 513};
   auto out = schedule(in);
   EXPECT_TRUE(out.preemptions.empty());
-  // For free capacity, then for preemption without and with urgent services.
+  // Three searches: for free capacity, for preemption except of urgent services, and for preemption
+  // of any task.
   EXPECT_LE(out.machines_examined, 3 * machines);
 }
 
-// Machines are examined once a job, whatever number of its tasks starts.
+// The machines are examined once per job, regardless of the number of tasks that start.
 TEST(SchedulingCost, JobExaminesTheFleetOnceForAllItsTasks) {
   auto in = full_fleet();
   for (auto& machine : in.machines) {
@@ -89,7 +92,7 @@
   EXPECT_LE(out.machines_examined, machines * 40 + out.placements.size());
 }
 
-// A smaller task may still fit where a larger one did not.
+// A smaller task may fit where a larger one did not, so it has to be examined again.
 TEST(SchedulingCost, SmallerJobIsNotInTheClassOfALargerOne) {
   auto in = full_fleet();
   in.machines[7].free = {4, 1, 12};
@@ -101,8 +104,8 @@
   EXPECT_EQ(out.placements[0].machine, 7u);
 }
 
-// What the cloud is asked for is worked out for the like at once: an array of as many tasks as a
-// job may have, in a fleet of the largest size, of whose machines a quarter may be rented anew.
+// Scale-out is planned for all equal tasks at once. The test uses jobs with the maximum number of
+// tasks and a fleet of the maximum size, which may grow by a quarter in one plan.
 TEST(AutoscalingCost, ScaleOutGrowsWithMachinesNotWithTasksTimesMachines) {
   constexpr size_t fleet = 6000, tasks = 100000, kinds = 8;
   autoscaling::AutoscalerInput in;
@@ -125,11 +128,11 @@
   int rented = 0;
   for (auto& r : plan.scale_out) rented += r.count;
   EXPECT_EQ(rented, static_cast<int>(fleet / 4));
-  // Each of the rented is looked at for each demand, and each machine of the fleet once.
+  // Every new machine is examined once per demand, and every machine of the fleet once.
   EXPECT_LT(plan.examined, fleet * 3);
 }
 
-// Many small jobs that may use spot machines, in a large fleet: full rooms are looked at once.
+// Many small jobs that may use spot machines, in a large fleet: each full machine is examined once.
 TEST(AutoscalingCost, SpotWorkGrowsWithMachinesNotWithJobsTimesMachines) {
   constexpr size_t fleet = 6000, spot_jobs = 2500;
   autoscaling::AutoscalerInput in;
--- a/tests/scheduling/snapshot_builder_test.cpp
+++ b/tests/scheduling/snapshot_builder_test.cpp
@@ -1,5 +1,5 @@
-/// What the scheduler's snapshot says of jobs and machines after changes, and how indices are used
-/// again.
+// Tests of SnapshotBuilder: the snapshot entries of jobs and machines after changes, and the reuse
+// of entries.
 #include "coordination/scheduling/snapshot_builder.hpp"
 
 #include <gtest/gtest.h>
@@ -40,7 +40,8 @@
     spec.image_gb = 1;
     spec.zone = "b";
     cache_.apply({keys::job(id), encode_job_record(spec, tasks_per_chunk), ++revision_, 0});
-    if (!cache_.job(id)) throw std::logic_error("the cache did not take the record of " + id);
+    if (!cache_.job(id))
+      throw std::logic_error("the record cache has no job " + id + " after its record was applied");
     Job& job = *cache_.job(id);
     builder_.mark_job_changed(job);
     return job;
@@ -167,7 +168,7 @@
   refresh();
   EXPECT_EQ(job_entry("run-1").pending_tasks, 0u);
   EXPECT_TRUE(builder_.has_held_back_jobs());
-  backing_off_.clear();  // without a mark
+  backing_off_.clear();  // without a call of mark_job_changed()
   refresh();
   EXPECT_EQ(job_entry("run-1").pending_tasks, 4u);
   EXPECT_FALSE(builder_.has_held_back_jobs());
