--- a/src/coordination/scheduling/cycle_state.cpp
+++ b/src/coordination/scheduling/cycle_state.cpp
@@ -10,7 +10,7 @@
 CycleState::CycleState(const SchedulerSnapshot& snapshot, const QueueOrder& queue)
     : snapshot_(snapshot),
       queue_(queue),
-      least_urgency_(snapshot.machines.size(), std::numeric_limits<int>::max()),
+      lowest_urgency_(snapshot.machines.size(), std::numeric_limits<int>::max()),
       placement_count_index_(snapshot.jobs.size()) {
   const size_t machines = snapshot.machines.size();
   ledger.free.reserve(machines);
@@ -63,7 +63,7 @@
     if (is_stopping(task)) {
       ledger.freeing[index] += job.need;
     } else {
-      least_urgency_[index] = std::min(least_urgency_[index], queue_.urgency(task.job));
+      lowest_urgency_[index] = std::min(lowest_urgency_[index], queue_.urgency(task.job));
     }
     if (job.gang) gang_tasks_[task.job].push_back({index, i});
     if (!placement_count_index_[task.job]) continue;
@@ -125,14 +125,14 @@
 }
 
 void CycleState::add_task(JobIndex job, MachineIndex machine) {
-  const JobSnapshot& snapshot = snapshot_.jobs[job];
+  const JobSnapshot& job_snapshot = snapshot_.jobs[job];
   const NameId zone = snapshot_.machines[machine].zone;
-  ledger.team_usage[*snapshot.team] += snapshot.need;
+  ledger.team_usage[*job_snapshot.team] += job_snapshot.need;
   PlacementCount& count = mutable_placement_count(job);
   ++count.in_zone[zone];
   count.machines.push_back(machine);
   ++ledger.tasks_on[machine];
-  if (!snapshot.replica) return;
+  if (!job_snapshot.replica) return;
   ledger.part_on[machine] = 1;
   if (parts_in_one_zone_) ledger.parts_zone = zone;
 }
--- a/src/coordination/scheduling/cycle_state.hpp
+++ b/src/coordination/scheduling/cycle_state.hpp
@@ -90,7 +90,9 @@
   }
   /// The lowest urgency of the tasks on the machine that are not being stopped; the maximum of int
   /// if there are none.
-  [[nodiscard]] int least_urgency_on(MachineIndex machine) const { return least_urgency_[machine]; }
+  [[nodiscard]] int lowest_urgency_on(MachineIndex machine) const {
+    return lowest_urgency_[machine];
+  }
   /// Time in seconds until all tasks that are being stopped on the machine have saved their state.
   [[nodiscard]] double time_to_save_s(MachineIndex machine) const;
 
@@ -121,7 +123,7 @@
 
   const SchedulerSnapshot& snapshot_;
   const QueueOrder& queue_;
-  std::vector<int> least_urgency_;                            // by machine
+  std::vector<int> lowest_urgency_;                           // by machine
   std::vector<std::optional<size_t>> placement_count_index_;  // by job: into placement_counts_
   std::vector<PlacementCount> placement_counts_;
   std::unordered_map<size_t, std::vector<GangTask>> gang_tasks_;  // by job
--- a/src/coordination/scheduling/gang_placement.cpp
+++ b/src/coordination/scheduling/gang_placement.cpp
@@ -58,8 +58,9 @@
   for (const NameId zone : zones) {
     Plan plan = plan_in_zone(gang, zone, filter);
     const size_t tasks = plan.machines.size();
-    const size_t most = best.machines.size();
-    if (tasks > most || (tasks == most && plan.score < best.score)) best = std::move(plan);
+    const size_t best_tasks = best.machines.size();
+    if (tasks > best_tasks || (tasks == best_tasks && plan.score < best.score))
+      best = std::move(plan);
   }
   return best;
 }
@@ -67,7 +68,7 @@
 std::vector<GangPlacer::Candidate> GangPlacer::find_candidates(JobIndex gang, NameId zone,
                                                                ImageFilter filter) const {
   const JobSnapshot& job = context_.snapshot.jobs[gang];
-  const uint32_t most = job.distinct_machines ? 1 : job.pending_tasks;
+  const uint32_t max_tasks = job.distinct_machines ? 1 : job.pending_tasks;
   std::vector<Candidate> candidates;
   for (MachineIndex index; index < context_.snapshot.machines.size(); ++index) {
     const MachineSnapshot& machine = context_.snapshot.machines[index];
@@ -76,7 +77,7 @@
     if (!context_.feasibility.is_feasible(gang, index)) continue;
     if (zone != any_zone && machine.zone != zone) continue;
     if (filter == ImageFilter::cached_only && !has_image(machine, job.image)) continue;
-    const uint32_t capacity = std::min(count_fitting(job.need, free), most);
+    const uint32_t capacity = std::min(count_fitting(job.need, free), max_tasks);
     if (capacity == 0) continue;
     candidates.push_back({context_.scorer.gang_score(gang, index, capacity), index, capacity});
   }
@@ -90,11 +91,12 @@
   Plan plan;
   std::vector<uint32_t> planned(context_.snapshot.zones.size());  // tasks, by zone
   for (const Candidate& candidate : find_candidates(gang, zone, filter)) {
-    const NameId at = context_.snapshot.machines[candidate.machine].zone;
-    const uint32_t allowance = context_.feasibility.zone_allowance(gang, at) - planned[at];
+    const NameId candidate_zone = context_.snapshot.machines[candidate.machine].zone;
+    const uint32_t allowance =
+        context_.feasibility.zone_allowance(gang, candidate_zone) - planned[candidate_zone];
     const uint32_t tasks = std::min({candidate.capacity, count_unplaced(gang, plan), allowance});
     if (tasks == 0) continue;
-    planned[at] += tasks;
+    planned[candidate_zone] += tasks;
     plan.machines.insert(plan.machines.end(), tasks, candidate.machine);
     plan.score = std::max(plan.score, candidate.score);
     if (is_complete(gang, plan)) break;
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -173,7 +173,7 @@
 std::optional<Preemptor::Plan> Preemptor::find_cheapest(JobIndex job, PreemptionScope scope) {
   std::optional<Plan> best;
   for (MachineIndex machine; machine < context_.snapshot.machines.size(); ++machine) {
-    if (context_.state.least_urgency_on(machine) >= context_.queue.urgency(job)) continue;
+    if (context_.state.lowest_urgency_on(machine) >= context_.queue.urgency(job)) continue;
     ++context_.decisions.machines_examined;
     if (!context_.feasibility.is_feasible(job, machine)) continue;
     std::optional<Plan> plan = plan_on(job, machine, scope);
@@ -260,7 +260,7 @@
   std::optional<Plan> best;
   double best_cost = score;
   for (MachineIndex machine; machine < context_.snapshot.machines.size(); ++machine) {
-    if (context_.state.least_urgency_on(machine) >= context_.queue.urgency(job)) continue;
+    if (context_.state.lowest_urgency_on(machine) >= context_.queue.urgency(job)) continue;
     if (!has_image(context_.snapshot.machines[machine], starting.image)) continue;
     ++context_.decisions.machines_examined;
     if (!context_.feasibility.is_feasible(job, machine)) continue;
--- a/src/coordination/scheduling/queue_order.cpp
+++ b/src/coordination/scheduling/queue_order.cpp
@@ -42,8 +42,8 @@
 std::vector<JobIndex> QueueOrder::pending_jobs() const {
   std::vector<JobIndex> pending;
   for (JobIndex job; job < snapshot_.jobs.size(); ++job) {
-    const JobSnapshot& snapshot = snapshot_.jobs[job];
-    if (snapshot.pending_tasks > 0 && !snapshot.cancelled) pending.push_back(job);
+    const JobSnapshot& job_snapshot = snapshot_.jobs[job];
+    if (job_snapshot.pending_tasks > 0 && !job_snapshot.cancelled) pending.push_back(job);
   }
   std::sort(pending.begin(), pending.end(),
             [this](JobIndex left, JobIndex right) { return precedes(left, right); });
--- a/src/coordination/scheduling/rechunker.cpp
+++ b/src/coordination/scheduling/rechunker.cpp
@@ -37,8 +37,9 @@
 }
 
 bool Rechunker::gang_start_must_wait(const Job& gang) {
-  const uint32_t most = chunk_size(limits().value_kb);
-  if (gang.chunk_size > most && gang.size_of(0) > most) requested_.insert(gang.spec.id);
+  const uint32_t max_chunk_size = chunk_size(limits().value_kb);
+  if (gang.chunk_size > max_chunk_size && gang.size_of(0) > max_chunk_size)
+    requested_.insert(gang.spec.id);
   return requested_.contains(gang.spec.id);
 }
 
--- a/src/coordination/scheduling/scheduling_cycle.cpp
+++ b/src/coordination/scheduling/scheduling_cycle.cpp
@@ -13,16 +13,16 @@
       context_{snapshot_, queue_, feasibility_, scorer_, state_, decisions_},
       preemptor_(context_),
       pending_capacity_(context_, preemptor_),
-      tasks_(context_, pending_capacity_),
-      gangs_(context_, pending_capacity_) {}
+      task_placer_(context_, pending_capacity_),
+      gang_placer_(context_, pending_capacity_) {}
 
 Decisions SchedulingCycle::run() {
   for (const JobIndex job : queue_.pending_jobs()) {
     begin_job(job);
     if (snapshot_.jobs[job].gang) {
-      gangs_.place(job);
+      gang_placer_.place(job);
     } else {
-      tasks_.place(job);
+      task_placer_.place(job);
     }
     state_.end_job(job);
   }
--- a/src/coordination/scheduling/scheduling_cycle.hpp
+++ b/src/coordination/scheduling/scheduling_cycle.hpp
@@ -38,8 +38,8 @@
   CycleContext context_;
   Preemptor preemptor_;
   PendingCapacity pending_capacity_;
-  TaskPlacer tasks_;
-  GangPlacer gangs_;
+  TaskPlacer task_placer_;
+  GangPlacer gang_placer_;
 };
 
 }  // namespace damsonport::scheduling
--- a/src/coordination/scheduling/scoring.cpp
+++ b/src/coordination/scheduling/scoring.cpp
@@ -89,15 +89,16 @@
 }
 
 double Scorer::score(JobIndex job, MachineIndex machine, const Resources& capacity) const {
-  const JobSnapshot& snapshot = snapshot_.jobs[job];
+  const JobSnapshot& job_snapshot = snapshot_.jobs[job];
   const MachineSnapshot& target = snapshot_.machines[machine];
-  double score = image_delay(snapshot, target);
-  score += missed_objective_penalty * miss_probability(score, snapshot.start_within_s);
-  if (snapshot.spot && !target.spot) score += on_demand_penalty;
+  double score = image_delay(job_snapshot, target);
+  score += missed_objective_penalty * miss_probability(score, job_snapshot.start_within_s);
+  if (job_snapshot.spot && !target.spot) score += on_demand_penalty;
   score += (1.0 - std::min(target.speed, 1.0)) * slow_machine_penalty;
-  if (uses_empty_machine(snapshot, machine)) score += empty_machine_penalty * target.relative_price;
-  if (snapshot.service) score += same_machine_penalty * state_.ledger.tasks_on[machine];
-  return add_packing_penalty(score, snapshot, target, capacity);
+  if (uses_empty_machine(job_snapshot, machine))
+    score += empty_machine_penalty * target.relative_price;
+  if (job_snapshot.service) score += same_machine_penalty * state_.ledger.tasks_on[machine];
+  return add_packing_penalty(score, job_snapshot, target, capacity);
 }
 
 // The terms of a score have to be added one by one in this order. The result of a floating-point
@@ -134,16 +135,17 @@
 }
 
 double Scorer::gang_score(JobIndex job, MachineIndex machine, uint32_t tasks) const {
-  const JobSnapshot& snapshot = snapshot_.jobs[job];
+  const JobSnapshot& job_snapshot = snapshot_.jobs[job];
   const MachineSnapshot& target = snapshot_.machines[machine];
   const Resources& free = state_.ledger.free[machine];
-  double score = image_delay(snapshot, target);
+  double score = image_delay(job_snapshot, target);
   score += (1.0 - std::min(target.speed, 1.0)) * slow_machine_penalty;
-  score += gang_machine_penalty * std::ceil(static_cast<double>(snapshot.pending_tasks) / tasks);
-  if (snapshot.replica) score += same_machine_penalty * state_.ledger.tasks_on[machine];
-  if (target.total.gpus <= 0 || snapshot.need.gpus > 0) return score;
+  score +=
+      gang_machine_penalty * std::ceil(static_cast<double>(job_snapshot.pending_tasks) / tasks);
+  if (job_snapshot.replica) score += same_machine_penalty * state_.ledger.tasks_on[machine];
+  if (target.total.gpus <= 0 || job_snapshot.need.gpus > 0) return score;
   Resources left = free;
-  for (uint32_t i = 0; i < tasks; ++i) left -= snapshot.need;
+  for (uint32_t i = 0; i < tasks; ++i) left -= job_snapshot.need;
   score += cpu_task_on_accelerator_penalty;
   const double stranded_gpus =
       accelerator_demand_.usable_gpus(free) - accelerator_demand_.usable_gpus(left);
--- a/src/coordination/scheduling/start_edits.cpp
+++ b/src/coordination/scheduling/start_edits.cpp
@@ -10,8 +10,8 @@
   for (; found.chunk < job.chunk_count(); ++found.chunk) {
     if (job.all_started(found.chunk)) continue;
     TaskChunk* record = edits.edit(job, found.chunk);
-    found.full = record == nullptr;
-    if (found.full) return found;
+    found.transaction_full = record == nullptr;
+    if (found.transaction_full) return found;
     const uint32_t size = job.size_of(found.chunk);
     const auto next = record->peek_startable(size);
     if (!next) continue;
--- a/src/coordination/scheduling/start_edits.hpp
+++ b/src/coordination/scheduling/start_edits.hpp
@@ -38,7 +38,7 @@
   uint32_t index = 0;  ///< index within the chunk
   uint64_t attempt = 0;
   /// The search stopped because the transaction has no space for another chunk.
-  bool full = false;
+  bool transaction_full = false;
 };
 
 /// Finds the next task of the job to be started. Chunks for which `must_wait` returns true are
--- a/src/coordination/shard_leader/shard_leader.cpp
+++ b/src/coordination/shard_leader/shard_leader.cpp
@@ -72,27 +72,29 @@
 }
 
 SnapshotBuilder::Callbacks ShardLeader::snapshot_callbacks() {
-  SnapshotBuilder::Callbacks facts;
-  facts.is_cancelled = [this](const Job& job) { return is_cancelled(job); };
-  facts.is_backing_off = [this](const std::string& job) {
+  SnapshotBuilder::Callbacks callbacks;
+  callbacks.is_cancelled = [this](const Job& job) { return is_cancelled(job); };
+  callbacks.is_backing_off = [this](const std::string& job) {
     return task_failures_.is_held_back(job, loop_.now());
   };
-  facts.startable_gang_tasks = [this](const Job& job, TaskRange gang) {
+  callbacks.startable_gang_tasks = [this](const Job& job, TaskRange gang) {
     return startable_gang_tasks(job, gang);
   };
-  facts.stop_grace_s = [this](const JobSpec& spec) { return stop_grace(spec); };
-  facts.running_since = [this](const TaskId& task, uint64_t attempt) {
+  callbacks.stop_grace_s = [this](const JobSpec& spec) { return stop_grace(spec); };
+  callbacks.running_since = [this](const TaskId& task, uint64_t attempt) {
     return running_since(task, attempt);
   };
-  facts.is_ending = [this](const PlacedTask& task) {
+  callbacks.is_ending = [this](const PlacedTask& task) {
     return is_stopping(task) || exits_.contains(task.name);
   };
-  facts.is_schedulable = [this](const Machine& m) { return is_schedulable(m); };
-  facts.total_resources = [this](const Machine& m) { return total_resources(m, deps_.catalog); };
-  facts.free_resources = [this](const Machine& m) {
+  callbacks.is_schedulable = [this](const Machine& m) { return is_schedulable(m); };
+  callbacks.total_resources = [this](const Machine& m) {
+    return total_resources(m, deps_.catalog);
+  };
+  callbacks.free_resources = [this](const Machine& m) {
     return free_resources(m, deps_.catalog, cache_);
   };
-  return facts;
+  return callbacks;
 }
 
 double ShardLeader::running_since(const TaskId& task, uint64_t attempt) const {
--- a/src/coordination/shard_leader/shard_leader_commit.cpp
+++ b/src/coordination/shard_leader/shard_leader_commit.cpp
@@ -366,7 +366,7 @@
       const auto found = find_startable_task(*job, edits, [&](const TaskChunk& record) {
         return rechunker_.start_must_wait(*job, record);
       });
-      if (found.full || (found.record && !edits.reserve_task_entry())) break;
+      if (found.transaction_full || (found.record && !edits.reserve_task_entry())) break;
       if (!found.record) continue;
       found.record->start(found.index, found.attempt, s.machine);
       edits.require_unchanged(*job);
