--- a/src/coordination/machines/machine.hpp
+++ b/src/coordination/machines/machine.hpp
@@ -41,7 +41,7 @@
 struct Machine {
   std::string id, address, type, zone;
   bool spot = false;
-  std::optional<size_t> slot;  ///< index in SchedulerSnapshot::machines
+  std::optional<size_t> snapshot_index;  ///< index in SchedulerSnapshot::machines
   // From the newest processed message of the worker.
   uint64_t agent_epoch = 0, sequence = 0, fencing_token = 0;
   double first_heartbeat_at = 0;
--- a/src/coordination/scheduling/scheduling_cycle.cpp
+++ b/src/coordination/scheduling/scheduling_cycle.cpp
@@ -13,16 +13,16 @@
       context_{snapshot_, queue_, feasibility_, scorer_, state_, decisions_},
       preemptor_(context_),
       pending_capacity_(context_, preemptor_),
-      tasks_(context_, pending_capacity_),
-      gangs_(context_, pending_capacity_) {}
+      task_placer_(context_, pending_capacity_),
+      gang_placer_(context_, pending_capacity_) {}
 
 Decisions SchedulingCycle::run() {
   for (const JobIndex job : queue_.pending_jobs()) {
     begin_job(job);
     if (snapshot_.jobs[job].gang) {
-      gangs_.place(job);
+      gang_placer_.place(job);
     } else {
-      tasks_.place(job);
+      task_placer_.place(job);
     }
     state_.end_job(job);
   }
@@ -31,9 +31,10 @@
 
 void SchedulingCycle::begin_job(JobIndex job) {
   state_.begin_job(job);
-  // The spread constraint comes before the wish to keep the parts of a replica together: where no
-  // zone may take all that are pending, they are divided.
-  if (state_.parts_together() && !feasibility_.fits_one_zone(job)) state_.allow_parts_apart();
+  // The spread constraint takes precedence over the preference for one zone per replica: if no zone
+  // may take all pending parts, the parts may be placed in several zones.
+  if (state_.parts_in_one_zone() && !feasibility_.fits_one_zone(job))
+    state_.allow_parts_in_several_zones();
 }
 
 }  // namespace damsonport::scheduling
--- a/src/coordination/scheduling/start_edits.cpp
+++ b/src/coordination/scheduling/start_edits.cpp
@@ -4,14 +4,14 @@
 
 namespace damsonport {
 
-StartableTask find_startable(const Job& job, ChunkEdits& edits,
-                             const std::function<bool(const TaskChunk&)>& must_wait) {
+StartableTask find_startable_task(const Job& job, ChunkEdits& edits,
+                                  const std::function<bool(const TaskChunk&)>& must_wait) {
   StartableTask found;
   for (; found.chunk < job.chunk_count(); ++found.chunk) {
     if (job.all_started(found.chunk)) continue;
     TaskChunk* record = edits.edit(job, found.chunk);
-    found.full = record == nullptr;
-    if (found.full) return found;
+    found.transaction_full = record == nullptr;
+    if (found.transaction_full) return found;
     const uint32_t size = job.tasks_in_chunk(found.chunk);
     const auto next = record->next_startable(size);
     if (!next) continue;
@@ -26,7 +26,7 @@
 
 namespace {
 
-/// Puts a gang's starts into the chunks of one transaction, task by task.
+/// Adds the starts of a gang's tasks to the chunks of one transaction.
 class GangStartEditor {
  public:
   GangStartEditor(const Job& job, const DecidedGang& gang, size_t committed, uint64_t attempt,
@@ -55,7 +55,7 @@
     const uint32_t end = std::min(gang_.tasks.end() - chunk_start, job_.tasks_in_chunk(chunk));
     for (uint32_t index = first; index < end && !all_placed(); ++index) {
       if (!record.is_startable(index)) continue;
-      if (!edits_.take_entry()) break;
+      if (!edits_.reserve_task_entry()) break;
       const DecidedStart& start = gang_.starts[placed()];
       record.start(index, attempt_, start.machine);
       const TaskId task{job_.spec.id, chunk_start + index};
--- a/tests/scheduling/scheduler_parts_test.cpp
+++ b/tests/scheduling/scheduler_parts_test.cpp
@@ -1,4 +1,5 @@
-// The parts of the scheduler, each by itself: resources, queue order, hard constraints, scores.
+// Unit tests of the scheduler's components: resources, queue order, hard constraints, cycle state,
+// scores and equivalence classes.
 #include <gtest/gtest.h>
 
 #include "coordination/scheduling/cycle_state.hpp"
@@ -11,7 +12,7 @@
 namespace damsonport::scheduling {
 namespace {
 
-/// One team, and machines m0 in zone a and m1 in zone b, both of 8 CPUs.
+/// A snapshot with one team and two machines of 8 CPUs each: m0 in zone a and m1 in zone b.
 struct Fleet {
   SchedulerSnapshot snapshot;
 
@@ -31,8 +32,8 @@
     job.id = id;
     job.team = 0;
     job.need = {2, 0, 4};
-    job.waiting = 1;
-    job.unfinished = 1;
+    job.pending_tasks = 1;
+    job.unfinished_tasks = 1;
     snapshot.jobs.push_back(job);
     return snapshot.jobs.back();
   }
@@ -40,7 +41,7 @@
   void add_live_task(JobIndex job, MachineIndex machine) {
     RunningTaskSnapshot task;
     task.job = job;
-    snapshot.machines[machine].live.push_back(task);
+    snapshot.machines[machine].running_tasks.push_back(task);
     snapshot.machines[machine].free -= snapshot.jobs[job].need;
   }
 };
@@ -50,20 +51,20 @@
 const MachineIndex m0{0};
 const MachineIndex m1{1};
 
-TEST(Resources, RoundingErrorsDoNotPreventAFit) {
+TEST(Resources, RoundingErrorsAreToleratedInFits) {
   const Resources sum = Resources{0.1, 0, 0} + Resources{0.2, 0, 0};
   EXPECT_TRUE(sum.fits({0.3, 0, 0}));
   EXPECT_FALSE(sum.fits({0.29, 0, 0}));
   EXPECT_FALSE((Resources{1, 1, 0}).fits({1, 0, 0}));
 }
 
-TEST(Resources, CountIsBoundByTheScarcestResource) {
+TEST(Resources, CountIsLimitedByTheScarcestResource) {
   EXPECT_EQ(count_fitting({2, 1, 4}, {8, 3, 64}), 3u);
   EXPECT_EQ(count_fitting({0.1, 0, 0}, {0.3, 0, 0}), 3u);
   EXPECT_EQ(count_fitting({2, 0, 0}, {-2, 0, 0}), 0u);
 }
 
-TEST(QueueOrder, PriorityThenGuaranteeThenAge) {
+TEST(QueueOrder, SortsByPriorityThenGuaranteeThenAge) {
   Fleet fleet;
   fleet.snapshot.teams.push_back({"guaranteed", {4, 0, 0}, {}});
   fleet.add_job("old").accepted_at = 1;
@@ -73,14 +74,14 @@
   guaranteed.team = 1;
   guaranteed.accepted_at = 3;
   fleet.add_job("cancelled").cancelled = true;
-  fleet.add_job("running").waiting = 0;
+  fleet.add_job("running").pending_tasks = 0;
   const QueueOrder queue(fleet.snapshot);
   std::vector<std::string> order;
   for (const JobIndex job : queue.pending_jobs()) order.push_back(fleet.snapshot.jobs[job].id);
   EXPECT_EQ(order, (std::vector<std::string>{"urgent", "guaranteed", "old", "young"}));
 }
 
-TEST(QueueOrder, GuaranteeIsUsedUpInOrderOfAcceptance) {
+TEST(QueueOrder, GuaranteeIsAllottedInOrderOfAcceptance) {
   Fleet fleet;
   fleet.snapshot.teams[0].guaranteed = {3, 0, 0};
   fleet.add_job("young").accepted_at = 2;
@@ -125,7 +126,7 @@
   JobSnapshot& job = fleet.add_job("job");
   job.spread = true;
   job.tasks = 3;
-  job.waiting = 2;
+  job.pending_tasks = 2;
   fleet.add_live_task(first_job, m0);
   const QueueOrder queue(fleet.snapshot);
   CycleState state(fleet.snapshot, queue);
@@ -133,7 +134,7 @@
   EXPECT_EQ(feasibility.zone_allowance(first_job, fleet.snapshot.zones.id("a")), 1u);
   EXPECT_EQ(feasibility.zone_allowance(first_job, fleet.snapshot.zones.id("b")), 2u);
   state.begin_job(first_job);
-  state.occupy(first_job, m0);
+  state.add_task(first_job, m0);
   EXPECT_FALSE(feasibility.is_feasible(first_job, m0));
   EXPECT_TRUE(feasibility.is_feasible(first_job, m1));
 }
@@ -149,10 +150,10 @@
   machine.spot = true;
   EXPECT_FALSE(feasibility.is_feasible(first_job, m0));
   machine.spot = false;
-  machine.open = false;
+  machine.schedulable = false;
   EXPECT_FALSE(feasibility.is_feasible(first_job, m0));
-  machine.open = true;
-  machine.bad_jobs = {"job"};
+  machine.schedulable = true;
+  machine.failed_jobs = {"job"};
   EXPECT_FALSE(feasibility.is_feasible(first_job, m0));
 }
 
@@ -163,7 +164,7 @@
   CycleState state(fleet.snapshot, queue);
   state.begin_job(first_job);
   CycleState::Checkpoint checkpoint = state.checkpoint(first_job);
-  state.take_freeing(first_job, m0);
+  state.allocate_freeing(first_job, m0);
   EXPECT_EQ(state.ledger.free[m0].cpus, 6);
   EXPECT_EQ(state.ledger.team_usage[0].cpus, 2);
   EXPECT_EQ(state.placement_count(first_job).machines.size(), 1u);
@@ -181,19 +182,19 @@
   CycleState state(fleet.snapshot, queue);
   state.begin_job(first_job);
   state.ledger.freeing[m0] = {4, 0, 0};
-  state.take_freeing(first_job, m0);
+  state.allocate_freeing(first_job, m0);
   EXPECT_EQ(state.ledger.free[m0].cpus, 0);
   EXPECT_EQ(state.ledger.freeing[m0].cpus, 3.5);
 }
 
-TEST(Scoring, MissProbabilityRisesWithTheFetch) {
+TEST(Scoring, MissProbabilityRisesWithFetchTime) {
   EXPECT_EQ(miss_probability(5, 10), 0);
   EXPECT_DOUBLE_EQ(miss_probability(10, 10), 0.5);
   EXPECT_EQ(miss_probability(20, 10), 1);
-  EXPECT_EQ(miss_probability(20, 0), 0) << "without an objective nothing is missed";
+  EXPECT_EQ(miss_probability(20, 0), 0) << "a job without an objective can't miss it";
 }
 
-TEST(Scoring, CachedImageBeatsAFetch) {
+TEST(Scoring, CachedImageScoresBetterThanAFetch) {
   Fleet fleet;
   JobSnapshot& job = fleet.add_job("job");
   job.image = fleet.snapshot.images.id("image");
@@ -206,7 +207,7 @@
   EXPECT_EQ(scorer.score(first_job, m0, free) - scorer.score(first_job, m1, free), 10);
 }
 
-TEST(EquivalenceClass, ALargerNeedUnderTheSameConstraintsIsKnown) {
+TEST(EquivalenceClass, LargerNeedWithSameConstraintsIsKnownUnschedulable) {
   Fleet fleet;
   fleet.add_job("small");
   fleet.add_job("large").need = {4, 0, 4};
@@ -217,7 +218,7 @@
   EXPECT_FALSE(classes.is_known_unschedulable(fleet.snapshot.jobs[second_job]));
 }
 
-TEST(EquivalenceClass, ASpreadJobSpeaksForItselfOnly) {
+TEST(EquivalenceClass, SpreadJobDoesNotRepresentAClass) {
   Fleet fleet;
   fleet.add_job("job").spread = true;
   UnschedulableClasses classes(fleet.snapshot);
