--- a/src/coordination/machines/command_dispatcher.cpp
+++ b/src/coordination/machines/command_dispatcher.cpp
@@ -94,8 +94,7 @@
   callbacks_.on_send_failed(machine.id);
   machine.sending = false;
   machine.pending_commands.clear();
-  spdlog::debug("{} did not respond to a request with commands ({} in a row)", machine.id,
-                machine.failed_sends);
+  spdlog::debug("{} does not answer commands", machine.id);
 }
 
 void CommandDispatcher::handle_response(Machine& machine, const HttpReply& reply,
--- a/src/storage/record_watcher.cpp
+++ b/src/storage/record_watcher.cpp
@@ -76,10 +76,8 @@
     const bool ok = result.status == ReadStatus::ok;
     if (ok) apply_changes(result, opened_at);
     if (result.status == ReadStatus::compacted) {
-      spdlog::info(
-          "watch interrupted: the key-value store no longer has the changes after revision {}; "
-          "reading all records again",
-          cache_.revision());
+      spdlog::info("the watch fell behind at revision {}: reading all records again",
+                   cache_.revision());
       cache_.mark_not_loaded();
     }
     // The interval makes changes that are made close together arrive in one response.
