--- a/src/coordination/shard_leader/shard_leader.cpp
+++ b/src/coordination/shard_leader/shard_leader.cpp
@@ -62,7 +62,7 @@
     // the task doesn't run.
     return command.op != Command::Op::start || !is_cancelled(*cache_.job(command.task.job));
   };
-  callbacks.on_send_failed = [this](const std::string& id) { mark_changed(id); };
+  callbacks.on_send_failed = [this](const std::string& id) { mark_machine_changed(id); };
   callbacks.on_status = [this](Machine& m, const Heartbeat& status, double requested_at) {
     std::vector<Command> commands;
     process_heartbeat(m, status, true, requested_at, commands);
@@ -127,11 +127,11 @@
   deduplicator_.clear();
   attempts_.clear();
   exits_.clear();
-  stopping_.clear();
-  cancelled_.clear();
+  stop_requests_.clear();
+  cancelled_jobs_.clear();
   scale_in_.begin_lease(lease_.fencing_token());
   rechunker_.clear();
-  uncommitted_starts_ = 0;
+  jobs_with_uncommitted_starts_ = 0;
   commands_.begin_lease();
   autoscaler_.begin_lease(lease_.fencing_token());
   stragglers_.clear();
@@ -139,23 +139,24 @@
   replicas_.clear();
   task_failures_.clear();
   scheduling_requested_ = true;
-  next_list_ = 0;
+  next_machine_list_at_ = 0;
   // Machines that an earlier holder rented are heard first. The first one of all has none.
-  const bool first_of_all = cache_.shard_table().renewals <= 1;
-  next_scaling_at_ = lease_.acquired_at() + (first_of_all ? 0 : 2 * settings_.heartbeat_interval_s);
+  const bool is_first_lease = cache_.shard_table().renewals <= 1;
+  next_scaling_at_ =
+      lease_.acquired_at() + (is_first_lease ? 0 : 2 * settings_.heartbeat_interval_s);
   deps_.quotas.begin_lease();
-  quota_news_ = true;
+  quota_update_pending_ = true;
   snapshot_builder_.begin_lease();
-  over_.clear();
+  finalizable_jobs_.clear();
   for (auto& [id, assigned] : cache_.assignments()) machine(id);
   // Marked by an earlier holder, who may not have got round to it.
   // Those on which nothing is placed any more are returned again where the machine list names them.
   for (auto& [id, mark] : cache_.tombstones())
     if (!cache_.assigned(id).empty()) scale_in_.resume(id);
   for (auto& [id, job] : cache_.jobs()) {
-    if (is_cancelled(*job)) cancelled_.insert(id);
-    if (is_over(*job)) over_.insert(id);
-    if (failed_before(*job)) task_failures_.suspect_job(id);
+    if (is_cancelled(*job)) cancelled_jobs_.insert(id);
+    if (is_finalizable(*job)) finalizable_jobs_.insert(id);
+    if (failed_under_earlier_leases(*job)) task_failures_.suspect_job(id);
     replicas_.add_job(*job);
     snapshot_builder_.mark_job_changed(*job);
   }
@@ -177,7 +178,7 @@
     scheduling_requested_ = true;
     snapshot_builder_.mark_job_changed(*job);
     replicas_.add_job(*job);
-    if (is_over(*job)) over_.insert(job->spec.id);
+    if (is_finalizable(*job)) finalizable_jobs_.insert(job->spec.id);
     if (is_cancelled(*job)) stop_cancelled(*job);
   }
   deps_.changed.notify();
@@ -189,8 +190,8 @@
   gangs_.forget_job(job->spec.id);
   replicas_.forget_job(job->spec.id);
   task_failures_.forget_job(job->spec.id);
-  over_.erase(job->spec.id);
-  cancelled_.erase(job->spec.id);
+  finalizable_jobs_.erase(job->spec.id);
+  cancelled_jobs_.erase(job->spec.id);
   TaskId first{job->spec.id, 0};
   for (auto it = attempts_.lower_bound(first);
        it != attempts_.end() && it->first.job == job->spec.id;)
@@ -207,7 +208,7 @@
     if (co_await lease_.renew(stop_token) == ShardRole::leader) {
       if (is_leading()) apply_forwarded_exits();
       result = co_await commit_exits(stop_token);
-      if (is_leading()) result = combine(co_await commit_finals(stop_token), result);
+      if (is_leading()) result = combine(co_await commit_final_states(stop_token), result);
       if (is_leading() && lease_.records_current())
         result = combine(co_await rechunk(stop_token), result);
       if (is_leading()) result = combine(co_await commit_quotas(stop_token), result);
@@ -235,7 +236,7 @@
     if (!lease_.records_current() || !deps_.catalog.known()) continue;
     step_down_if_unreachable();
     detect_dead_machines();
-    check_cancelled_tasks();
+    return_machines_keeping_cancelled_tasks();
     check_stragglers();
     review_faults();
     check_drains();
@@ -268,12 +269,13 @@
   lease_.step_down_if_unreachable(static_cast<size_t>(reachable));
 }
 
-std::optional<HttpResponse> ShardLeader::refusal(const std::string& machine,
-                                                 uint64_t fencing_token) {
+std::optional<HttpResponse> ShardLeader::refusal_response(const std::string& machine,
+                                                          uint64_t fencing_token) {
   // A newer holder exists: a 200 would only hold the worker here while its lease runs out.
   if (fencing_token > lease_.fencing_token()) return HttpResponse{421, encode_redirect({}), 0};
-  const bool lost = deps_.peer_network.is_isolated() && !contact_.in_contact();
-  if (!lease_renewal_.may_renew(lost ? lease_renewal_.note_visit(machine) : Visit::repeated))
+  const bool lacks_contact = deps_.peer_network.is_isolated() && !contact_.in_contact();
+  if (!lease_renewal_.may_renew(lacks_contact ? lease_renewal_.note_visit(machine)
+                                              : Visit::repeated))
     return HttpResponse{503, {}, 0};
   return std::nullopt;
 }
@@ -299,7 +301,7 @@
   auto it = machines_.find(repeat->machine);
   if (it == machines_.end() || repeat->sequence <= it->second.sequence) return std::nullopt;
   Machine& m = it->second;
-  if (auto no = refusal(m.id, m.fencing_token)) return no;
+  if (auto refused = refusal_response(m.id, m.fencing_token)) return refused;
   const double now = loop_.now();
   m.sequence = repeat->sequence;
   m.last_heartbeat_at = m.last_repeat_at = now;
@@ -309,18 +311,19 @@
   return HttpResponse{200, encode_heartbeat_response(lease_.fencing_token(), {}), 0};
 }
 
-HttpResponse ShardLeader::on_decoded_heartbeat(const Heartbeat& r, const HttpRequest& request) {
+HttpResponse ShardLeader::on_decoded_heartbeat(const Heartbeat& heartbeat,
+                                               const HttpRequest& request) {
   // Gone, as the cloud said: this is a late copy.
-  if (scale_in_.tracker().is_returned(r.machine)) return {421, encode_redirect({}), 0};
-  if (!is_leading() || lease_.is_deposed()) return lease_renewal_.answer_misrouted(r);
-  if (auto no = refusal(r.machine, r.fencing_token)) return *no;
+  if (scale_in_.tracker().is_returned(heartbeat.machine)) return {421, encode_redirect({}), 0};
+  if (!is_leading() || lease_.is_deposed()) return lease_renewal_.answer_misrouted(heartbeat);
+  if (auto refused = refusal_response(heartbeat.machine, heartbeat.fencing_token)) return *refused;
   std::vector<Command> commands;
-  Machine& m = machine(r.machine);
-  if (r.newer_than(m.agent_epoch, m.sequence)) {
+  Machine& m = machine(heartbeat.machine);
+  if (heartbeat.newer_than(m.agent_epoch, m.sequence)) {
     // One report is in flight at a time, so the answer to the one before was taken or dropped.
     m.starts_in_response.clear();
-    if (process_heartbeat(m, r, false, request.previous_answer_at, commands))
-      deduplicator_.remember(m.id, request.body, r.sequence);
+    if (process_heartbeat(m, heartbeat, false, request.previous_answer_at, commands))
+      deduplicator_.remember(m.id, request.body, heartbeat.sequence);
     std::erase_if(commands, [&](const Command& c) { return !is_still_wanted(m, c); });
     for (auto& c : commands)
       if (c.op == Command::Op::start) m.starts_in_response.insert({c.task, c.attempt});
--- a/src/coordination/shard_leader/shard_leader.hpp
+++ b/src/coordination/shard_leader/shard_leader.hpp
@@ -115,7 +115,7 @@
     ExitCause cause;
     std::string machine;
   };
-  struct Stopping {
+  struct StopRequest {
     uint64_t attempt;
     double grace_s;
   };
@@ -128,14 +128,14 @@
   bool is_cancelled(const Job& job) const;
   double cancelled_since(const Job& job) const;
   void stop_cancelled(const Job& job);
-  bool has_released(const std::string& machine, const TaskId& task, uint64_t attempt) const;
+  bool has_released_task(const std::string& machine, const TaskId& task, uint64_t attempt) const;
 
   // Exits that other controllers were told of by machines that can't reach us.
   void apply_forwarded_exits();
 
   // --- committing (holder_commit.cpp)
   Task<StepResult> commit_exits(std::stop_token stop_token);
-  Task<StepResult> commit_finals(std::stop_token stop_token);
+  Task<StepResult> commit_final_states(std::stop_token stop_token);
   Task<StepResult> commit_starts(std::stop_token stop_token);
   void dispatch_preemptions(const scheduling::Decisions& decided);
   void note_unschedulable(const scheduling::Decisions& decided);
@@ -145,7 +145,7 @@
   Task<StepResult> commit_single_starts(std::vector<DecidedStart> decided,
                                         std::stop_token stop_token);
   // How long the starts of one pass may be committed before the next pass.
-  double starts_may_take_s() const;
+  double max_start_commit_s() const;
   void dispatch_starts(const std::vector<CommittedStart>& starts);
   /// Commits until the outcome is definite and applies the writes here. Nothing else of this shard
   /// leader is written meanwhile, so whatever has an uncertain outcome keeps its resources and its
@@ -153,20 +153,22 @@
   Task<CommitResult> commit_and_apply(Transaction transaction, std::stop_token stop_token,
                                       CommitOptions options);
   // An exit that is the last of its job, in a transaction that may end the job with it.
-  bool ends_with(const Job& job, const TaskChunk& record, const PendingExit& exit) const;
+  bool exit_ends_job(const Job& job, const TaskChunk& record, const PendingExit& exit) const;
   // What the exits that were committed teach, and their end here.
-  void finish_exits(const std::vector<TaskId>& tasks);
-  Task<void> reread(std::vector<std::string> failed);
+  void process_committed_exits(const std::vector<TaskId>& tasks);
+  Task<void> reread_keys(std::vector<std::string> failed);
   // What every write has to fit.
   const StateLimits& limits() const { return settings_.state_limits.always(); }
-  static bool is_over(const Job& job) { return job.cancelled ? job.live == 0 : job.finished(); }
+  static bool is_finalizable(const Job& job) {
+    return job.cancelled ? job.live == 0 : job.finished();
+  }
 
   Task<StepResult> rechunk(std::stop_token stop_token);
   /// For the rechunker: whether its transaction was committed.
   Task<bool> commit_chunks(Transaction transaction, std::stop_token stop_token);
   // --- the teams' limits among regions (holder_budgets.cpp)
   Task<StepResult> commit_quotas(std::stop_token stop_token);
-  void send_deficits();
+  void announce_deficits();
 
   // --- gangs (holder_gangs.cpp)
   // Takes note of a proven exit; of a gang it says something about the other tasks too.
@@ -191,33 +193,34 @@
 
   // --- machines (shard_leader_heartbeats.cpp, shard_leader_failures.cpp)
   Machine& machine(const std::string& id);
-  HttpResponse on_decoded_heartbeat(const Heartbeat& r, const HttpRequest& request);
+  HttpResponse on_decoded_heartbeat(const Heartbeat& heartbeat, const HttpRequest& request);
   // Why a machine that has seen this token isn't answered now; nothing: it is.
-  std::optional<HttpResponse> refusal(const std::string& machine, uint64_t fencing_token);
+  std::optional<HttpResponse> refusal_response(const std::string& machine, uint64_t fencing_token);
   // Answers a report that repeats the last one, without looking into it; nothing: it doesn't.
   std::optional<HttpResponse> answer_repeated_heartbeat(const HttpRequest& request);
   // True: a report that says the same again need not be looked into.
   // `as_of`: see apply_heartbeat().
-  bool process_heartbeat(Machine& m, const Heartbeat& r, bool direct, double as_of,
+  bool process_heartbeat(Machine& m, const Heartbeat& heartbeat, bool direct, double as_of,
                          std::vector<Command>& commands);
-  bool may_deduplicate(const Machine& m, const Heartbeat& r, const ReconcileResult& outcome) const;
+  bool may_deduplicate(const Machine& m, const Heartbeat& heartbeat,
+                       const ReconcileResult& outcome) const;
   // What placement sees of the machine, or what is expected of it, has changed.
-  void mark_changed(const std::string& machine);
+  void mark_machine_changed(const std::string& machine);
   std::vector<DesiredTask> desired_tasks_on(const Machine& m) const;
-  void note_states(Machine& m);
+  void note_task_states(Machine& m);
   // Parts of replicas that the records place on the machine and that it doesn't have.
-  void note_absent_parts(const Machine& m);
+  void note_missing_parts(const Machine& m);
   // The images of its tasks are in use at this time.
-  void note_images(Machine& m, double at);
+  void note_image_uses(Machine& m, double at);
   void note_running(Machine& m, const TaskId& task, uint64_t attempt);
-  void recall_images(Machine& m);
-  void finish_exit(const PendingExit& exit, const TaskId& task);
+  void restore_image_cache(Machine& m);
+  void process_committed_exit(const PendingExit& exit, const TaskId& task);
   void note_error(Machine& m, const JobSpec& spec);
   // Drains the machines at fault, a bounded share of the fleet at a time, and takes back those for
   // which the blame has gone to a job.
   void review_faults();
   // A job whose tasks were started again and again by earlier holders and of which nothing is done.
-  static bool failed_before(const Job& job);
+  static bool failed_under_earlier_leases(const Job& job);
   bool is_schedulable(const Machine& m) const;
   // Enough for a task that saves, with some room for the message; 0 for one that never does.
   double stop_grace(const JobSpec& s) const;
@@ -230,7 +233,7 @@
   // shard_leader_autoscaling.cpp)
   void note_listed(const ListedMachine& listed);
   void detect_dead_machines();
-  void check_cancelled_tasks();
+  void return_machines_keeping_cancelled_tasks();
   void stop_before_preemption(const Machine& m);
   void check_drains();
   void check_stragglers();
@@ -264,23 +267,23 @@
   StragglerDetector stragglers_;
   std::map<TaskId, std::map<uint64_t, Attempt>> attempts_;
   std::map<TaskId, PendingExit> exits_;
-  std::map<TaskId, Stopping> stopping_;
-  std::set<std::string> cancelled_;  // jobs, whose tasks may still be there
+  std::map<TaskId, StopRequest> stop_requests_;
+  std::set<std::string> cancelled_jobs_;  // jobs, whose tasks may still be there
   ScaleIn scale_in_;
   AutoscalerDriver autoscaler_;
   Rechunker rechunker_;
   CommandDispatcher commands_;
   std::vector<autoscaling::ResourceDemand> unschedulable_;
   uint64_t pending_tasks_ = 0;
-  size_t uncommitted_starts_ = 0;  // jobs whose starts the last pass decided and put off
-  bool quota_news_ = false, deficit_sent_ = false;
-  double next_quotas_at_ = 0;
-  double next_list_ = 0, next_scaling_at_ = 0;
+  size_t jobs_with_uncommitted_starts_ = 0;  // jobs whose starts the last pass decided and put off
+  bool quota_update_pending_ = false, deficit_announced_ = false;
+  double next_quota_check_at_ = 0;
+  double next_machine_list_at_ = 0, next_scaling_at_ = 0;
   bool scheduling_requested_ = true;
   double next_cycle_at_ = 0;
   double last_cycle_s_ = 0;  // how long the last pass of placement took
   SnapshotBuilder snapshot_builder_;
-  std::set<std::string> over_;  // jobs whose end may be committed
+  std::set<std::string> finalizable_jobs_;  // jobs whose end may be committed
 };
 
 }  // namespace damsonport
--- a/src/coordination/shard_leader/shard_leader_autoscaling.cpp
+++ b/src/coordination/shard_leader/shard_leader_autoscaling.cpp
@@ -13,7 +13,7 @@
           deps_.changed,
           deps_.incarnation,
           [this] { return is_leading(); },
-          [this](const std::string& id) { mark_changed(id); },
+          [this](const std::string& id) { mark_machine_changed(id); },
           [this](const std::string& id, bool declared_dead) {
             on_machine_returned(id, declared_dead);
           }};
--- a/src/coordination/shard_leader/shard_leader_cancelled.cpp
+++ b/src/coordination/shard_leader/shard_leader_cancellations.cpp
@@ -26,9 +26,9 @@
 }
 
 void ShardLeader::stop_cancelled(const Job& job) {
-  if (!cancelled_.insert(job.spec.id).second) return;
+  if (!cancelled_jobs_.insert(job.spec.id).second) return;
   for (auto& task : job.live_tasks()) {
-    mark_changed(task.machine);
+    mark_machine_changed(task.machine);
     auto it = machines_.find(task.machine);
     if (it != machines_.end() && it->second.tasks.contains(task.name))
       commands_.dispatch(it->second, {Command::Op::stop, task.name, task.attempt, 0});
@@ -37,7 +37,8 @@
 
 // A message of the machine just now doesn't show the task, or shows it ended. No proof that it may
 // run elsewhere, but no reason to return the machine either, while its messages keep saying so.
-bool ShardLeader::has_released(const std::string& id, const TaskId& task, uint64_t attempt) const {
+bool ShardLeader::has_released_task(const std::string& id, const TaskId& task,
+                                    uint64_t attempt) const {
   auto it = machines_.find(id);
   if (it == machines_.end() || it->second.agent_epoch == 0) return false;
   auto& m = it->second;
@@ -51,21 +52,23 @@
 
 // A cancelled task that a machine does not let go in time goes with the machine. The age of the
 // cancellation is that of the record or what others say, so it outlives any number of holders.
-void ShardLeader::check_cancelled_tasks() {
+void ShardLeader::return_machines_keeping_cancelled_tasks() {
   const double now = loop_.now();
-  const double limit = settings_.cancel_s * tuning_.cancel_return_share;
+  const double return_after_s = settings_.cancel_s * tuning_.cancel_return_share;
   // A new holder has not heard yet what its machines did meanwhile. It waits for that, but not past
   // the time at which the task must be gone; what is older was long stopped, or is too late.
-  const bool acknowledged = now - lease_.acquired_at() > 2 * settings_.heartbeat_interval_s;
-  const double latest = settings_.cancel_s * 0.9;
-  const double too_late = settings_.cancel_s * 1.1;
-  for (auto& id : cancelled_) {
+  const bool heartbeats_received = now - lease_.acquired_at() > 2 * settings_.heartbeat_interval_s;
+  const double latest_wait_s = settings_.cancel_s * 0.9;
+  const double oldest_urgent_age_s = settings_.cancel_s * 1.1;
+  for (auto& id : cancelled_jobs_) {
     Job* job = cache_.job(id);
     if (!job) continue;
-    const double age = now - cancelled_since(*job);
-    if (age < limit || (!acknowledged && (age < latest || age > too_late))) continue;
+    const double age_s = now - cancelled_since(*job);
+    if (age_s < return_after_s ||
+        (!heartbeats_received && (age_s < latest_wait_s || age_s > oldest_urgent_age_s)))
+      continue;
     for (auto& task : job->live_tasks()) {
-      if (exits_.contains(task.name) || has_released(task.machine, task.name, task.attempt))
+      if (exits_.contains(task.name) || has_released_task(task.machine, task.name, task.attempt))
         continue;
       scale_in_.request(task.machine, "it keeps a task of cancelled " + id,
                         ScaleInCause::keeps_cancelled_task);
--- a/src/coordination/shard_leader/shard_leader_commit.cpp
+++ b/src/coordination/shard_leader/shard_leader_commit.cpp
@@ -11,12 +11,12 @@
 namespace {
 
 // Share of a report period that one pass may go on committing starts.
-constexpr double starts_share = 0.05;
-constexpr double pause_after_refusal_s = 0.2;
+constexpr double start_commit_share = 0.05;
+constexpr double rejected_transaction_pause_s = 0.2;
 
 }  // namespace
 
-Task<void> ShardLeader::reread(std::vector<std::string> failed) {
+Task<void> ShardLeader::reread_keys(std::vector<std::string> failed) {
   for (auto& key : failed) {
     auto read = co_await deps_.store.get(key, RequestPriority::scheduling);
     // Also that it is absent: a copy that came back from the dead must not be built on again.
@@ -40,14 +40,14 @@
   if (reply.outcome == TransactionOutcome::conflict) {
     spdlog::debug("a commit conflicts with a change of {}",
                   reply.failed_keys.empty() ? "?" : reply.failed_keys.front());
-    co_await reread(std::move(reply.failed_keys));
+    co_await reread_keys(std::move(reply.failed_keys));
   }
   if (reply.outcome == TransactionOutcome::invalid) {
     // Definite: nothing of it was written, and the same again would be refused again.
     spdlog::error("the key-value store refuses a transaction with {} as invalid",
                   writes.empty() ? "no writes" : writes.front().key);
     rechunker_.note_refused(writes);
-    co_await Sleep(loop_, pause_after_refusal_s, stop_token);
+    co_await Sleep(loop_, rejected_transaction_pause_s, stop_token);
   }
   co_return CommitResult::not_committed;
 }
@@ -66,12 +66,12 @@
     chunk = of_task;
     ++records;
   }
-  return records + uncommitted_starts_;
+  return records + jobs_with_uncommitted_starts_;
 }
 
-// Jobs of several records, gangs and cancelled ones are ended by commit_finals().
-bool ShardLeader::ends_with(const Job& job, const TaskChunk& record,
-                            const PendingExit& exit) const {
+// Jobs of several records, gangs and cancelled ones are ended by commit_final_states().
+bool ShardLeader::exit_ends_job(const Job& job, const TaskChunk& record,
+                                const PendingExit& exit) const {
   if (exit.cause != ExitCause::done || job.spec.kind == JobKind::gang || is_cancelled(job))
     return false;
   // Complete up to the job's last change: no start before a cancellation is unknown to us.
@@ -79,23 +79,24 @@
   return job.chunk_count() == 1 && record.finished(job.spec.tasks);
 }
 
-void ShardLeader::finish_exits(const std::vector<TaskId>& tasks) {
-  bool any_failed = false;
+void ShardLeader::process_committed_exits(const std::vector<TaskId>& tasks) {
+  bool any_error = false;
   for (auto& name : tasks) {
     auto it = exits_.find(name);
     if (it == exits_.end()) continue;
-    any_failed |= it->second.cause == ExitCause::error;
-    finish_exit(it->second, name);
+    any_error |= it->second.cause == ExitCause::error;
+    process_committed_exit(it->second, name);
     exits_.erase(it);
   }
   // Once for all of them: it looks through the whole fleet.
-  if (any_failed) review_faults();
+  if (any_error) review_faults();
 }
 
 Task<ShardLeader::StepResult> ShardLeader::commit_exits(std::stop_token stop_token) {
   if (exits_.empty() || !lease_.records_current()) co_return StepResult::idle;
   ChunkEdits edits(cache_, limits());
-  std::vector<TaskId> taken, last;  // `last`: those that end their jobs
+  std::vector<TaskId> other_exits,
+      job_ending_exits;  // `job_ending_exits`: those that end their jobs
   for (auto it = exits_.begin(); it != exits_.end();) {
     auto& [name, exit] = *it;
     Job* job = cache_.job(name.job);
@@ -116,45 +117,45 @@
     if (!record) break;
     record->end(name.index % job->chunk_size,
                 exit.cause == ExitCause::done ? TaskEnd::done : TaskEnd::restart);
-    const bool ends = ends_with(*job, *record, exit) && edits.end_with_edit(*job);
-    (ends ? last : taken).push_back(name);
+    const bool ends = exit_ends_job(*job, *record, exit) && edits.end_with_edit(*job);
+    (ends ? job_ending_exits : other_exits).push_back(name);
     ++it;
   }
   if (edits.empty()) co_return StepResult::idle;
   // While the job is still known here: its records go with the commit.
   std::function<void()> committed = [&] {
     std::set<std::string> ended;
-    for (auto& name : last) ended.insert(name.job);
-    std::vector<TaskId> of_ended = last;
-    for (auto& name : taken)
-      if (ended.contains(name.job)) of_ended.push_back(name);
-    finish_exits(of_ended);
+    for (auto& name : job_ending_exits) ended.insert(name.job);
+    std::vector<TaskId> exits_of_ended_jobs = job_ending_exits;
+    for (auto& name : other_exits)
+      if (ended.contains(name.job)) exits_of_ended_jobs.push_back(name);
+    process_committed_exits(exits_of_ended_jobs);
   };
   CommitOptions options{AfterCommit::request_cycle, std::move(committed)};
   const CommitResult result =
       co_await commit_and_apply(edits.finish(), stop_token, std::move(options));
   if (result == CommitResult::committed) {
-    for (auto& name : last) {
+    for (auto& name : job_ending_exits) {
       cache_.remember_final(name.job, FinalState::done);
       spdlog::info("job {} is done", name.job);
     }
-    finish_exits(taken);
+    process_committed_exits(other_exits);
     scheduling_requested_ = true;
   }
   co_return StepResult::busy;
 }
 
 // A job's record goes when all its tasks are done, or when it was cancelled and none is left.
-Task<ShardLeader::StepResult> ShardLeader::commit_finals(std::stop_token stop_token) {
+Task<ShardLeader::StepResult> ShardLeader::commit_final_states(std::stop_token stop_token) {
   if (!lease_.records_current()) co_return StepResult::idle;
   Transaction transaction;
   std::vector<std::string> ended;
-  int room = limits().txn_writes;
-  for (auto it = over_.begin(); it != over_.end();) {
+  int remaining_writes = limits().txn_writes;
+  for (auto it = finalizable_jobs_.begin(); it != finalizable_jobs_.end();) {
     const std::string& id = *it;
     Job* job = cache_.job(id);
-    if (!job || !is_over(*job)) {
-      it = over_.erase(it);
+    if (!job || !is_finalizable(*job)) {
+      it = finalizable_jobs_.erase(it);
       continue;
     }
     ++it;
@@ -162,9 +163,9 @@
     if (cache_.revision() < job->version) continue;
     int chunks = static_cast<int>(job->chunks.size());
     // Chunks that don't fit in become orphans, which are swept later.
-    int with = std::min(chunks, std::max(0, limits().txn_writes - 2));
-    if (room < 2 + with) break;
-    room -= 2 + with;
+    int chunks_to_remove = std::min(chunks, std::max(0, limits().txn_writes - 2));
+    if (remaining_writes < 2 + chunks_to_remove) break;
+    remaining_writes -= 2 + chunks_to_remove;
     transaction.preconditions[keys::job(id)] = job->version;
     transaction.writes.push_back({keys::job(id), Json(), 0});
     transaction.writes.push_back(
@@ -172,16 +173,16 @@
          encode_final_state(job->cancelled ? FinalState::cancelled : FinalState::done, job->done),
          0});
     for (auto& [n, chunk] : job->chunks) {
-      if (with-- <= 0) break;
+      if (chunks_to_remove-- <= 0) break;
       transaction.writes.push_back({job->chunk_key(n), Json(), 0});
     }
     ended.push_back(id);
     spdlog::info("job {} is {}", id, job->cancelled ? "cancelled and gone" : "done");
-    if (room < 3) break;
+    if (remaining_writes < 3) break;
   }
   if (ended.empty()) {
     for (auto& key : cache_.orphaned_chunks()) {
-      if (room-- <= 0) break;
+      if (remaining_writes-- <= 0) break;
       transaction.writes.push_back({key, Json(), 0});
     }
     if (transaction.writes.empty()) co_return StepResult::idle;
@@ -228,7 +229,7 @@
   if (!lease_.records_current() || !deps_.catalog.known() || !scheduling_requested_ ||
       now < next_cycle_at_)
     co_return StepResult::idle;
-  uncommitted_starts_ = 0;
+  jobs_with_uncommitted_starts_ = 0;
   // One pass serves all that came meanwhile; passes are spaced so that bursts share them.
   next_cycle_at_ = now + std::min(0.05, settings_.heartbeat_interval_s / 30);
   scheduling_requested_ = false;
@@ -323,8 +324,8 @@
 }
 
 // What a long pass has decided is committed for as long as it took, rather than decided again.
-double ShardLeader::starts_may_take_s() const {
-  return std::max(settings_.heartbeat_interval_s * starts_share, last_cycle_s_);
+double ShardLeader::max_start_commit_s() const {
+  return std::max(settings_.heartbeat_interval_s * start_commit_share, last_cycle_s_);
 }
 
 Task<ShardLeader::StepResult> ShardLeader::commit_gang_starts(std::vector<DecidedGang> gangs,
@@ -332,7 +333,7 @@
   const double begun = loop_.now();
   for (auto& gang : gangs) {
     if (!is_leading()) break;
-    if (loop_.now() - begun > starts_may_take_s()) {
+    if (loop_.now() - begun > max_start_commit_s()) {
       scheduling_requested_ = true;
       break;
     }
@@ -342,24 +343,25 @@
   co_return gangs.empty() ? StepResult::idle : StepResult::busy;
 }
 
-Task<ShardLeader::StepResult> ShardLeader::commit_single_starts(std::vector<DecidedStart> planned,
-                                                                std::stop_token stop_token) {
+Task<ShardLeader::StepResult> ShardLeader::commit_single_starts(
+    std::vector<DecidedStart> decided_starts, std::stop_token stop_token) {
   const double begun = loop_.now();
   size_t next = 0;
   bool any = false;
-  while (next < planned.size() && is_leading()) {
+  while (next < decided_starts.size() && is_leading()) {
     // A long run of starts must not hold up renewals, exits and what became more urgent meanwhile.
-    if (loop_.now() - begun > starts_may_take_s()) {
+    if (loop_.now() - begun > max_start_commit_s()) {
       scheduling_requested_ = true;
       std::set<std::string> jobs;
-      for (size_t left = next; left < planned.size(); ++left) jobs.insert(planned[left].job);
-      uncommitted_starts_ = jobs.size();
+      for (size_t left = next; left < decided_starts.size(); ++left)
+        jobs.insert(decided_starts[left].job);
+      jobs_with_uncommitted_starts_ = jobs.size();
       break;
     }
     ChunkEdits edits(cache_, limits());
     std::vector<CommittedStart> started;
-    for (; next < planned.size(); ++next) {
-      auto& s = planned[next];
+    for (; next < decided_starts.size(); ++next) {
+      auto& s = decided_starts[next];
       Job* job = cache_.job(s.job);
       // Changed while an earlier part was being committed: the next pass sees it as it is.
       if (!job || is_cancelled(*job)) continue;
@@ -391,7 +393,7 @@
   const double at = loop_.now();
   for (auto& s : starts) {
     attempts_[s.task] = {{s.attempt, {at, 0, s.image_cached}}};
-    stopping_.erase(s.task);
+    stop_requests_.erase(s.task);
     spdlog::debug("start {} attempt {} on {}{}", s.task.text(), s.attempt, s.machine,
                   s.image_cached ? "" : " (image to be fetched)");
     // Returned while this was committed, which may take as long as an outage: the start was never
--- a/src/coordination/shard_leader/shard_leader_drains.cpp
+++ b/src/coordination/shard_leader/shard_leader_drains.cpp
@@ -19,7 +19,7 @@
   if (m.draining) return;
   m.drain_reason = why;
   m.draining = true;
-  mark_changed(m.id);
+  mark_machine_changed(m.id);
   scheduling_requested_ = true;
 }
 
@@ -30,7 +30,7 @@
   for (auto& [assignment, attempt] : cache_.assigned(m.id)) {
     const JobSpec& spec = assignment.job->spec;
     const TaskId task{spec.id, assignment.index};
-    if (stopping_.contains(task)) continue;
+    if (stop_requests_.contains(task)) continue;
     const double grace_s = stop_grace(spec);
     const bool saves = spec.checkpoint_s > 0;
     if (left_s >= (saves ? grace_s + 2 * interval_s : interval_s / 2)) continue;
@@ -48,7 +48,7 @@
     // Not for good: where few machines fit, a job that failed once on each would never run again.
     if (std::erase_if(m.failed_jobs,
                       [&](auto& failed) { return now - failed.second > 2 * settings_.lease_s; }))
-      mark_changed(id);
+      mark_machine_changed(id);
     if (scale_in_.is_leaving(id)) continue;
     if (m.preempted_at) stop_before_preemption(m);
     // The jobs that failed here are tried elsewhere first, which may take the blame back.
--- a/src/coordination/shard_leader/shard_leader_failures.cpp
+++ b/src/coordination/shard_leader/shard_leader_failures.cpp
@@ -8,7 +8,8 @@
 namespace damsonport {
 
 namespace {
-constexpr uint64_t attempts_in_vain = 3;  // of one task, in the records: its job is suspected
+constexpr uint64_t min_unsuccessful_attempts =
+    3;  // of one task, in the records: its job is suspected
 }  // namespace
 
 void ShardLeader::detect_dead_machines() {
@@ -28,9 +29,9 @@
 }
 
 // After the exit is in the records: what it teaches about the machine and the job.
-void ShardLeader::finish_exit(const PendingExit& exit, const TaskId& task) {
+void ShardLeader::process_committed_exit(const PendingExit& exit, const TaskId& task) {
   const double now = loop_.now();
-  stopping_.erase(task);
+  stop_requests_.erase(task);
   Attempt seen;
   if (auto a = attempts_.find(task); a != attempts_.end()) {
     if (auto i = a->second.find(exit.attempt); i != a->second.end()) seen = i->second;
@@ -40,7 +41,7 @@
   auto it = machines_.find(exit.machine);
   if (!job || it == machines_.end()) return;
   Machine& m = it->second;
-  mark_changed(m.id);
+  mark_machine_changed(m.id);
   // The worker can drop it from its reports now; a later report repeats this if it is lost.
   if (auto t = m.tasks.find(task); t != m.tasks.end() && t->second.attempt == exit.attempt &&
                                    t->second.state == TaskState::exited &&
@@ -91,7 +92,7 @@
     Machine& m = machines_.at(id);
     m.draining = false;
     m.faulty_since = 0;
-    mark_changed(id);
+    mark_machine_changed(id);
   }
   for (auto& id : review.faulty) {
     spdlog::warn("{} is drained: tasks of different jobs fail on it", id);
@@ -101,12 +102,12 @@
   }
 }
 
-bool ShardLeader::failed_before(const Job& job) {
+bool ShardLeader::failed_under_earlier_leases(const Job& job) {
   if (job.live > 0 || job.done > 0) return false;
   // Their attempts grow with every machine that is lost.
   if (job.spec.replicated()) return false;
   return std::any_of(job.chunks.begin(), job.chunks.end(), [](auto& chunk) {
-    return chunk.second.record.last_attempt() >= attempts_in_vain;
+    return chunk.second.record.last_attempt() >= min_unsuccessful_attempts;
   });
 }
 
--- a/src/coordination/shard_leader/shard_leader_gangs.cpp
+++ b/src/coordination/shard_leader/shard_leader_gangs.cpp
@@ -6,8 +6,8 @@
 namespace damsonport {
 
 bool ShardLeader::is_stopping(const PlacedTask& task) const {
-  auto stop = stopping_.find(task.name);
-  return stop != stopping_.end() && stop->second.attempt == task.attempt;
+  auto stop = stop_requests_.find(task.name);
+  return stop != stop_requests_.end() && stop->second.attempt == task.attempt;
 }
 
 bool ShardLeader::has_ended(const PlacedTask& task) const {
@@ -58,12 +58,12 @@
   for (auto& task : gang.live_tasks())
     if (task.attempt == attempt && !exits_.contains(task.name)) {
       exits_[task.name] = {attempt, ExitCause::done, task.machine};
-      mark_changed(task.machine);
+      mark_machine_changed(task.machine);
     }
 }
 
 void ShardLeader::note_exit(const TaskId& task, PendingExit exit) {
-  mark_changed(exit.machine);
+  mark_machine_changed(exit.machine);
   Job* job = cache_.job(task.job);
   if (!job || job->spec.gang_size() == 0) {
     exits_[task] = std::move(exit);
@@ -76,7 +76,7 @@
   exits_[task] = std::move(exit);
   if (is_gang && cause == ExitCause::done) return finish_gang(*job, attempt);
   const TaskRange gang = gang_containing(job->spec, task.index);
-  const bool stopped = cause == ExitCause::stopped && stopping_.contains(task);
+  const bool stopped = cause == ExitCause::stopped && stop_requests_.contains(task);
   gangs_.note_exit(*job, gang, attempt, cause, stopped);
   replicas_.note_exit(*job, gang, attempt, cause);
   review_gang(*job, gang);
@@ -88,9 +88,9 @@
 
 void ShardLeader::stop_task(const PlacedTask& task, double grace_s) {
   if (scale_in_.tracker().is_returned(task.machine)) return;  // gone with its machine
-  stopping_[task.name] = {task.attempt, grace_s};
+  stop_requests_[task.name] = {task.attempt, grace_s};
   Machine& m = machine(task.machine);
-  mark_changed(m.id);
+  mark_machine_changed(m.id);
   auto reported = m.tasks.find(task.name);
   // One that is not reported yet is stopped by the next report.
   if (reported != m.tasks.end() && reported->second.attempt == task.attempt)
--- a/src/coordination/shard_leader/shard_leader_heartbeats.cpp
+++ b/src/coordination/shard_leader/shard_leader_heartbeats.cpp
@@ -13,7 +13,7 @@
     it->second.id = id;
     it->second.last_heartbeat_at = loop_.now();
     it->second.idle_since = loop_.now();
-    mark_changed(id);
+    mark_machine_changed(id);
   }
   return it->second;
 }
@@ -34,7 +34,8 @@
     TaskId name{a.job->spec.id, a.index};
     if (exits_.contains(name)) continue;  // proven gone, about to be committed
     DesiredTask e{name, attempt, is_cancelled(*a.job), {}};
-    if (auto s = stopping_.find(name); s != stopping_.end() && s->second.attempt == attempt)
+    if (auto s = stop_requests_.find(name);
+        s != stop_requests_.end() && s->second.attempt == attempt)
       e.stop = s->second.grace_s;
     out.push_back(std::move(e));
   }
@@ -50,42 +51,43 @@
   machines_.erase(it);
 }
 
-void ShardLeader::mark_changed(const std::string& machine) {
+void ShardLeader::mark_machine_changed(const std::string& machine) {
   snapshot_builder_.mark_machine_changed(machine);
   deduplicator_.forget(machine);
 }
 
-bool ShardLeader::may_deduplicate(const Machine& m, const Heartbeat& r,
+bool ShardLeader::may_deduplicate(const Machine& m, const Heartbeat& heartbeat,
                                   const ReconcileResult& outcome) const {
   // Notices grow shorter, and a gang's tasks are followed from report to report.
   const bool any_gang = std::any_of(m.tasks.begin(), m.tasks.end(), [&](auto& task) {
     const Job* job = cache_.job(task.first.job);
     return !job || job->spec.kind == JobKind::gang;
   });
-  return outcome.agrees && r.tasks.size() == m.tasks.size() && !r.notice_s && !any_gang &&
-         deps_.catalog.type(m.type);
+  return outcome.agrees && heartbeat.tasks.size() == m.tasks.size() && !heartbeat.notice_s &&
+         !any_gang && deps_.catalog.type(m.type);
 }
 
-bool ShardLeader::process_heartbeat(Machine& m, const Heartbeat& r, bool direct, double as_of,
-                                    std::vector<Command>& commands) {
+bool ShardLeader::process_heartbeat(Machine& m, const Heartbeat& heartbeat, bool direct,
+                                    double as_of, std::vector<Command>& commands) {
   const auto epoch_before = m.agent_epoch;
   // What ran until the last repetition of the report before this one used its images until then.
   const double last_repeat_at = std::exchange(m.last_repeat_at, 0);
-  if (last_repeat_at > 0) note_images(m, last_repeat_at);
-  if (!apply_heartbeat(m, r, loop_.now(), direct, as_of)) return false;
-  mark_changed(m.id);
+  if (last_repeat_at > 0) note_image_uses(m, last_repeat_at);
+  if (!apply_heartbeat(m, heartbeat, loop_.now(), direct, as_of)) return false;
+  mark_machine_changed(m.id);
   scale_in_.note_heartbeat(m.id);
   autoscaler_.note_heartbeat(m.id);
   if (epoch_before != 0 && epoch_before != m.agent_epoch)
     spdlog::info("{} began session {}: what ran there is gone", m.id, m.agent_epoch);
   if (epoch_before == 0) {
     scheduling_requested_ = true;
-    recall_images(m);
+    restore_image_cache(m);
   }
-  note_states(m);
-  note_absent_parts(m);
-  auto todo = reconcile(m, desired_tasks_on(m), lease_.fencing_token(), lease_.records_current());
-  for (auto& e : todo.exits) {
+  note_task_states(m);
+  note_missing_parts(m);
+  auto reconciliation =
+      reconcile(m, desired_tasks_on(m), lease_.fencing_token(), lease_.records_current());
+  for (auto& e : reconciliation.exits) {
     if (exits_.contains(e.task)) continue;
     spdlog::debug("{} attempt {} ended on {}: cause {}", e.task.text(), e.attempt, m.id,
                   static_cast<int>(e.cause));
@@ -93,17 +95,17 @@
     deps_.changed.notify();
   }
   // An exit that waits for its commit is not forgotten yet, and its start not repeated.
-  std::erase_if(todo.commands, [&](const Command& c) {
+  std::erase_if(reconciliation.commands, [&](const Command& c) {
     auto it = exits_.find(c.task);
     return it != exits_.end() && it->second.attempt == c.attempt;
   });
-  const bool repeatable = may_deduplicate(m, r, todo);
-  commands = std::move(todo.commands);
+  const bool repeatable = may_deduplicate(m, heartbeat, reconciliation);
+  commands = std::move(reconciliation.commands);
   return repeatable;
 }
 
 void ShardLeader::assignment_changed(const std::string& machine, const Job& job, bool added) {
-  if (lease_.fencing_token() != 0) mark_changed(machine);
+  if (lease_.fencing_token() != 0) mark_machine_changed(machine);
   if (!added) return;
   // How much a machine holds depends on its type, which is not known here: as much as any.
   double most = 0;
@@ -113,33 +115,34 @@
 
 // At a machine's first report to a new holder. Without it every start after a takeover seemed to
 // need a fetch, except of the images running just then.
-void ShardLeader::recall_images(Machine& m) {
+void ShardLeader::restore_image_cache(Machine& m) {
   auto* type = deps_.catalog.type(m.type);
   auto seen = images_seen_.find(m.id);
   if (!type || seen == images_seen_.end()) return;
   // From the oldest to the newest, as the machine used them: so the newest stay.
-  std::vector<std::pair<double, const std::string*>> dispatch;
-  for (auto& [image, use] : seen->second.images()) dispatch.emplace_back(use.first, &image);
-  std::sort(dispatch.begin(), dispatch.end());
-  for (auto& [at, image] : dispatch)
+  std::vector<std::pair<double, const std::string*>> images_by_last_use;
+  for (auto& [image, use] : seen->second.images())
+    images_by_last_use.emplace_back(use.first, &image);
+  std::sort(images_by_last_use.begin(), images_by_last_use.end());
+  for (auto& [at, image] : images_by_last_use)
     m.images.used(*image, seen->second.images().at(*image).second, at, type->cache_gb);
 }
 
-void ShardLeader::note_images(Machine& m, double at) {
+void ShardLeader::note_image_uses(Machine& m, double at) {
   auto* type = deps_.catalog.type(m.type);
   if (!type) return;
   for (auto& [name, t] : m.tasks) {
-    const bool had_it = t.state != TaskState::fetching &&
-                        (t.state != TaskState::exited || t.cause == ExitCause::done);
+    const bool has_image = t.state != TaskState::fetching &&
+                           (t.state != TaskState::exited || t.cause == ExitCause::done);
     const Job* job = cache_.job(name.job);
-    if (had_it && job) m.images.used(job->spec.image, job->spec.image_gb, at, type->cache_gb);
+    if (has_image && job) m.images.used(job->spec.image, job->spec.image_gb, at, type->cache_gb);
   }
 }
 
 // Which images the machine holds and fetches, and since when tasks run.
-void ShardLeader::note_states(Machine& m) {
+void ShardLeader::note_task_states(Machine& m) {
   const double now = loop_.now();
-  note_images(m, now);
+  note_image_uses(m, now);
   auto fetching = std::move(m.fetching);
   m.fetching.clear();
   for (auto& [name, t] : m.tasks) {
@@ -147,8 +150,8 @@
     if (!job) continue;
     auto& s = job->spec;
     if (t.state == TaskState::fetching) {
-      auto was = fetching.find(s.image);
-      m.fetching[s.image] = was == fetching.end() ? now : was->second;
+      auto previous = fetching.find(s.image);
+      m.fetching[s.image] = previous == fetching.end() ? now : previous->second;
       continue;
     }
     const bool ran = t.state == TaskState::running || t.state == TaskState::saving;
@@ -160,22 +163,22 @@
 
 // A replica that may have been ready is never ready again under an attempt that lost a part, so the
 // part isn't started anew as any other task would be: the attempt is over.
-void ShardLeader::note_absent_parts(const Machine& m) {
+void ShardLeader::note_missing_parts(const Machine& m) {
   if (!replicas_.any() || m.fencing_token < lease_.fencing_token() || !lease_.records_current())
     return;
-  std::vector<std::pair<const Job*, TaskRange>> concerned;
+  std::vector<std::pair<const Job*, TaskRange>> affected_replicas;
   for (auto& [assignment, attempt] : cache_.assigned(m.id)) {
     const Job& job = *assignment.job;
     if (!job.spec.replicated()) continue;
     const TaskId name{job.spec.id, assignment.index};
     auto reported = m.tasks.find(name);
-    const bool there = reported != m.tasks.end() && reported->second.attempt == attempt;
-    if (there || m.has_outstanding_start({name, attempt}) || exits_.contains(name)) continue;
+    const bool is_reported = reported != m.tasks.end() && reported->second.attempt == attempt;
+    if (is_reported || m.has_outstanding_start({name, attempt}) || exits_.contains(name)) continue;
     const TaskRange replica = gang_containing(job.spec, assignment.index);
     gangs_.note_task_missing(job, replica, attempt);
-    concerned.emplace_back(&job, replica);
+    affected_replicas.emplace_back(&job, replica);
   }
-  for (auto& [job, replica] : concerned) review_gang(*job, replica);
+  for (auto& [job, replica] : affected_replicas) review_gang(*job, replica);
 }
 
 void ShardLeader::note_running(Machine& m, const TaskId& task, uint64_t attempt) {
--- a/src/coordination/shard_leader/shard_leader_machine_list.cpp
+++ b/src/coordination/shard_leader/shard_leader_machine_list.cpp
@@ -10,11 +10,11 @@
   const double tick_s = settings_.heartbeat_interval_s / 4;
   while (!stop_token.stop_requested()) {
     if (!co_await Sleep(loop_, tick_s, stop_token)) co_return;
-    const bool due = loop_.now() >= next_list_;
+    const bool due = loop_.now() >= next_machine_list_at_;
     if (!due || !lease_.leads_cluster_and_shard() || !lease_.records_current() ||
         !deps_.catalog.known())
       continue;
-    next_list_ = loop_.now() + settings_.list_lag_s / 2;
+    next_machine_list_at_ = loop_.now() + settings_.list_lag_s / 2;
     MachineListReader::Take take = [this](auto& listed) { note_listed(listed); };
     MachineListReader::KeepGoing keep_going = [this, fencing_token = lease_.fencing_token()] {
       return fencing_token == lease_.fencing_token() && lease_.leads_cluster_and_shard();
@@ -41,7 +41,7 @@
     m.type = listed.type;
     m.zone = listed.zone;
     m.spot = listed.spot;
-    mark_changed(listed.id);
+    mark_machine_changed(listed.id);
   }
 }
 
--- a/src/coordination/shard_leader/shard_leader_budgets.cpp
+++ b/src/coordination/shard_leader/shard_leader_quotas.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 // Report periods between two looks at what the teams want.
-constexpr double measure_reports = 0.1;
+constexpr double quota_check_intervals = 0.1;
 }  // namespace
 
 // A gift counts on the records alone: none of this holder's starts is under way or in doubt here,
@@ -18,14 +18,14 @@
   // An older version that takes over would count the whole limit as its own.
   if (!deps_.versions.all_have(VersionRegistry::quotas)) co_return StepResult::idle;
   const double now = loop_.now();
-  if (!quota_news_ && now < next_quotas_at_) co_return StepResult::idle;
-  quota_news_ = false;
-  next_quotas_at_ = now + settings_.heartbeat_interval_s * measure_reports;
+  if (!quota_update_pending_ && now < next_quota_check_at_) co_return StepResult::idle;
+  quota_update_pending_ = false;
+  next_quota_check_at_ = now + settings_.heartbeat_interval_s * quota_check_intervals;
   deps_.quotas.measure(now);
   // One put fewer than the service takes at once.
   Transaction transaction = deps_.quotas.next_changes(limits().txn_writes - 1);
   if (transaction.writes.empty()) {
-    send_deficits();
+    announce_deficits();
     co_return StepResult::idle;
   }
   transaction.preconditions[keys::shard_table] = cache_.shard_table_version();
@@ -34,20 +34,20 @@
   const CommitResult result =
       co_await commit_and_apply(std::move(transaction), stop_token, std::move(options));
   if (result == CommitResult::committed) scheduling_requested_ = true;
-  quota_news_ = true;  // more may be due
+  quota_update_pending_ = true;  // more may be due
   deps_.regions.wake();
   co_return StepResult::busy;
 }
 
 // Other regions hear at once that a team wants more than it has here.
-void ShardLeader::send_deficits() {
-  const bool unmet = deps_.quotas.any_deficit();
-  if (unmet && !deficit_sent_) deps_.regions.wake();
-  deficit_sent_ = unmet;
+void ShardLeader::announce_deficits() {
+  const bool has_deficit = deps_.quotas.any_deficit();
+  if (has_deficit && !deficit_announced_) deps_.regions.wake();
+  deficit_announced_ = has_deficit;
 }
 
 void ShardLeader::on_quota_news() {
-  quota_news_ = true;
+  quota_update_pending_ = true;
   deps_.changed.notify();
 }
 
