--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -130,9 +130,9 @@
     shard_leader_.job_changed(job);
   };
   peer_network_.on_cancelled = [this](const std::string& job) {
-    shard_leader_.cancelled_elsewhere(job);
+    shard_leader_.on_peer_cancellation(job);
   };
-  regions_.on_news = [this] { shard_leader_.on_quota_news(); };
+  regions_.on_news = [this] { shard_leader_.on_quota_update(); };
   cache_.events().on_assignment = [this](const std::string& machine, const Job& job,
                                          AssignmentChange change) {
     shard_leader_.assignment_changed(machine, job, change == AssignmentChange::added);
@@ -215,7 +215,7 @@
   const double wanted = api_.wanted_writes();
   if (!election_.is_leading()) return wanted;
   return wanted + settings_.state_limits.present().writes_per_s / 2 +
-         static_cast<double>(shard_leader_.waiting_writes());
+         static_cast<double>(shard_leader_.pending_writes());
 }
 
 void Controller::divide_store_limits() {
--- a/src/coordination/shard_leader/shard_leader.hpp
+++ b/src/coordination/shard_leader/shard_leader.hpp
@@ -71,15 +71,15 @@
     return is_leading() ? machines_.size() : cache_.assignments().size();
   }
   // Records that it would write at once if it could.
-  uint64_t waiting_writes() const;
+  uint64_t pending_writes() const;
   // Machines that keep coming here although another node holds them.
   uint64_t misrouted_machines() const { return lease_renewal_.misrouted_machines(); }
   void job_changed(Job* job);
   void job_gone(Job* job);
   // Another region has given budget, or asks for some.
-  void on_quota_news();
+  void on_quota_update();
   // Another controller says that the job is cancelled; the records may follow.
-  void cancelled_elsewhere(const std::string& job);
+  void on_peer_cancellation(const std::string& job);
   // Replicas of several parts, as this holder knows them; none where it holds nothing.
   std::vector<replicas::ReplicaStatus> replica_statuses();
   // The records put a task of this job on the machine, or took one away.
--- a/src/coordination/shard_leader/shard_leader_cancellations.cpp
+++ b/src/coordination/shard_leader/shard_leader_cancellations.cpp
@@ -17,7 +17,7 @@
   return received ? std::max(*received, job.cancelled_since) : job.cancelled_since;
 }
 
-void ShardLeader::cancelled_elsewhere(const std::string& id) {
+void ShardLeader::on_peer_cancellation(const std::string& id) {
   Job* job = cache_.job(id);
   if (lease_.fencing_token() == 0 || !job) return;
   snapshot_builder_.mark_job_changed(*job);
--- a/src/coordination/shard_leader/shard_leader_commit.cpp
+++ b/src/coordination/shard_leader/shard_leader_commit.cpp
@@ -53,7 +53,7 @@
 }
 
 // Tasks of one record share its write, so that an array of thousands wants few.
-uint64_t ShardLeader::waiting_writes() const {
+uint64_t ShardLeader::pending_writes() const {
   if (!is_leading()) return 0;
   uint64_t records = 0;
   std::string job;
--- a/src/coordination/shard_leader/shard_leader_quotas.cpp
+++ b/src/coordination/shard_leader/shard_leader_quotas.cpp
@@ -46,7 +46,7 @@
   deficit_announced_ = has_deficit;
 }
 
-void ShardLeader::on_quota_news() {
+void ShardLeader::on_quota_update() {
   quota_update_pending_ = true;
   deps_.changed.notify();
 }
