--- a/src/coordination/shard_leader/shard_leader.cpp
+++ b/src/coordination/shard_leader/shard_leader.cpp
@@ -97,7 +97,7 @@
 
 double ShardLeader::running_since(const TaskId& task, uint64_t attempt) const {
   constexpr double infinity = std::numeric_limits<double>::infinity();
-  // What was started under an earlier lease has run for long.
+  // An attempt that was started under an earlier lease has been running for long.
   auto attempts = attempts_.find(task);
   if (attempts == attempts_.end()) return -infinity;
   auto it = attempts->second.find(attempt);
@@ -140,7 +140,8 @@
   task_failures_.clear();
   scheduling_requested_ = true;
   next_machine_list_at_ = 0;
-  // Machines that an earlier holder rented are heard first. The first one of all has none.
+  // Machines that an earlier shard leader created get time for a heartbeat before the first scale
+  // out. The very first shard leader has no such machines.
   const bool is_first_lease = cache_.shard_table().renewals <= 1;
   next_scaling_at_ =
       lease_.acquired_at() + (is_first_lease ? 0 : 2 * settings_.heartbeat_interval_s);
@@ -149,8 +150,8 @@
   snapshot_builder_.begin_lease();
   finalizable_jobs_.clear();
   for (auto& [id, assigned] : cache_.assignments()) machine(id);
-  // Marked by an earlier holder, who may not have got round to it.
-  // Those on which nothing is placed any more are returned again where the machine list names them.
+  // An earlier shard leader wrote these tombstones, and may not have returned the machines.
+  // Machines on which nothing is placed any more are returned again if the machine list names them.
   for (auto& [id, mark] : cache_.tombstones())
     if (!cache_.assigned(id).empty()) scale_in_.resume(id);
   for (auto& [id, job] : cache_.jobs()) {
@@ -165,7 +166,7 @@
   if (deps_.quotas.divided() && !deps_.quotas.exchanging())
     spdlog::warn(
         "the teams' limits are divided by the records, but no regions file is given: "
-        "nothing is moved between regions from here");
+        "this controller transfers no quota between regions");
 }
 
 void ShardLeader::on_lease_lost() {
@@ -217,7 +218,7 @@
     if (result == StepResult::busy) continue;
     double pause = std::min(0.25, settings_.heartbeat_interval_s / 6);
     co_await deps_.changed.wait(pause, stop_token);
-    // Events that come close together are decided together.
+    // Events in quick succession are handled by one scheduling cycle.
     if (!co_await Sleep(loop_, 0.01, stop_token)) co_return;
   }
 }
@@ -241,7 +242,7 @@
     review_faults();
     check_drains();
     review_gangs();
-    // What changes with time alone: pauses that are over, machines in doubt.
+    // Time alone changes what can be placed: back-offs end, and machines become suspected.
     if (pending_tasks_ > 0 || snapshot_builder_.has_held_back_jobs()) scheduling_requested_ = true;
     if (deps_.election.is_leading()) {
       co_await scale_in_.return_machines(ScaleInTracker::Selection::all, stop_token);
@@ -250,8 +251,9 @@
         autoscaler_.run(unschedulable_, stop_token);
       }
     } else if (scale_in_.tracker().any_keeps_cancelled_task()) {
-      // A holder whose leadership ended and whose successor is gone too, in an outage: what others
-      // can't return, since they see it hold.
+      // This controller is no longer cluster leader, but still holds the shard lease, because in an
+      // outage its successor has failed as well. The other controllers still see its lease, and so
+      // don't return these machines.
       co_await scale_in_.return_machines(ScaleInTracker::Selection::only_with_cancelled_task,
                                          stop_token);
     }
@@ -271,7 +273,8 @@
 
 std::optional<HttpResponse> ShardLeader::refusal_response(const std::string& machine,
                                                           uint64_t fencing_token) {
-  // A newer holder exists: a 200 would only hold the worker here while its lease runs out.
+  // A newer shard leader exists: a response of 200 would only keep the worker here while its lease
+  // runs out.
   if (fencing_token > lease_.fencing_token()) return HttpResponse{421, encode_redirect({}), 0};
   const bool lacks_contact = deps_.peer_network.is_isolated() && !contact_.in_contact();
   if (!lease_renewal_.may_renew(lacks_contact ? lease_renewal_.note_visit(machine)
@@ -291,7 +294,8 @@
   return on_decoded_heartbeat(*heartbeat, request);
 }
 
-// Only what the holder itself took last is remembered, so its token is known to be ours.
+// Only heartbeats that this shard leader processed itself are remembered, so the worker is known to
+// have learned its fencing token.
 std::optional<HttpResponse> ShardLeader::answer_repeated_heartbeat(const HttpRequest& request) {
   if (!is_leading() || lease_.is_deposed()) return std::nullopt;
   const auto repeat = deduplicator_.find(request.body);
@@ -313,14 +317,15 @@
 
 HttpResponse ShardLeader::on_decoded_heartbeat(const Heartbeat& heartbeat,
                                                const HttpRequest& request) {
-  // Gone, as the cloud said: this is a late copy.
+  // The cloud has confirmed the machine's return, so the heartbeat is a late copy.
   if (scale_in_.tracker().is_returned(heartbeat.machine)) return {421, encode_redirect({}), 0};
   if (!is_leading() || lease_.is_deposed()) return lease_renewal_.answer_misrouted(heartbeat);
   if (auto refused = refusal_response(heartbeat.machine, heartbeat.fencing_token)) return *refused;
   std::vector<Command> commands;
   Machine& m = machine(heartbeat.machine);
   if (heartbeat.newer_than(m.agent_epoch, m.sequence)) {
-    // One report is in flight at a time, so the answer to the one before was taken or dropped.
+    // A worker has one heartbeat in flight at a time, so the response to the previous one was
+    // either received or dropped.
     m.starts_in_response.clear();
     if (process_heartbeat(m, heartbeat, false, request.previous_answer_at, commands))
       deduplicator_.remember(m.id, request.body, heartbeat.sequence);
--- a/src/coordination/shard_leader/shard_leader.hpp
+++ b/src/coordination/shard_leader/shard_leader.hpp
@@ -1,4 +1,9 @@
-// The holder of a grant: sole placer for its teams and sole answerer of its machines' reports.
+/// The shard leader: the one controller that decides on placements and commits changes of tasks.
+///
+/// Every controller has a ShardLeader. While this controller holds the shard lease, it schedules
+/// tasks, answers the heartbeats of the shard's machines, proves and commits the ends of tasks, and
+/// manages the machines. Without the lease it redirects heartbeats (LeaseRenewal) and cleans up
+/// orphaned tasks (OrphanCleanup).
 #pragma once
 #include <map>
 #include <set>
@@ -32,8 +37,18 @@
 
 namespace damsonport {
 
+/// Owned by the Controller, which spawns its three coroutines: run(), run_maintenance() and
+/// follow_machine_list(). These, the heartbeat handler and the callbacks of the record cache all
+/// run on the loop's thread.
+///
+/// Invariants:
+/// - Within this class, only run() and what it awaits commit changes of jobs and tasks, one
+///   transaction at a time, each conditional on the shard table that contains this controller's
+///   lease.
+/// - What is known of machines and attempts belongs to one lease; on_lease_acquired() discards it.
 class ShardLeader : private TaskFacts {
  public:
+  /// All references have to outlive the shard leader.
   struct Dependencies {
     Loop& loop;
     const Settings& settings;
@@ -48,51 +63,58 @@
     ExitForwarder& exit_forwarder;
     quotas::TeamQuotas& quotas;
     quotas::RegionNetwork& regions;
-    Notification& changed;
-    uint64_t incarnation;
+    Notification& changed;  ///< wakes run()
+    uint64_t incarnation;   ///< of this process
   };
   explicit ShardLeader(Dependencies deps);
 
-  // Grants, commits, placement.
+  /// Renews the shard lease, commits changes and schedules tasks, until stopped.
   Task<void> run(std::stop_token stop_token);
-  // Silence, drains, returns and rentals.
+  /// Detects dead machines, drains machines, and scales in and out, until stopped. While another
+  /// controller leads the shard, cleans up orphaned tasks instead.
   Task<void> run_maintenance(std::stop_token stop_token);
-  // What the cloud says is there.
+  /// Reads the cloud's machine list periodically, until stopped.
   Task<void> follow_machine_list(std::stop_token stop_token);
 
-  // The answer to a report in the form in which it came.
+  /// Handles a worker's heartbeat request, encoded as received.
   HttpResponse on_heartbeat(const HttpRequest& request);
+  /// Whether this controller holds the shard lease, as far as is known here.
   bool is_leading() const { return lease_.is_leading(); }
-  /// Of the lease held; 0: none.
+  /// The fencing token of the lease held; 0: none is held.
   uint64_t fencing_token() const { return is_leading() ? lease_.fencing_token() : 0; }
+  /// Tasks that the last scheduling cycle could not place.
   uint64_t pending_tasks() const { return pending_tasks_; }
-  // Machines that report, or are named by the records.
+  /// Number of machines that send heartbeats or that the records name.
   size_t fleet_size() const {
     return is_leading() ? machines_.size() : cache_.assignments().size();
   }
-  // Records that it would write at once if it could.
+  /// Number of records that this shard leader has to write as soon as the store's rate limit
+  /// allows.
   uint64_t pending_writes() const;
-  // Machines that keep coming here although another node holds them.
+  /// Machines that keep sending heartbeats here although another controller leads the shard.
   uint64_t misrouted_machines() const { return lease_renewal_.misrouted_machines(); }
+  /// The records have changed. `job`: the job to which the change belongs; null: none.
   void job_changed(Job* job);
+  /// The job's record has been removed; the object is about to be destroyed.
   void job_gone(Job* job);
-  // Another region has given budget, or asks for some.
+  /// Another region has transferred quota to this one, or requests some.
   void on_quota_update();
-  // Another controller says that the job is cancelled; the records may follow.
+  /// A peer reports that the job is cancelled, possibly before the records show it.
   void on_peer_cancellation(const std::string& job);
-  // Replicas of several parts, as this holder knows them; none where it holds nothing.
+  /// States of all replicas of several parts; empty unless this controller leads the shard.
   std::vector<replicas::ReplicaStatus> replica_statuses();
-  // The records put a task of this job on the machine, or took one away.
+  /// The records place a task of this job on the machine from now on (`added`), or no longer do.
   void assignment_changed(const std::string& machine, const Job& job, bool added);
 
  private:
+  // An attempt that was started under this lease.
   struct Attempt {
-    double ordered_at = 0;
-    double running_at = 0;  // first seen running
+    double ordered_at = 0;  // time of the commit of its start
+    double running_at = 0;  // time of the first heartbeat that showed it running; 0: none yet
     bool image_cached = false;
   };
-  /// Whether a step of the scheduling loop had something to write. After a busy step the loop goes
-  /// on without a pause.
+  /// Whether a step of run() had something to write. After a busy step the loop continues without a
+  /// pause.
   enum class StepResult : uint8_t { idle, busy };
   enum class CommitResult : uint8_t { committed, not_committed };
   enum class GangStart : uint8_t { complete, incomplete };
@@ -104,17 +126,19 @@
   };
   struct CommitOptions {
     AfterCommit after = AfterCommit::request_cycle;
-    /// Called between the commit and its taking effect here.
+    /// Called after the commit, before its writes are applied to the cache.
     std::function<void()> on_committed;
   };
   static StepResult combine(StepResult one, StepResult other) {
     return one == StepResult::busy ? one : other;
   }
+  // The proven end of an attempt, to be committed.
   struct PendingExit {
     uint64_t attempt;
     ExitCause cause;
     std::string machine;
   };
+  // A request to stop the attempt, with the seconds that the task has to save its state.
   struct StopRequest {
     uint64_t attempt;
     double grace_s;
@@ -124,64 +148,75 @@
   void on_lease_lost();
   void step_down_if_unreachable();
 
-  // --- cancelled jobs
+  // --- cancelled jobs (shard_leader_cancellations.cpp)
+  // Whether the job is cancelled according to the records or to a peer's message.
   bool is_cancelled(const Job& job) const;
+  // Steady time of the cancellation, or earlier.
   double cancelled_since(const Job& job) const;
   void stop_cancelled(const Job& job);
+  // Whether a recent message of the machine shows that it doesn't run the attempt.
   bool has_released_task(const std::string& machine, const TaskId& task, uint64_t attempt) const;
 
-  // Exits that other controllers were told of by machines that can't reach us.
+  // Takes over the exits that other controllers have forwarded: they received the heartbeats of
+  // machines that can't reach this controller.
   void apply_forwarded_exits();
 
-  // --- committing (holder_commit.cpp)
+  // --- commits (shard_leader_commit.cpp)
   Task<StepResult> commit_exits(std::stop_token stop_token);
   Task<StepResult> commit_final_states(std::stop_token stop_token);
   Task<StepResult> commit_starts(std::stop_token stop_token);
   void dispatch_preemptions(const scheduling::Decisions& decided);
   void note_unschedulable(const scheduling::Decisions& decided);
   Task<StepResult> commit_gang_starts(std::vector<DecidedGang> gangs, std::stop_token stop_token);
-  /// Whether all of the gang was committed.
+  /// Returns whether the starts of all the gang's tasks were committed.
   Task<GangStart> commit_gang_start(const DecidedGang& gang, std::stop_token stop_token);
   Task<StepResult> commit_single_starts(std::vector<DecidedStart> decided,
                                         std::stop_token stop_token);
-  // How long the starts of one pass may be committed before the next pass.
+  // For how many seconds the starts decided in one scheduling cycle may be committed before the
+  // next cycle begins.
   double max_start_commit_s() const;
   void dispatch_starts(const std::vector<CommittedStart>& starts);
-  /// Commits until the outcome is definite and applies the writes here. Nothing else of this shard
-  /// leader is written meanwhile, so whatever has an uncertain outcome keeps its resources and its
-  /// team's quota until the outcome is known.
+  /// Commits until the outcome is definite, and applies the writes to the cache. This shard leader
+  /// writes nothing else meanwhile, so a start with an uncertain outcome keeps its resources and
+  /// its team's quota until the outcome is known.
   Task<CommitResult> commit_and_apply(Transaction transaction, std::stop_token stop_token,
                                       CommitOptions options);
-  // An exit that is the last of its job, in a transaction that may end the job with it.
+  // Whether the exit is the last one of its job, so that one transaction may commit the exit and
+  // the job's end. `record`: the task's chunk, with the exit.
   bool exit_ends_job(const Job& job, const TaskChunk& record, const PendingExit& exit) const;
-  // What the exits that were committed teach, and their end here.
+  // Updates the observations of jobs and machines from these committed exits, and forgets the
+  // exits.
   void process_committed_exits(const std::vector<TaskId>& tasks);
+  // Reads the keys anew whose preconditions failed.
   Task<void> reread_keys(std::vector<std::string> failed);
-  // What every write has to fit.
+  // The limits that every write has to fit.
   const StateLimits& limits() const { return settings_.state_limits.always(); }
+  // Whether the job's end may be committed: no task of it is left to run.
   static bool is_finalizable(const Job& job) {
     return job.cancelled ? job.live == 0 : job.finished();
   }
 
   Task<StepResult> rechunk(std::stop_token stop_token);
-  /// For the rechunker: whether its transaction was committed.
+  /// Commits a transaction of the rechunker; returns whether it was committed.
   Task<bool> commit_chunks(Transaction transaction, std::stop_token stop_token);
-  // --- the teams' limits among regions (holder_budgets.cpp)
+  // --- the teams' limits divided among regions (shard_leader_quotas.cpp)
   Task<StepResult> commit_quotas(std::stop_token stop_token);
   void announce_deficits();
 
-  // --- gangs (holder_gangs.cpp)
-  // Takes note of a proven exit; of a gang it says something about the other tasks too.
+  // --- gangs (shard_leader_gangs.cpp)
+  // Notes a proven exit. In a gang, the other tasks' state may follow from it.
   void note_exit(const TaskId& task, PendingExit exit);
   bool is_stopping(const PlacedTask& task) const override;
   bool has_ended(const PlacedTask& task) const override;
   const Machine* find_machine(const std::string& id) const override;
-  // Tasks that may be started now.
+  // Number of the gang's tasks that may be started now.
   uint32_t startable_gang_tasks(const Job& job, TaskRange gang);
+  // Stops the gang's tasks if its attempt has to be abandoned.
   void review_gang(const Job& job, TaskRange gang);
+  // Also reviews the replicas: their states, repairs and moves.
   void review_gangs();
   void finish_gang(const Job& gang, uint64_t attempt);
-  // Tells every task of the attempt at once.
+  // Stops all live tasks of the gang at once.
   void stop_gang(const Job& job, TaskRange gang, double grace_s);
   void stop_task(const PlacedTask& task, double grace_s);
 
@@ -192,45 +227,53 @@
   void forget_machine(const std::string& id);
 
   // --- machines (shard_leader_heartbeats.cpp, shard_leader_failures.cpp)
+  // The machine with this id, which becomes known if it wasn't.
   Machine& machine(const std::string& id);
   HttpResponse on_decoded_heartbeat(const Heartbeat& heartbeat, const HttpRequest& request);
-  // Why a machine that has seen this token isn't answered now; nothing: it is.
+  // The error response for a machine whose worker has learned this fencing token; nothing: its
+  // heartbeat may be answered now.
   std::optional<HttpResponse> refusal_response(const std::string& machine, uint64_t fencing_token);
-  // Answers a report that repeats the last one, without looking into it; nothing: it doesn't.
+  // Answers a heartbeat that repeats the machine's last one, without decoding the heartbeat;
+  // nothing: the heartbeat has to be decoded and processed.
   std::optional<HttpResponse> answer_repeated_heartbeat(const HttpRequest& request);
-  // True: a report that says the same again need not be looked into.
-  // `as_of`: see apply_heartbeat().
+  // Returns true if a heartbeat that repeats this one need not be processed.
+  // `direct`, `as_of`: see apply_heartbeat().
   bool process_heartbeat(Machine& m, const Heartbeat& heartbeat, bool direct, double as_of,
                          std::vector<Command>& commands);
   bool may_deduplicate(const Machine& m, const Heartbeat& heartbeat,
                        const ReconcileResult& outcome) const;
-  // What placement sees of the machine, or what is expected of it, has changed.
+  // The scheduler's view of the machine, or its desired state, has changed.
   void mark_machine_changed(const std::string& machine);
+  // The tasks that the records place on the machine, without those whose end is proven.
   std::vector<DesiredTask> desired_tasks_on(const Machine& m) const;
+  // Records which images the machine holds and fetches, and since when its tasks run.
   void note_task_states(Machine& m);
-  // Parts of replicas that the records place on the machine and that it doesn't have.
+  // Notes parts of replicas that the records place on the machine and that it doesn't report.
   void note_missing_parts(const Machine& m);
-  // The images of its tasks are in use at this time.
+  // Notes that the images of the machine's tasks are in use at this time.
   void note_image_uses(Machine& m, double at);
   void note_running(Machine& m, const TaskId& task, uint64_t attempt);
+  // Fills the machine's image cache with the uses that this controller saw before its lease.
   void restore_image_cache(Machine& m);
   void process_committed_exit(const PendingExit& exit, const TaskId& task);
   void note_error(Machine& m, const JobSpec& spec);
-  // Drains the machines at fault, a bounded share of the fleet at a time, and takes back those for
-  // which the blame has gone to a job.
+  // Drains faulty machines, a bounded share of the fleet at a time, and ends the drain of those
+  // whose failures are now attributed to a job.
   void review_faults();
-  // A job whose tasks were started again and again by earlier holders and of which nothing is done.
+  // Whether earlier shard leaders started the job's tasks repeatedly and none of them is done.
   static bool failed_under_earlier_leases(const Job& job);
   bool is_schedulable(const Machine& m) const;
-  // Enough for a task that saves, with some room for the message; 0 for one that never does.
+  // Seconds in which a stopped task can save its state, with a margin for the message; 0 for a task
+  // that never saves.
   double stop_grace(const JobSpec& s) const;
 
-  /// Whether the command, which was decided before, still agrees with the records.
+  /// Whether a command that was decided earlier still agrees with the records.
   bool is_still_wanted(const Machine& m, const Command& command) const;
   CommandDispatcher::Callbacks dispatcher_callbacks();
 
   // --- fleet (shard_leader_machine_list.cpp, shard_leader_drains.cpp,
   // shard_leader_autoscaling.cpp)
+  // Processes one machine of the cloud's machine list.
   void note_listed(const ListedMachine& listed);
   void detect_dead_machines();
   void return_machines_keeping_cancelled_tasks();
@@ -240,6 +283,7 @@
   ScaleIn::Dependencies scale_in_dependencies();
   void on_machine_returned(const std::string& id, bool declared_dead);
   AutoscalerDriver::Dependencies autoscaler_dependencies();
+  // Gives the machine no more tasks and returns it when it is empty. `why` is for the log.
   void drain(Machine& m, const std::string& why);
 
   Dependencies deps_;
@@ -255,8 +299,9 @@
   MachineListReader machine_list_;
   OrphanCleanup orphan_cleanup_;
   FailureDetector failure_detector_;
-  // Which images the records put on which machine and when, seen by every node from the changes it
-  // follows, so that a new holder knows most of what the last one knew.
+  // Uses of images and their times, by machine, derived from the tasks that the records place on
+  // each machine. Every controller keeps these, so a new shard leader knows most of what the
+  // previous one knew.
   std::unordered_map<std::string, ImageCache> images_seen_;
 
   std::map<std::string, Machine> machines_;
@@ -268,22 +313,22 @@
   std::map<TaskId, std::map<uint64_t, Attempt>> attempts_;
   std::map<TaskId, PendingExit> exits_;
   std::map<TaskId, StopRequest> stop_requests_;
-  std::set<std::string> cancelled_jobs_;  // jobs, whose tasks may still be there
+  std::set<std::string> cancelled_jobs_;  // tasks of these jobs may still be live
   ScaleIn scale_in_;
   AutoscalerDriver autoscaler_;
   Rechunker rechunker_;
   CommandDispatcher commands_;
   std::vector<autoscaling::ResourceDemand> unschedulable_;
   uint64_t pending_tasks_ = 0;
-  size_t jobs_with_uncommitted_starts_ = 0;  // jobs whose starts the last pass decided and put off
+  size_t jobs_with_uncommitted_starts_ = 0;  // number of jobs whose decided starts were postponed
   bool quota_update_pending_ = false, deficit_announced_ = false;
   double next_quota_check_at_ = 0;
   double next_machine_list_at_ = 0, next_scaling_at_ = 0;
   bool scheduling_requested_ = true;
   double next_cycle_at_ = 0;
-  double last_cycle_s_ = 0;  // how long the last pass of placement took
+  double last_cycle_s_ = 0;  // duration of the last scheduling cycle
   SnapshotBuilder snapshot_builder_;
-  std::set<std::string> finalizable_jobs_;  // jobs whose end may be committed
+  std::set<std::string> finalizable_jobs_;  // see is_finalizable()
 };
 
 }  // namespace damsonport
--- a/src/coordination/shard_leader/shard_leader_autoscaling.cpp
+++ b/src/coordination/shard_leader/shard_leader_autoscaling.cpp
@@ -1,4 +1,4 @@
-// What scale-in and the autoscaler need of the shard leader.
+// Connects the shard leader with ScaleIn and the AutoscalerDriver.
 #include "coordination/shard_leader/shard_leader.hpp"
 
 namespace damsonport {
@@ -19,7 +19,8 @@
           }};
 }
 
-// Gone, with everything on it: the proof that lets its tasks start elsewhere.
+// The machine is gone with everything that ran on it, which proves that its tasks may be started
+// elsewhere.
 void ShardLeader::on_machine_returned(const std::string& id, bool declared_dead) {
   autoscaler_.note_returned(id, find_machine(id), declared_dead);
   forget_machine(id);
--- a/src/coordination/shard_leader/shard_leader_cancellations.cpp
+++ b/src/coordination/shard_leader/shard_leader_cancellations.cpp
@@ -1,12 +1,13 @@
-// The holder's dealings with cancelled jobs: their tasks stop at once, and a machine that keeps one
-// is returned in time.
+// The shard leader's handling of cancelled jobs: their tasks are stopped at once, and a machine
+// that keeps running one is returned to the cloud before the deadline of the cancellation.
 #include <algorithm>
 
 #include "coordination/shard_leader/shard_leader.hpp"
 
 namespace damsonport {
 
-// Also by another controller's word: nobody has a use for these tasks, and stopping needs no proof.
+// A peer's message is enough: nobody needs these tasks any more, and stopping a task requires no
+// proof.
 bool ShardLeader::is_cancelled(const Job& job) const {
   return job.cancelled || deps_.cancellations.is_cancelled(job.spec.id);
 }
@@ -35,8 +36,9 @@
   }
 }
 
-// A message of the machine just now doesn't show the task, or shows it ended. No proof that it may
-// run elsewhere, but no reason to return the machine either, while its messages keep saying so.
+// True if a recent message of the machine doesn't contain the task, or shows that it has exited.
+// That doesn't prove that the task may be started elsewhere, but the machine need not be returned
+// while its messages remain so.
 bool ShardLeader::has_released_task(const std::string& id, const TaskId& task,
                                     uint64_t attempt) const {
   auto it = machines_.find(id);
@@ -50,13 +52,14 @@
   return t == m.tasks.end() || t->second.state == TaskState::exited;
 }
 
-// A cancelled task that a machine does not let go in time goes with the machine. The age of the
-// cancellation is that of the record or what others say, so it outlives any number of holders.
+// Returns the machines that have not stopped a cancelled task in time. The age of the cancellation
+// is taken from the record or from peers' messages, so it survives any number of failovers.
 void ShardLeader::return_machines_keeping_cancelled_tasks() {
   const double now = loop_.now();
   const double return_after_s = settings_.cancel_s * tuning_.cancel_return_share;
-  // A new holder has not heard yet what its machines did meanwhile. It waits for that, but not past
-  // the time at which the task must be gone; what is older was long stopped, or is too late.
+  // A new shard leader has not received its machines' heartbeats yet. It waits for them, but not
+  // beyond the time at which the tasks must be gone. For a still older cancellation it waits in any
+  // case: the tasks were stopped long ago, or the deadline is missed already.
   const bool heartbeats_received = now - lease_.acquired_at() > 2 * settings_.heartbeat_interval_s;
   const double latest_wait_s = settings_.cancel_s * 0.9;
   const double oldest_urgent_age_s = settings_.cancel_s * 1.1;
--- a/src/coordination/shard_leader/shard_leader_commit.cpp
+++ b/src/coordination/shard_leader/shard_leader_commit.cpp
@@ -1,5 +1,5 @@
-// What the holder writes: exits, ends of jobs and starts, each conditional on `blocks` and on the
-// record that it changes.
+// The shard leader's commits: exits, ends of jobs and starts. Each is conditional on the shard
+// table and on the records that it changes.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Share of a report period that one pass may go on committing starts.
+// Share of a heartbeat interval for which the starts of one scheduling cycle may be committed.
 constexpr double start_commit_share = 0.05;
 constexpr double rejected_transaction_pause_s = 0.2;
 
@@ -19,7 +19,8 @@
 Task<void> ShardLeader::reread_keys(std::vector<std::string> failed) {
   for (auto& key : failed) {
     auto read = co_await deps_.store.get(key, RequestPriority::scheduling);
-    // Also that it is absent: a copy that came back from the dead must not be built on again.
+    // An absence is applied as well: otherwise a removed record that has reappeared in the cache
+    // would be used again.
     if (read.answered() && read.key_value.version) cache_.apply(read.key_value);
   }
 }
@@ -38,12 +39,13 @@
     co_return CommitResult::committed;
   }
   if (reply.outcome == TransactionOutcome::conflict) {
-    spdlog::debug("a commit conflicts with a change of {}",
+    spdlog::debug("commit conflicts with a change of key {}",
                   reply.failed_keys.empty() ? "?" : reply.failed_keys.front());
     co_await reread_keys(std::move(reply.failed_keys));
   }
   if (reply.outcome == TransactionOutcome::invalid) {
-    // Definite: nothing of it was written, and the same again would be refused again.
+    // This outcome is definite: nothing was written, and the same transaction would be rejected
+    // again.
     spdlog::error("the key-value store refuses a transaction with {} as invalid",
                   writes.empty() ? "no writes" : writes.front().key);
     rechunker_.note_refused(writes);
@@ -52,7 +54,7 @@
   co_return CommitResult::not_committed;
 }
 
-// Tasks of one record share its write, so that an array of thousands wants few.
+// Tasks of one chunk share its write, so a job with thousands of tasks counts as few writes.
 uint64_t ShardLeader::pending_writes() const {
   if (!is_leading()) return 0;
   uint64_t records = 0;
@@ -69,12 +71,13 @@
   return records + jobs_with_uncommitted_starts_;
 }
 
-// Jobs of several records, gangs and cancelled ones are ended by commit_final_states().
+// Jobs of several chunks, gangs and cancelled jobs are ended by commit_final_states().
 bool ShardLeader::exit_ends_job(const Job& job, const TaskChunk& record,
                                 const PendingExit& exit) const {
   if (exit.cause != ExitCause::done || job.spec.kind == JobKind::gang || is_cancelled(job))
     return false;
-  // Complete up to the job's last change: no start before a cancellation is unknown to us.
+  // The cache has to be complete up to the job's last change, so that it holds every start that
+  // came before a cancellation.
   if (cache_.revision() < job.version) return false;
   return job.chunk_count() == 1 && record.finished(job.spec.tasks);
 }
@@ -88,15 +91,14 @@
     process_committed_exit(it->second, name);
     exits_.erase(it);
   }
-  // Once for all of them: it looks through the whole fleet.
+  // Called once for all exits, because it examines the whole fleet.
   if (any_error) review_faults();
 }
 
 Task<ShardLeader::StepResult> ShardLeader::commit_exits(std::stop_token stop_token) {
   if (exits_.empty() || !lease_.records_current()) co_return StepResult::idle;
   ChunkEdits edits(cache_, limits());
-  std::vector<TaskId> other_exits,
-      job_ending_exits;  // `job_ending_exits`: those that end their jobs
+  std::vector<TaskId> other_exits, job_ending_exits;
   for (auto it = exits_.begin(); it != exits_.end();) {
     auto& [name, exit] = *it;
     Job* job = cache_.job(name.job);
@@ -104,9 +106,9 @@
     const LiveTask* live = nullptr;
     if (job && job->chunks.contains(chunk))
       live = job->chunks[chunk].record.find_live(name.index % job->chunk_size);
-    // A gang's task may have gone to another machine under the same attempt.
+    // A task of a gang may have been placed on another machine under the same attempt.
     if (!live || live->attempt != exit.attempt || live->machine != exit.machine) {
-      it = exits_.erase(it);  // the records are past it
+      it = exits_.erase(it);  // no longer the attempt in the records
       continue;
     }
     if (rechunker_.exit_must_wait(*job, chunk)) {
@@ -122,7 +124,7 @@
     ++it;
   }
   if (edits.empty()) co_return StepResult::idle;
-  // While the job is still known here: its records go with the commit.
+  // Runs while the job is still in the cache; applying the commit removes its records there.
   std::function<void()> committed = [&] {
     std::set<std::string> ended;
     for (auto& name : job_ending_exits) ended.insert(name.job);
@@ -145,7 +147,8 @@
   co_return StepResult::busy;
 }
 
-// A job's record goes when all its tasks are done, or when it was cancelled and none is left.
+// Removes the records of each job whose tasks are all done, or that was cancelled and has no live
+// task, and writes its final state.
 Task<ShardLeader::StepResult> ShardLeader::commit_final_states(std::stop_token stop_token) {
   if (!lease_.records_current()) co_return StepResult::idle;
   Transaction transaction;
@@ -159,10 +162,12 @@
       continue;
     }
     ++it;
-    // Complete up to the job's last change: no start before a cancellation is unknown to us.
+    // The cache has to be complete up to the job's last change, so that it holds every start that
+    // came before a cancellation.
     if (cache_.revision() < job->version) continue;
     int chunks = static_cast<int>(job->chunks.size());
-    // Chunks that don't fit in become orphans, which are swept later.
+    // Chunks whose removal doesn't fit into the transaction become orphans, which are removed
+    // later.
     int chunks_to_remove = std::min(chunks, std::max(0, limits().txn_writes - 2));
     if (remaining_writes < 2 + chunks_to_remove) break;
     remaining_writes -= 2 + chunks_to_remove;
@@ -177,7 +182,7 @@
       transaction.writes.push_back({job->chunk_key(n), Json(), 0});
     }
     ended.push_back(id);
-    spdlog::info("job {} is {}", id, job->cancelled ? "cancelled and gone" : "done");
+    spdlog::info("job {} is {}", id, job->cancelled ? "cancelled, no task is live" : "done");
     if (remaining_writes < 3) break;
   }
   if (ended.empty()) {
@@ -230,7 +235,8 @@
       now < next_cycle_at_)
     co_return StepResult::idle;
   jobs_with_uncommitted_starts_ = 0;
-  // One pass serves all that came meanwhile; passes are spaced so that bursts share them.
+  // One scheduling cycle handles all events since the last one. Cycles are spaced, so that a burst
+  // of events shares one.
   next_cycle_at_ = now + std::min(0.05, settings_.heartbeat_interval_s / 30);
   scheduling_requested_ = false;
 
@@ -238,12 +244,13 @@
   const auto decided = scheduling::place(snapshot_builder_.snapshot());
   note_unschedulable(decided);
   dispatch_preemptions(decided);
-  // A pass over a large fleet that a new holder hears for the first time takes long: half of the
-  // time is left to reports and users.
+  // The first scheduling cycle of a new shard leader with a large fleet takes long. Half of the
+  // time is left for heartbeats and users' requests.
   last_cycle_s_ = loop_.now() - now;
   next_cycle_at_ = std::max(next_cycle_at_, now + 2 * last_cycle_s_);
 
-  // By name from here on: places in the view are used anew while the commits are under way.
+  // Decisions refer to jobs and machines by name from here on, since indexes into the snapshot are
+  // reused while the commits are under way.
   std::vector<DecidedStart> singles;
   for (auto& start : decided.starts)
     singles.push_back(snapshot_builder_.start_by_name(start.job, start.machine));
@@ -286,9 +293,9 @@
   }
 }
 
-// A gang is started by one transaction where its records fit into one. Otherwise one after the
-// other under the same attempt: a holder that ends halfway leaves a gang with missing tasks, which
-// the next one completes or gives up like any other.
+// A gang is started by one transaction if its chunks fit into one, and otherwise by several, one
+// after the other, under the same attempt. If the shard leader fails in between, the gang has
+// missing tasks, and the next shard leader completes or abandons it like any other such gang.
 Task<ShardLeader::GangStart> ShardLeader::commit_gang_start(const DecidedGang& gang,
                                                             std::stop_token stop_token) {
   const std::string id = gang.starts.front().job;
@@ -296,10 +303,10 @@
   std::vector<CommittedStart> committed;
   while (committed.size() < gang.starts.size()) {
     Job* job = cache_.job(id);
-    // Changed while it was being committed: the next pass sees it as it is.
+    // The job has changed during an earlier commit: the next scheduling cycle takes its new state.
     if (!job || is_cancelled(*job) || !is_leading()) break;
     if (attempt == 0) {
-      // A part that was lost since may have ended the attempt.
+      // The loss of a part since the decision may have ended the attempt.
       if (job->spec.replicated() && gangs_.startable(*job, gang.tasks) == 0) break;
       attempt = next_attempt(*job, gang.tasks);
     }
@@ -308,7 +315,7 @@
     edits.require_unchanged(*job);
     const auto started = edit_gang_starts(*job, gang, committed.size(), attempt, edits);
     if (started.empty()) break;
-    // The job may go while this is committed.
+    // The job may be removed while this transaction is being committed.
     std::function<void()> begun = [&] {
       if (const Job* now = cache_.job(id)) gangs_.note_attempt_started(*now, gang.tasks, attempt);
     };
@@ -323,7 +330,8 @@
   co_return complete ? GangStart::complete : GangStart::incomplete;
 }
 
-// What a long pass has decided is committed for as long as it took, rather than decided again.
+// The starts of a long scheduling cycle may be committed for as long as the cycle took, because
+// deciding them anew would take as long again.
 double ShardLeader::max_start_commit_s() const {
   return std::max(settings_.heartbeat_interval_s * start_commit_share, last_cycle_s_);
 }
@@ -349,7 +357,8 @@
   size_t next = 0;
   bool any = false;
   while (next < decided_starts.size() && is_leading()) {
-    // A long run of starts must not hold up renewals, exits and what became more urgent meanwhile.
+    // A long run of starts must not delay lease renewals, exits and work that has become more
+    // urgent.
     if (loop_.now() - begun > max_start_commit_s()) {
       scheduling_requested_ = true;
       std::set<std::string> jobs;
@@ -363,7 +372,8 @@
     for (; next < decided_starts.size(); ++next) {
       auto& s = decided_starts[next];
       Job* job = cache_.job(s.job);
-      // Changed while an earlier part was being committed: the next pass sees it as it is.
+      // The job has changed during an earlier commit: the next scheduling cycle takes its new
+      // state.
       if (!job || is_cancelled(*job)) continue;
       const auto found = find_startable(
           *job, edits, [&](const TaskChunk& record) { return rechunker_.must_wait(*job, record); });
@@ -396,14 +406,16 @@
     stop_requests_.erase(s.task);
     spdlog::debug("start {} attempt {} on {}{}", s.task.text(), s.attempt, s.machine,
                   s.image_cached ? "" : " (image to be fetched)");
-    // Returned while this was committed, which may take as long as an outage: the start was never
-    // ordered and the machine is gone, which is proof.
+    // The machine was returned during the commit, which may take as long as an outage of the store.
+    // The start command was never sent and the machine is gone, so the attempt is proven to have
+    // ended.
     if (scale_in_.tracker().is_returned(s.machine))
       note_exit(s.task, {s.attempt, ExitCause::stopped, s.machine});
     auto it = machines_.find(s.machine);
     if (it == machines_.end()) continue;
     it->second.idle_since = at;
-    // Cancelled while it was committed: never ordered, it is gone by the next report.
+    // The job was cancelled during the commit. The start command is not sent, so the next heartbeat
+    // proves that the task doesn't run.
     if (Job* job = cache_.job(s.task.job); !job || is_cancelled(*job)) continue;
     commands_.dispatch(it->second, {Command::Op::start, s.task, s.attempt, 0});
   }
--- a/src/coordination/shard_leader/shard_leader_drains.cpp
+++ b/src/coordination/shard_leader/shard_leader_drains.cpp
@@ -1,4 +1,5 @@
-// Which machines take no more tasks: preempted ones, stragglers, and those that are drained.
+// The shard leader's handling of machines that take no more tasks: preempted ones, stragglers, and
+// drained ones.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -14,7 +15,7 @@
 constexpr int failed_sends_of_unreachable = 3;
 }  // namespace
 
-// Takes no new tasks and is returned when empty; a replacement comes through the spare room.
+// Replacements for drained machines come from the autoscaler's spare capacity.
 void ShardLeader::drain(Machine& m, const std::string& why) {
   if (m.draining) return;
   m.drain_reason = why;
@@ -23,7 +24,8 @@
   scheduling_requested_ = true;
 }
 
-// A task that can save is stopped in time to do it, any other one just before the machine is taken.
+// Stops a task that can save its state early enough to do so, and any other task just before the
+// cloud takes the machine.
 void ShardLeader::stop_before_preemption(const Machine& m) {
   const double interval_s = settings_.heartbeat_interval_s;
   const double left_s = *m.preempted_at - loop_.now();
@@ -45,25 +47,29 @@
 void ShardLeader::check_drains() {
   const double now = loop_.now();
   for (auto& [id, m] : machines_) {
-    // Not for good: where few machines fit, a job that failed once on each would never run again.
+    // A failed job avoids the machine only for a time: if few machines fit the job, it could
+    // otherwise never run again after one failure on each.
     if (std::erase_if(m.failed_jobs,
                       [&](auto& failed) { return now - failed.second > 2 * settings_.lease_s; }))
       mark_machine_changed(id);
     if (scale_in_.is_leaving(id)) continue;
     if (m.preempted_at) stop_before_preemption(m);
-    // The jobs that failed here are tried elsewhere first, which may take the blame back.
+    // The jobs that failed here are tried on other machines first, which may show that the jobs are
+    // at fault.
     const bool in_dispute = m.faulty_since > 0 && now - m.faulty_since < settings_.lease_s;
     const bool empty = cache_.assigned(id).empty() && m.tasks.empty() && m.agent_epoch != 0;
     if (m.draining && empty && !in_dispute)
       scale_in_.request(id, "empty and drained (" + m.drain_reason + ")");
-    // Responses don't reach it: its epochs end although every heartbeat is answered.
+    // Responses don't reach the machine: its agent has restarted although every heartbeat was
+    // answered.
     if (m.failed_sends >= failed_sends_of_unreachable && m.agent_restarts >= 1)
       scale_in_.request(id, "it can't be answered");
   }
 }
 
-// First a replacement, then no new tasks. Where the cloud has none, giving the slow machine back is
-// what makes room for one, so it is drained at once; and one that does not come is not waited for.
+// Drains a straggler once a replacement has sent its first heartbeat. If the cloud refuses machines
+// of the kind, returning the straggler is what makes room for a replacement, so the straggler is
+// drained at once. It is also drained if the replacement doesn't come in time.
 void ShardLeader::check_stragglers() {
   const double now = loop_.now();
   std::vector<Machine*> waiting, newcomers;
@@ -89,7 +95,7 @@
     }
     if (!m.draining && (autoscaler_.is_refused({m.type, m.zone, m.spot}) ||
                         now - m.straggler_since > BootingMachines::late_after_s(type)))
-      drain(m, "straggler, no replacement to be had");
+      drain(m, "straggler, no replacement available");
   }
 }
 
--- a/src/coordination/shard_leader/shard_leader_failures.cpp
+++ b/src/coordination/shard_leader/shard_leader_failures.cpp
@@ -1,4 +1,4 @@
-// What is concluded from missed heartbeats and from failed tasks.
+// The shard leader's conclusions from missed heartbeats and failed tasks.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -8,8 +8,8 @@
 namespace damsonport {
 
 namespace {
-constexpr uint64_t min_unsuccessful_attempts =
-    3;  // of one task, in the records: its job is suspected
+// A job is suspected to be faulty if its records show so many attempts of one task without success.
+constexpr uint64_t min_unsuccessful_attempts = 3;
 }  // namespace
 
 void ShardLeader::detect_dead_machines() {
@@ -28,7 +28,7 @@
   }
 }
 
-// After the exit is in the records: what it teaches about the machine and the job.
+// Called after the exit was committed: updates what is known of the machine and the job.
 void ShardLeader::process_committed_exit(const PendingExit& exit, const TaskId& task) {
   const double now = loop_.now();
   stop_requests_.erase(task);
@@ -42,7 +42,8 @@
   if (!job || it == machines_.end()) return;
   Machine& m = it->second;
   mark_machine_changed(m.id);
-  // The worker can drop it from its reports now; a later report repeats this if it is lost.
+  // The worker may remove the task from its heartbeats now. If the command is lost, the next
+  // heartbeat with the task causes another one.
   if (auto t = m.tasks.find(task); t != m.tasks.end() && t->second.attempt == exit.attempt &&
                                    t->second.state == TaskState::exited &&
                                    !m.has_outstanding_start({task, exit.attempt}))
@@ -51,7 +52,8 @@
     case ExitCause::done: {
       task_failures_.note_success(task.job, m.id, seen.running_at);
       if (!seen.image_cached || seen.ordered_at == 0) break;
-      // A gang's tasks all take the time of its slowest machine: their median says nothing of any.
+      // All tasks of a gang take as long as the one on the slowest machine, so their run times say
+      // nothing about single machines.
       if (job->spec.kind == JobKind::gang) break;
       double run = std::max(now - seen.ordered_at, settings_.heartbeat_interval_s);
       if (stragglers_.note_success(task.job, run, m.straggler)) {
@@ -69,7 +71,8 @@
     case ExitCause::unknown:
       spdlog::info("{} was refused by {}", task.text(), m.id);
       task_failures_.note_refusal(task.job, now);
-      // Its place in the gang is filled elsewhere, under the attempt that this machine has refused.
+      // The task is started on another machine under the same attempt, which this machine has
+      // refused.
       if (job->spec.gang_size() > 0) m.failed_jobs[task.job] = now;
       break;
     default:
@@ -104,7 +107,7 @@
 
 bool ShardLeader::failed_under_earlier_leases(const Job& job) {
   if (job.live > 0 || job.done > 0) return false;
-  // Their attempts grow with every machine that is lost.
+  // The attempts of a replicated job grow with every machine that is lost.
   if (job.spec.replicated()) return false;
   return std::any_of(job.chunks.begin(), job.chunks.end(), [](auto& chunk) {
     return chunk.second.record.last_attempt() >= min_unsuccessful_attempts;
--- a/src/coordination/shard_leader/shard_leader_gangs.cpp
+++ b/src/coordination/shard_leader/shard_leader_gangs.cpp
@@ -1,4 +1,5 @@
-// The holder's care for gangs: what one task's exit means for the others, and stops as a whole.
+// The shard leader's handling of gangs: what the exit of one task means for the others, and
+// stopping a gang as a whole.
 #include <spdlog/spdlog.h>
 
 #include "coordination/shard_leader/shard_leader.hpp"
@@ -21,7 +22,7 @@
 }
 
 uint32_t ShardLeader::startable_gang_tasks(const Job& job, TaskRange gang) {
-  // An older controller that takes over would go on with it task by task.
+  // A controller of an older version that took over would continue the gang task by task.
   const bool replicated = job.spec.replicated();
   const uint64_t version = replicated ? VersionRegistry::replicas : VersionRegistry::gangs;
   if (!deps_.versions.all_have(version)) return 0;
@@ -32,7 +33,7 @@
 void ShardLeader::review_gang(const Job& job, TaskRange gang) {
   if (is_cancelled(job) || gangs_.next_action(job, gang) != GangAction::abandon) return;
   for (auto& task : job.live_tasks(gang)) {
-    // One that was told to save goes on with it.
+    // A task that was stopped with a grace for saving its state may finish saving.
     if (is_stopping(task) || exits_.contains(task.name)) continue;
     spdlog::info("stopping {} attempt {} on {}: its gang is not whole", task.name.text(),
                  task.attempt, task.machine);
@@ -52,8 +53,8 @@
   for (auto& move : replicas_.take_moves()) stop_gang(*move.job, move.parts, 0);
 }
 
-// The tasks of a gang complete together: when one is done, all of its attempt are, whether or not
-// their own reports arrive any more.
+// The tasks of a gang complete together: when one task is done, all tasks of its attempt are done,
+// whether or not their machines' heartbeats still arrive.
 void ShardLeader::finish_gang(const Job& gang, uint64_t attempt) {
   for (auto& task : gang.live_tasks())
     if (task.attempt == attempt && !exits_.contains(task.name)) {
@@ -70,7 +71,8 @@
     return;
   }
   const bool is_gang = job->spec.kind == JobKind::gang;
-  // Its machine was lost before it could say so.
+  // Another task of the gang is done, so this one was done too; its machine was lost before its
+  // heartbeat could show it.
   if (is_gang && job->done > 0) exit.cause = ExitCause::done;
   const auto [attempt, cause, machine] = exit;
   exits_[task] = std::move(exit);
@@ -87,12 +89,13 @@
 }
 
 void ShardLeader::stop_task(const PlacedTask& task, double grace_s) {
-  if (scale_in_.tracker().is_returned(task.machine)) return;  // gone with its machine
+  if (scale_in_.tracker().is_returned(task.machine)) return;  // ended with its machine
   stop_requests_[task.name] = {task.attempt, grace_s};
   Machine& m = machine(task.machine);
   mark_machine_changed(m.id);
   auto reported = m.tasks.find(task.name);
-  // One that is not reported yet is stopped by the next report.
+  // A task that the machine has not reported yet is stopped in the response to the heartbeat that
+  // reports it.
   if (reported != m.tasks.end() && reported->second.attempt == task.attempt)
     commands_.dispatch(m, {Command::Op::stop, task.name, task.attempt, grace_s});
 }
--- a/src/coordination/shard_leader/shard_leader_heartbeats.cpp
+++ b/src/coordination/shard_leader/shard_leader_heartbeats.cpp
@@ -1,4 +1,4 @@
-// Heartbeats of the machines: what they change here, and what is learned from them.
+// The shard leader's processing of heartbeats, and what follows from them about machines and tasks.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -32,7 +32,7 @@
   std::vector<DesiredTask> out;
   for (auto& [a, attempt] : cache_.assigned(m.id)) {
     TaskId name{a.job->spec.id, a.index};
-    if (exits_.contains(name)) continue;  // proven gone, about to be committed
+    if (exits_.contains(name)) continue;  // proven to have ended
     DesiredTask e{name, attempt, is_cancelled(*a.job), {}};
     if (auto s = stop_requests_.find(name);
         s != stop_requests_.end() && s->second.attempt == attempt)
@@ -58,7 +58,8 @@
 
 bool ShardLeader::may_deduplicate(const Machine& m, const Heartbeat& heartbeat,
                                   const ReconcileResult& outcome) const {
-  // Notices grow shorter, and a gang's tasks are followed from report to report.
+  // The time left in a preemption notice shrinks, and each heartbeat updates the observations of a
+  // gang, so neither kind of heartbeat may be skipped.
   const bool any_gang = std::any_of(m.tasks.begin(), m.tasks.end(), [&](auto& task) {
     const Job* job = cache_.job(task.first.job);
     return !job || job->spec.kind == JobKind::gang;
@@ -70,7 +71,7 @@
 bool ShardLeader::process_heartbeat(Machine& m, const Heartbeat& heartbeat, bool direct,
                                     double as_of, std::vector<Command>& commands) {
   const auto epoch_before = m.agent_epoch;
-  // What ran until the last repetition of the report before this one used its images until then.
+  // The tasks of the previous heartbeat used their images until its last repetition.
   const double last_repeat_at = std::exchange(m.last_repeat_at, 0);
   if (last_repeat_at > 0) note_image_uses(m, last_repeat_at);
   if (!apply_heartbeat(m, heartbeat, loop_.now(), direct, as_of)) return false;
@@ -78,7 +79,8 @@
   scale_in_.note_heartbeat(m.id);
   autoscaler_.note_heartbeat(m.id);
   if (epoch_before != 0 && epoch_before != m.agent_epoch)
-    spdlog::info("{} began session {}: what ran there is gone", m.id, m.agent_epoch);
+    spdlog::info("{} restarted its agent, epoch {}: tasks of earlier epochs have ended", m.id,
+                 m.agent_epoch);
   if (epoch_before == 0) {
     scheduling_requested_ = true;
     restore_image_cache(m);
@@ -94,7 +96,8 @@
     note_exit(e.task, {e.attempt, e.cause, m.id});
     deps_.changed.notify();
   }
-  // An exit that waits for its commit is not forgotten yet, and its start not repeated.
+  // No command is sent for an attempt whose exit waits to be committed: the worker must not forget
+  // the exit yet, and the start must not be repeated.
   std::erase_if(reconciliation.commands, [&](const Command& c) {
     auto it = exits_.find(c.task);
     return it != exits_.end() && it->second.attempt == c.attempt;
@@ -107,19 +110,21 @@
 void ShardLeader::assignment_changed(const std::string& machine, const Job& job, bool added) {
   if (lease_.fencing_token() != 0) mark_machine_changed(machine);
   if (!added) return;
-  // How much a machine holds depends on its type, which is not known here: as much as any.
+  // The size of the image cache depends on the machine's type, which is not known here, so the
+  // largest size of any type is assumed.
   double most = 0;
   for (auto& type : deps_.catalog.types()) most = std::max(most, type.cache_gb);
   images_seen_[machine].used(job.spec.image, job.spec.image_gb, loop_.now(), most);
 }
 
-// At a machine's first report to a new holder. Without it every start after a takeover seemed to
-// need a fetch, except of the images running just then.
+// Called at a machine's first heartbeat to a new shard leader. Otherwise every start after a
+// failover would seem to need a fetch, except for images of tasks that were running.
 void ShardLeader::restore_image_cache(Machine& m) {
   auto* type = deps_.catalog.type(m.type);
   auto seen = images_seen_.find(m.id);
   if (!type || seen == images_seen_.end()) return;
-  // From the oldest to the newest, as the machine used them: so the newest stay.
+  // In the order in which the machine used the images, so that the most recently used ones are
+  // kept.
   std::vector<std::pair<double, const std::string*>> images_by_last_use;
   for (auto& [image, use] : seen->second.images())
     images_by_last_use.emplace_back(use.first, &image);
@@ -139,7 +144,6 @@
   }
 }
 
-// Which images the machine holds and fetches, and since when tasks run.
 void ShardLeader::note_task_states(Machine& m) {
   const double now = loop_.now();
   note_image_uses(m, now);
@@ -161,8 +165,9 @@
   if (!m.tasks.empty()) m.idle_since = now;
 }
 
-// A replica that may have been ready is never ready again under an attempt that lost a part, so the
-// part isn't started anew as any other task would be: the attempt is over.
+// Other tasks that a machine doesn't report are started again. A part of a replica is not: a
+// replica that may have been ready never becomes ready again under an attempt that has lost a part,
+// so the attempt is over.
 void ShardLeader::note_missing_parts(const Machine& m) {
   if (!replicas_.any() || m.fencing_token < lease_.fencing_token() || !lease_.records_current())
     return;
@@ -193,7 +198,8 @@
     spdlog::debug("{} attempt {} runs on {}", task.text(), attempt, m.id);
   } else if (now - running_at > settings_.heartbeat_interval_s &&
              task_failures_.attribution().any()) {
-    // What is at fault fails at its start.
+    // Faulty jobs and machines fail at the start of a task, so a task that has run for longer
+    // counts as a success.
     task_failures_.note_success(task.job, m.id, running_at);
   }
 }
--- a/src/coordination/shard_leader/shard_leader_machine_list.cpp
+++ b/src/coordination/shard_leader/shard_leader_machine_list.cpp
@@ -1,11 +1,12 @@
-// The machine list of the cloud: which machines exist, and in which state.
+// The shard leader's use of the cloud's machine list: which machines exist, and in which state.
 #include <algorithm>
 
 #include "coordination/shard_leader/shard_leader.hpp"
 
 namespace damsonport {
 
-// A duty of its own: a long list takes seconds, in which silence must be watched all the same.
+// A coroutine of its own, because reading a long list takes seconds, during which run_maintenance()
+// has to go on detecting missed heartbeats.
 Task<void> ShardLeader::follow_machine_list(std::stop_token stop_token) {
   const double tick_s = settings_.heartbeat_interval_s / 4;
   while (!stop_token.stop_requested()) {
@@ -26,7 +27,8 @@
 void ShardLeader::note_listed(const ListedMachine& listed) {
   if (scale_in_.tracker().is_returned(listed.id)) return;  // the list lags
   if (cache_.has_tombstone(listed.id)) {
-    // The list lags, so a machine that is gone may still stand in it; asking twice is harmless.
+    // The list lags, so it may still contain a machine that was returned; a second return is
+    // harmless.
     scale_in_.resume(listed.id);
     return;
   }
--- a/src/coordination/shard_leader/shard_leader_quotas.cpp
+++ b/src/coordination/shard_leader/shard_leader_quotas.cpp
@@ -1,5 +1,5 @@
-// The holder's part in dividing the teams' limits among regions: it alone changes this region's
-// records of them, between two of its other transactions.
+// The shard leader's part in dividing the teams' limits among regions. Only the shard leader
+// changes this region's quota records, between two of its other transactions.
 #include <spdlog/spdlog.h>
 
 #include "coordination/shard_leader/shard_leader.hpp"
@@ -7,22 +7,23 @@
 namespace damsonport {
 
 namespace {
-// Report periods between two looks at what the teams want.
+// Heartbeat intervals between two measurements of the teams' demand.
 constexpr double quota_check_intervals = 0.1;
 }  // namespace
 
-// A gift counts on the records alone: none of this holder's starts is under way or in doubt here,
-// since it writes one transaction at a time, and an older holder's fail on `blocks`.
+// Whether quota can be transferred to another region follows from the records alone. No start of
+// this shard leader is being committed now, since it writes one transaction at a time, and starts
+// of an earlier shard leader fail on the precondition on the shard table.
 Task<ShardLeader::StepResult> ShardLeader::commit_quotas(std::stop_token stop_token) {
   if (!deps_.quotas.exchanging() || !lease_.records_current()) co_return StepResult::idle;
-  // An older version that takes over would count the whole limit as its own.
+  // If a controller of an older version took over, it would use the teams' whole limits.
   if (!deps_.versions.all_have(VersionRegistry::quotas)) co_return StepResult::idle;
   const double now = loop_.now();
   if (!quota_update_pending_ && now < next_quota_check_at_) co_return StepResult::idle;
   quota_update_pending_ = false;
   next_quota_check_at_ = now + settings_.heartbeat_interval_s * quota_check_intervals;
   deps_.quotas.measure(now);
-  // One put fewer than the service takes at once.
+  // One write fewer than the store accepts in a transaction.
   Transaction transaction = deps_.quotas.next_changes(limits().txn_writes - 1);
   if (transaction.writes.empty()) {
     announce_deficits();
@@ -34,12 +35,13 @@
   const CommitResult result =
       co_await commit_and_apply(std::move(transaction), stop_token, std::move(options));
   if (result == CommitResult::committed) scheduling_requested_ = true;
-  quota_update_pending_ = true;  // more may be due
+  quota_update_pending_ = true;  // more changes may be due
   deps_.regions.wake();
   co_return StepResult::busy;
 }
 
-// Other regions hear at once that a team wants more than it has here.
+// Sends a message to the other regions as soon as some team's pending work needs more than its
+// quota here.
 void ShardLeader::announce_deficits() {
   const bool has_deficit = deps_.quotas.any_deficit();
   if (has_deficit && !deficit_announced_) deps_.regions.wake();
