--- a/src/coordination/api/user_api.cpp
+++ b/src/coordination/api/user_api.cpp
@@ -106,8 +106,9 @@
 
 // A controller of an older version would run the tasks of a gang or a replica one by one.
 bool UserApi::controllers_support(const JobSpec& spec) const {
-  if (spec.kind == JobKind::gang && !versions_.all_have(VersionRegistry::gangs)) return false;
-  return !spec.replicated() || versions_.all_have(VersionRegistry::replicas);
+  if (spec.kind == JobKind::gang && !versions_.all_have_recorded(VersionRegistry::gangs))
+    return false;
+  return !spec.replicated() || versions_.all_have_recorded(VersionRegistry::replicas);
 }
 
 // No more submissions wait than can be written soon; nothing where one more may.
--- a/src/coordination/leadership/version_registry.cpp
+++ b/src/coordination/leadership/version_registry.cpp
@@ -15,7 +15,7 @@
   return recorded != cache_.versions().end() && recorded->second >= version;
 }
 
-bool VersionRegistry::all_have(uint64_t version) const {
+bool VersionRegistry::all_have_recorded(uint64_t version) const {
   return has_recorded(settings_.controller_name, version) &&
          std::all_of(settings_.peers.begin(), settings_.peers.end(),
                      [&](const Peer& peer) { return has_recorded(peer.name, version); });
--- a/src/coordination/leadership/version_registry.hpp
+++ b/src/coordination/leadership/version_registry.hpp
@@ -26,7 +26,7 @@
   /// Records this controller's version; ends when that is done, or when stopped.
   Task<void> announce(std::stop_token stop_token);
   /// Every controller of the settings has recorded this version or a later one.
-  bool all_have(uint64_t version) const;
+  bool all_have_recorded(uint64_t version) const;
 
  private:
   bool has_recorded(const std::string& controller, uint64_t version) const;
--- a/src/coordination/scheduling/rechunker.cpp
+++ b/src/coordination/scheduling/rechunker.cpp
@@ -27,7 +27,7 @@
   if (requested_.contains(job.spec.id)) return true;
   if (!is_oversized(job)) return false;
   if (chunk_fits(chunk, limits().value_kb)) return false;
-  if (versions_.all_have(VersionRegistry::current)) requested_.insert(job.spec.id);
+  if (versions_.all_have_recorded(VersionRegistry::current)) requested_.insert(job.spec.id);
   return true;
 }
 
--- a/src/coordination/shard_leader/shard_leader_gangs.cpp
+++ b/src/coordination/shard_leader/shard_leader_gangs.cpp
@@ -25,7 +25,7 @@
   // A controller of an older version that took over would continue the gang task by task.
   const bool replicated = job.spec.replicated();
   const uint64_t version = replicated ? VersionRegistry::replicas : VersionRegistry::gangs;
-  if (!deps_.versions.all_have(version)) return 0;
+  if (!deps_.versions.all_have_recorded(version)) return 0;
   if (replicated && !replicas_.may_start(job, gang)) return 0;
   return gangs_.startable(job, gang);
 }
--- a/src/coordination/shard_leader/shard_leader_quotas.cpp
+++ b/src/coordination/shard_leader/shard_leader_quotas.cpp
@@ -17,7 +17,7 @@
 Task<ShardLeader::StepResult> ShardLeader::commit_quotas(std::stop_token stop_token) {
   if (!deps_.quotas.exchanging() || !lease_.records_current()) co_return StepResult::idle;
   // If a controller of an older version took over, it would use the teams' whole limits.
-  if (!deps_.versions.all_have(VersionRegistry::quotas)) co_return StepResult::idle;
+  if (!deps_.versions.all_have_recorded(VersionRegistry::quotas)) co_return StepResult::idle;
   const double now = loop_.now();
   if (!quota_update_pending_ && now < next_quota_check_at_) co_return StepResult::idle;
   quota_update_pending_ = false;
--- a/tests/leadership/version_registry_test.cpp
+++ b/tests/leadership/version_registry_test.cpp
@@ -20,14 +20,14 @@
   settings.controller_name = "n0";
   settings.peers = {{"n1", "a", {}}, {"n2", "a", {}}};
   VersionRegistry registry(loop, settings, store, cache);
-  EXPECT_FALSE(registry.all_have(VersionRegistry::gangs));
+  EXPECT_FALSE(registry.all_have_recorded(VersionRegistry::gangs));
   cache.apply({keys::version("n0"), {{"v", 1}}, 5, 0});
   cache.apply({keys::version("n1"), {{"v", 1}}, 6, 0});
   cache.apply({keys::version("stranger"), {{"v", 1}}, 7, 0});
-  EXPECT_FALSE(registry.all_have(VersionRegistry::gangs));
+  EXPECT_FALSE(registry.all_have_recorded(VersionRegistry::gangs));
   cache.apply({keys::version("n2"), {{"v", 2}}, 8, 0});
-  EXPECT_TRUE(registry.all_have(VersionRegistry::gangs));
-  EXPECT_FALSE(registry.all_have(2));
+  EXPECT_TRUE(registry.all_have_recorded(VersionRegistry::gangs));
+  EXPECT_FALSE(registry.all_have_recorded(2));
 }
 
 }  // namespace
