--- a/src/coordination/leadership/cancellation_gossip.cpp
+++ b/src/coordination/leadership/cancellation_gossip.cpp
@@ -9,9 +9,9 @@
 // much; what doesn't fit follows in the next heartbeat.
 constexpr size_t max_entries = 1000;
 constexpr size_t max_bytes = size_t{12} * 1024;
-// Of one entry, beside the job's name: the name's length and the age.
+// Size of an entry without the job's name: the name's length and the age.
 constexpr size_t entry_overhead_bytes = 8;
-// Sent for cancellations of unknown age: older than any that still matters.
+// Sent for cancellations of unknown age; older than any cancellation that still matters.
 constexpr double max_age_s = 1e7;
 
 uint64_t to_ms(double seconds) { return static_cast<uint64_t>(std::max(seconds, 0.0) * 1000); }
@@ -68,8 +68,8 @@
   }
 }
 
-// The sender echoes the newest time of ours that it has, so its heartbeat was sent after that. One
-// that is held up on the way is older than it looks, and by the echo it is never taken for newer.
+// The sender echoes the newest send time that it has received from us, so its heartbeat was sent
+// after that time. A heartbeat that was delayed on the way is never taken for newer than it is.
 std::optional<double> CancellationGossip::echoed_time(const PeerHeartbeat& heartbeat) const {
   if (heartbeat.echo_incarnation != incarnation_) return std::nullopt;
   return from_ms(heartbeat.echo_ms);
@@ -78,7 +78,7 @@
 bool CancellationGossip::follow_incarnation(Peer& peer, const PeerHeartbeat& heartbeat,
                                             std::optional<double> echoed) {
   if (heartbeat.incarnation != peer.incarnation) {
-    // The numbers of an earlier incarnation mean nothing in the present one.
+    // The numbers of an earlier incarnation are meaningless in the present one.
     if (peer.has_sent && echoed && *echoed < peer.watermark) return false;
     peer.incarnation = heartbeat.incarnation;
     peer.received_upto = 0;
@@ -95,7 +95,8 @@
   if (!is_newest) return;
   peer.newest_incarnation = heartbeat.incarnation;
   peer.newest_sent_ms = heartbeat.sent_ms;
-  // As it says, also when that is less than before: it may have restarted.
+  // The peer's figure is adopted even if it is lower than before, because the peer may have
+  // restarted.
   if (echoed) peer.acknowledged_upto = std::min(heartbeat.have, last_number_);
 }
 
@@ -126,8 +127,9 @@
   result.new_jobs = merge_cancellations(heartbeat, std::min(echoed.value_or(now), now), now);
   if (peer.received_upto >= heartbeat.from)
     peer.received_upto = std::max(peer.received_upto, heartbeat.upto);
-  // Before it has loaded the records, the peer knows nothing of what its earlier incarnations sent.
-  // Afterwards it knows all of that, since they sent only what stood in the records.
+  // Until the peer has loaded the records, it doesn't know the cancellations that its earlier
+  // incarnations sent. Afterwards it knows all of them, since those incarnations sent only
+  // cancellations that were in the records.
   if (echoed && heartbeat.loaded && peer.received_upto >= heartbeat.last)
     peer.watermark = std::max(peer.watermark, *echoed);
   const bool peer_waits_for_more =
--- a/src/coordination/leadership/cancellation_gossip.hpp
+++ b/src/coordination/leadership/cancellation_gossip.hpp
@@ -1,12 +1,12 @@
-/// Cancellations that the controllers send to each other, beside the key-value store.
+/// Spreads cancellations of jobs between controllers without the key-value store.
 ///
 /// Stopping the tasks of a cancelled job needs no proof, so the message of any controller is enough
 /// for it; in an outage of the store no other way exists for a cancellation to spread. Each
 /// controller numbers the cancellations that it knows, and its heartbeats to a peer list those that
-/// the peer has not acknowledged. From the peers' acknowledgements and echoes follows a watermark:
-/// every cancellation that was sent before it is known here, which bounds how old an unknown one
-/// can be (docs/design.md, "Who may answer a machine"). Times are passed in, by this machine's
-/// steady clock.
+/// the peer has not acknowledged. The peers' acknowledgements and echoes yield a watermark: every
+/// cancellation that was sent before the watermark is known here, which bounds how old an unknown
+/// cancellation can be (docs/design.md, "Who may answer a machine"). Callers pass the times, which
+/// are seconds of this machine's steady clock.
 #pragma once
 #include <map>
 #include <optional>
@@ -19,7 +19,8 @@
 
 namespace damsonport {
 
-/// Does no I/O itself; PeerNetwork carries the heartbeats.
+/// Owned by the controller, for the life of the process. Does no I/O itself: PeerNetwork sends and
+/// receives the heartbeats.
 class CancellationGossip {
  public:
   struct Cancellation {
@@ -29,42 +30,47 @@
 
   CancellationGossip(uint64_t incarnation, const std::vector<std::string>& peers);
 
-  /// Notes a cancellation that the records or a user's request have made known here. Called before
-  /// it is sent to anybody. True the first time.
+  /// Notes a cancellation that this controller has learned from the records or from a user's
+  /// request, before it is sent to any peer. Returns true the first time. `since`: steady time of
+  /// the cancellation, or earlier.
   bool record(const std::string& job, double since);
-  /// The records say that the job's tasks are gone.
+  /// Forgets the cancellation of a job whose tasks are gone according to the records.
   void forget(const std::string& job);
   /// The recorded cancellations that are not forgotten, in the order in which they were recorded.
   std::vector<Cancellation> known() const;
 
-  /// Fills in what a heartbeat to this peer says of cancellations.
+  /// Fills in the heartbeat's fields about cancellations for this peer.
   void add_to(PeerHeartbeat& heartbeat, const std::string& peer, double now) const;
 
   struct MergeResult {
     std::vector<std::string> new_jobs;  // received for the first time
-    // A part of a longer list has come, or was acknowledged: the next part follows the next
-    // heartbeat, which should therefore be sent now.
+    // A part of a longer list has been received or acknowledged. The next part is only sent after
+    // the next heartbeat, which should therefore be sent now.
     bool reply_at_once = false;
   };
+  /// Processes a peer's heartbeat; no effect if the sender is not a peer, or if the heartbeat is a
+  /// late one of an earlier incarnation.
   MergeResult merge(const PeerHeartbeat& heartbeat, double now);
 
-  /// When the job was cancelled, or earlier, as peers say; nothing where none has said so.
+  /// Steady time of the job's cancellation, or earlier, according to peers; nothing if no peer has
+  /// reported the job as cancelled.
   std::optional<double> cancelled_since(const std::string& job) const;
-  /// Whether a peer has said that the job is cancelled.
+  /// Whether a peer has reported the job as cancelled.
   bool is_cancelled(const std::string& job) const { return received_.contains(job); }
-  /// Every cancellation that another controller sent before this time is known here. `now` where
-  /// there are no peers, `never` until each of them has echoed a heartbeat.
+  /// Steady time before which every cancellation that another controller sent is known here. `now`
+  /// if there are no peers, and `never` until each peer has echoed a heartbeat.
   double watermark(double now) const;
-  /// The records are known as of then, and speak for all that was received before.
+  /// Forgets the cancellations last received before the steady time as of which the records are
+  /// known, because the records include them.
   void forget_received_before(double records_as_of);
 
  private:
   struct Peer {
     bool has_sent = false;
     uint64_t incarnation = 0;
-    uint64_t received_upto = 0;      // its cancellations up to this number have come
-    uint64_t acknowledged_upto = 0;  // ours, up to this number, have come to it
-    // The newest heartbeat of it, to be echoed: its sender's incarnation and clock.
+    uint64_t received_upto = 0;      // highest number up to which its cancellations were received
+    uint64_t acknowledged_upto = 0;  // highest number up to which it has received ours
+    // Incarnation and clock of the sender in the peer's newest heartbeat, to be echoed.
     uint64_t newest_incarnation = 0;
     uint64_t newest_sent_ms = 0;
     double watermark = never;
@@ -74,10 +80,11 @@
     double last_received_at;
   };
 
-  // Our clock when the sender had certainly received our heartbeat of that time; nothing when the
-  // heartbeat echoes none of this incarnation's.
+  // The send time, by our clock, of the heartbeat of ours that the sender echoes: the sender's
+  // heartbeat was sent after this time. Nothing if the echo is of another incarnation.
   std::optional<double> echoed_time(const PeerHeartbeat& heartbeat) const;
-  // False for a late heartbeat of an incarnation that was followed by another one.
+  // Resets the numbers if the peer has a new incarnation. Returns false for a late heartbeat of an
+  // earlier incarnation.
   static bool follow_incarnation(Peer& peer, const PeerHeartbeat& heartbeat,
                                  std::optional<double> echoed);
   void note_acknowledgement(Peer& peer, const PeerHeartbeat& heartbeat,
--- a/src/coordination/leadership/election.cpp
+++ b/src/coordination/leadership/election.cpp
@@ -8,12 +8,13 @@
 
 namespace {
 
-constexpr double renewals_per_ttl = 3.5;  // two may fail
+constexpr double renewals_per_ttl = 3.5;  // two in a row may fail
 constexpr double campaigns_per_ttl = 10;
 constexpr double load_poll_interval_s = 0.1;
 
-// Well inside the workers' leases, so that a dead leader costs no tasks, and long enough for a slow
-// answer or two. Rare heartbeats are no reason to wait longer for a successor.
+// The TTL is well below the workers' leases, so that a failed leader costs no tasks, and long
+// enough for one or two slow answers of the store. If heartbeats are rare, the lease still bounds
+// the TTL, so that a successor is not elected later than necessary.
 double lease_ttl_s(const Settings& settings) {
   constexpr double ttl_heartbeat_intervals = 1.5;
   constexpr double max_ttls_per_lease = 8;
@@ -61,7 +62,7 @@
     } else if (is_leading_) {
       co_await renew();
     } else {
-      // A restarted controller need not wait for the record of its earlier incarnation to go.
+      // A restarted controller need not wait until the record of its earlier incarnation expires.
       if (!cache_.has_leader() || record_names_us()) co_await campaign(stop_token);
       if (is_leading_) continue;
       pause_s = ttl_s_ / campaigns_per_ttl * loop_.uniform(0.5, 1.5);
@@ -84,7 +85,7 @@
 }
 
 Task<void> Election::renew() {
-  if (!lease_) co_return;  // never while leading
+  if (!lease_) co_return;  // does not occur while leading
   const auto renewal = co_await store_.renew_lease(*lease_);
   if (renewal != KeyValueClient::Renewal::ended) co_return;
   spdlog::warn("the leader's lease ended");
@@ -93,10 +94,11 @@
 }
 
 Task<void> Election::campaign(std::stop_token stop_token) {
-  // Decided on what stands now: if a record appears while the lease is asked for, ours must lose.
+  // The version is taken before the lease is granted: if another record appears meanwhile, ours
+  // must not replace it.
   const uint64_t replaced = cache_.has_leader() ? cache_.leader_version() : 0;
-  // A new lease for each try: one left from an earlier try would be about to end, and the record
-  // with it, while this controller still believed to lead.
+  // Each attempt uses a new lease. The lease of an earlier attempt may be about to expire, which
+  // would remove the record while this controller still believed that it was leading.
   lease_ = co_await store_.grant_lease(ttl_s_);
   if (!lease_ || stop_token.stop_requested()) co_return;
   Transaction transaction;
@@ -117,7 +119,8 @@
   }
 }
 
-// Another controller was faster, or our own transaction whose answer was lost.
+// Called after a conflict or an unknown outcome: the record is another controller's, or it is ours
+// and only the answer to the transaction was lost.
 Task<void> Election::adopt_existing_record() {
   const auto read = co_await store_.get(keys::leader, RequestPriority::lease);
   if (!read.found()) co_return;
--- a/src/coordination/leadership/exit_forwarder.cpp
+++ b/src/coordination/leadership/exit_forwarder.cpp
@@ -5,7 +5,8 @@
 namespace damsonport {
 
 namespace {
-// Shares of a heartbeat interval: between two writes, and until what is committed is looked at.
+// The shortest pause between two writes, and the longest time between two checks for committed
+// exits, as shares of a heartbeat interval.
 constexpr double min_write_interval_share = 0.1;
 constexpr double max_check_interval_share = 0.5;
 }  // namespace
@@ -25,7 +26,7 @@
   std::erase_if(exits_, [&](const ForwardedExit& exit) { return !is_uncommitted(exit); });
 }
 
-// As many as fit into one value; the others follow when these are committed.
+// As many exits as fit into one value. The others follow when these are committed.
 ForwardedExits ExitForwarder::next_record() const {
   constexpr size_t separator_bytes = 1;
   const double max_bytes = settings_.state_limits.always().value_bytes();
@@ -45,7 +46,8 @@
   return written->second.exits == record.exits;
 }
 
-// Only this controller writes the key. An older copy that comes late tells what is still true.
+// Only this controller writes the key. A late copy of an earlier write does no harm, because the
+// exits in it are still true.
 Task<void> ExitForwarder::write(ForwardedExits record) {
   Json value = record.exits.empty() ? Json() : encode_forwarded_exits(record);
   Transaction transaction;
--- a/src/coordination/leadership/exit_forwarder.hpp
+++ b/src/coordination/leadership/exit_forwarder.hpp
@@ -1,10 +1,11 @@
-/// Exits that this controller learned of from machines of another shard leader, recorded for it.
+/// Forwards exits of tasks, reported by machines that can't reach the shard leader, to the shard
+/// leader through a record in the key-value store.
 ///
 /// In a partition a machine sends its heartbeats to a controller on its side, which renews the
 /// worker's lease under the shard leader's fencing token (LeaseRenewal). Such a heartbeat proves an
-/// exit to the shard leader just as one that it receives itself: the worker keeps the exited
-/// attempt until the shard leader orders it removed, and a late copy of the start has no effect
-/// meanwhile. Nothing else of the heartbeat is passed on.
+/// exit just as a heartbeat to the shard leader does: the worker keeps the exited attempt until the
+/// shard leader sends the command to remove it, and a late copy of the start has no effect
+/// meanwhile. Nothing else in the heartbeat is forwarded.
 #pragma once
 #include <set>
 
@@ -14,18 +15,24 @@
 
 namespace damsonport {
 
-/// One coroutine, run(), writes this controller's record, which no other controller writes.
+/// Owned by the controller. One coroutine, run(), writes this controller's record, which no other
+/// controller writes.
 class ExitForwarder {
  public:
+  /// All references have to outlive the forwarder.
   ExitForwarder(Loop& loop, const Settings& settings, KeyValueClient& store, RecordCache& cache)
       : loop_(loop), settings_(settings), store_(store), cache_(cache), changed_(loop) {}
 
-  /// Notes an exit that was reported by a machine which has learned this fencing token.
+  /// Adds an exit, reported by a machine that has learned this fencing token, to the record.
+  /// Ignored if the token is older than one seen before or if the exit is already committed. Exits
+  /// noted under an older token are discarded.
   void forward(uint64_t fencing_token, const ForwardedExit& exit);
-  /// Keeps the record up to date: exits that the shard leader has committed are taken out.
+  /// Keeps the record up to date, until stopped; exits that the shard leader has committed are
+  /// removed from it.
   Task<void> run(std::stop_token stop_token);
 
  private:
+  // Whether the records still place the attempt on the machine.
   bool is_uncommitted(const ForwardedExit& exit) const;
   void forget_committed();
   ForwardedExits next_record() const;
@@ -37,7 +44,7 @@
   KeyValueClient& store_;
   RecordCache& cache_;
   Notification changed_;
-  uint64_t fencing_token_ = 0;  // the highest one seen
+  uint64_t fencing_token_ = 0;  // the highest one seen, to which `exits_` belong
   std::set<ForwardedExit> exits_;
 };
 
--- a/src/coordination/leadership/lease_renewal.cpp
+++ b/src/coordination/leadership/lease_renewal.cpp
@@ -9,12 +9,13 @@
 namespace damsonport {
 
 namespace {
-// A machine that keeps coming for this share of its worker's lease can't reach its shard leader.
+// A machine that keeps sending heartbeats here for this share of its worker's lease can't reach its
+// shard leader.
 constexpr double unreachable_lease_share = 0.25;
-// A machine whose visits span this share of its worker's lease counts as misrouted: one that came
-// by and found its shard leader doesn't.
+// A machine whose heartbeats here span this share of its worker's lease counts as misrouted. One
+// that was redirected and reached its shard leader doesn't.
 constexpr double misrouted_lease_share = unreachable_lease_share / 2;
-// A machine that has not come for this share of its worker's lease is forgotten.
+// A machine that has sent no heartbeat here for this share of its worker's lease is forgotten.
 constexpr double forgotten_lease_share = 0.5;
 
 constexpr int ok = 200;
@@ -37,8 +38,9 @@
       exit_forwarder_(exit_forwarder),
       contact_(contact) {}
 
-// Missed heartbeats never prove that a task is gone, and a machine is returned first, so running
-// tasks may be kept past the shard lease's end; only what was cancelled bounds it.
+// Running tasks may be kept alive after the shard lease has ended: missed heartbeats never prove
+// that a task is gone, and no task is started elsewhere before its machine was returned to the
+// cloud. Only cancellations limit for how long.
 bool LeaseRenewal::may_renew(HeartbeatOccurrence occurrence) const {
   const double now = loop_.now();
   RenewalState state;
@@ -65,7 +67,8 @@
   return recorded;
 }
 
-// A peer may have a newer lease than the records say that we have read, where we may be named.
+// A peer may have a newer lease than the records that this controller has read, which may still
+// name this controller.
 std::string LeaseRenewal::newest_shard_leader(const ShardLease& recorded) const {
   const auto claimed = peer_network_.newest_shard_leader();
   if (claimed && claimed->fencing_token > recorded.fencing_token) return claimed->controller;
@@ -79,15 +82,15 @@
 bool LeaseRenewal::should_answer(const MisroutedMachine& machine,
                                  const std::string& shard_leader) const {
   const double grace_s = unreachable_lease_share * settings_.lease_s;
-  // A machine that reaches one controller in five takes most of its lease to try them all, so its
-  // second occurrence would be too late: where we can't reach the shard leader either, and the
-  // leader record names it for longer than it would name a dead controller, the first occurrence is
-  // answered.
+  // A machine that reaches only one controller in five needs most of its worker's lease to try them
+  // all, so an answer to its second heartbeat here would be too late. Its first one is answered if
+  // this controller can't reach the shard leader either, and if the leader record has named the
+  // shard leader for longer than it would name a dead controller.
   const bool leader_unreachable = peer_network_.since_last_heartbeat_s(shard_leader) > grace_s &&
                                   cache_.has_leader() && cache_.leader().controller == shard_leader;
-  // Where only the way between the controllers is closed, the machine must be sent back to its
-  // shard leader every other time, or it would seem dead to it. In a partition there is nowhere to
-  // send it.
+  // If only the connection between the controllers is broken, every other heartbeat of the machine
+  // must be redirected to its shard leader, which would otherwise take the machine for dead. In a
+  // partition the machine can't reach any shard leader, so every heartbeat is answered.
   const bool is_partitioned = leader_unreachable && !contact_.in_contact();
   const bool is_overdue = leader_unreachable || loop_.now() - machine.first_heartbeat_at >= grace_s;
   return is_partitioned || (is_overdue && !machine.was_answered);
@@ -118,8 +121,8 @@
   return renew(machine, heartbeat, *recorded, shard_leader);
 }
 
-// To the controller that the records name, unless it seems dead. After an answer it is named in any
-// case: it may be reachable again, or only our own way to it be closed.
+// Redirects to the shard leader unless that controller seems dead. After an answer the shard leader
+// is named in any case: it may be reachable again, or only this controller can't reach it.
 HttpResponse LeaseRenewal::redirect(MisroutedMachine& machine,
                                     const std::string& shard_leader) const {
   const bool is_named = peer_network_.is_alive(shard_leader) || machine.was_answered;
@@ -137,7 +140,8 @@
 }
 
 void LeaseRenewal::forward_exits(const Heartbeat& heartbeat, uint64_t fencing_token) {
-  // Before the machine has learned the token an older shard leader's orders may still reach it.
+  // Until the machine has learned the token, commands of an earlier shard leader may still reach
+  // it.
   if (heartbeat.fencing_token != fencing_token) return;
   for (auto& task : heartbeat.tasks) {
     if (task.state != TaskState::exited) continue;
--- a/src/coordination/leadership/lease_renewal.hpp
+++ b/src/coordination/leadership/lease_renewal.hpp
@@ -1,12 +1,12 @@
-/// Lease renewal on behalf of the shard leader: what a controller answers to misrouted machines,
-/// which belong to another controller's shard, and whether it may answer any machine at all.
+/// Renews workers' leases on behalf of the shard leader: decides how a controller answers misrouted
+/// machines, which another controller leads, and whether it may answer any machine at all.
 ///
-/// Usually the answer is the shard leader's name. But where a partition lies between a machine and
-/// its shard leader, the machine comes back, and its tasks would end with its worker's lease. Any
-/// controller that knows the shard leader's fencing token from the store may renew that lease: only
-/// the shard leader changes records, no start is ordered and no exit is removed here, and missed
-/// heartbeats never prove to the shard leader that a task is gone. Tasks of cancelled jobs are
-/// stopped, since the shard leader can't do it.
+/// Usually the answer is a redirect to the shard leader. But if a partition separates a machine
+/// from its shard leader, the machine keeps sending its heartbeats here, and without a renewal its
+/// tasks would end with its worker's lease. Any controller that knows the shard leader's fencing
+/// token from the store may renew that lease: only the shard leader changes records, no start is
+/// commanded and no exit is removed here, and missed heartbeats never prove to the shard leader
+/// that a task is gone. Tasks of cancelled jobs are stopped, since the shard leader can't do that.
 #pragma once
 #include <string>
 #include <unordered_map>
@@ -19,25 +19,27 @@
 
 namespace damsonport {
 
-/// Whether a machine has come to this controller lately.
+/// Whether this is the first heartbeat of a machine that this controller remembers, or a later one.
 enum class HeartbeatOccurrence : uint8_t { first, repeated };
 
-/// Part of the ShardLeader, whose HTTP handlers and maintenance coroutine call it.
+/// Owned by the ShardLeader, whose HTTP handlers and maintenance coroutine call it.
 class LeaseRenewal {
  public:
+  /// All references have to outlive the object.
   LeaseRenewal(Loop& loop, const Settings& settings, RecordCache& cache, PeerNetwork& peer_network,
                const CancellationGossip& cancellations, ExitForwarder& exit_forwarder,
                const StoreContact& contact);
 
-  /// Whether a heartbeat may be answered with a lease: cancellations that are unknown here are not
-  /// too old. Used for this controller's own machines as well.
+  /// Whether the answer to a heartbeat may renew the worker's lease, because no cancellation that
+  /// is unknown here can be too old. Used for this controller's own machines as well.
   bool may_renew(HeartbeatOccurrence occurrence) const;
-  /// Notes that the machine has come here.
+  /// Notes a heartbeat that the machine has sent to this controller.
   HeartbeatOccurrence note_heartbeat(const std::string& machine);
   /// The answer to a heartbeat of a machine that another controller leads.
   HttpResponse answer_misrouted(const Heartbeat& heartbeat);
-  /// Machines that keep coming here although another controller leads them.
+  /// Number of machines that keep sending heartbeats here although another controller leads them.
   uint64_t misrouted_machines() const;
+  /// Forgets the machines that have sent no heartbeat here lately; to be called periodically.
   void forget_old_heartbeats();
   void clear() { misrouted_.clear(); }
 
@@ -45,12 +47,15 @@
   struct MisroutedMachine {
     double first_heartbeat_at = 0;
     double last_heartbeat_at = 0;
-    bool was_answered = false;  // the last time; the next heartbeat tries the shard leader again
+    // Whether the last heartbeat was answered; if so, the next one is redirected.
+    bool was_answered = false;
   };
-  // The shard leader of this controller's knowledge; null: the records name none.
+  // The shard lease in the records; null: there is none.
   const ShardLease* recorded_lease() const;
+  // The controller with the newest shard lease, by the records and by peers' heartbeats.
   std::string newest_shard_leader(const ShardLease& recorded) const;
   bool may_answer(const Heartbeat& heartbeat, const ShardLease& recorded) const;
+  // Whether to answer instead of redirecting to the shard leader.
   bool should_answer(const MisroutedMachine& machine, const std::string& shard_leader) const;
   HttpResponse redirect(MisroutedMachine& machine, const std::string& shard_leader) const;
   HttpResponse renew(MisroutedMachine& machine, const Heartbeat& heartbeat,
--- a/src/coordination/leadership/peer_network.cpp
+++ b/src/coordination/leadership/peer_network.cpp
@@ -6,14 +6,16 @@
 namespace damsonport {
 
 namespace {
-// The controllers' heartbeats for each of the workers'.
+// Controllers send this many heartbeats per heartbeat interval of the workers.
 constexpr double heartbeats_per_worker_heartbeat = 3;
-// A peer is alive while its last heartbeat is less than so many intervals old.
+// A peer is alive while its last heartbeat is less than this many intervals old.
 constexpr double alive_intervals = 3;
-// What must be sent at once waits for this part of an interval, for what comes just behind it.
+// An urgent heartbeat is delayed by this fraction of an interval, so that it includes further
+// changes that follow immediately.
 constexpr double batch_delays_per_interval = 20;
 
-// Streams that may be open at once: peers reconnect before the old stream is known to be gone.
+// Maximum number of streams open at once. Peers may reconnect before the loss of the old stream is
+// noticed.
 size_t max_streams(const Settings& settings) { return 2 + 4 * settings.peers.size(); }
 
 constexpr long malformed_input = -1;  // closes the stream
@@ -33,7 +35,6 @@
                                [this](std::string_view bytes) { return receive(bytes); });
 }
 
-// Takes whole heartbeats off the front; returns how many bytes they had.
 long PeerNetwork::receive(std::string_view bytes) {
   long used = 0;
   for (;;) {
@@ -49,7 +50,8 @@
 }
 
 void PeerNetwork::process_heartbeat(PeerHeartbeat heartbeat) {
-  // Only the controllers named in the settings: nothing grows with what strangers send.
+  // Heartbeats of controllers that the settings don't name are ignored, so that unknown senders
+  // can't use memory.
   auto peer = peers_.find(heartbeat.controller);
   if (peer == peers_.end()) return;
   const auto merged = cancellations_.merge(heartbeat, loop_.now());
--- a/src/coordination/leadership/peer_network.hpp
+++ b/src/coordination/leadership/peer_network.hpp
@@ -1,8 +1,9 @@
-/// The heartbeats between the controllers of a region.
+/// Exchanges heartbeats between the controllers of a region.
 ///
-/// They carry hints, never truth: who is alive, who reaches the key-value store, who leads the
-/// shard, and which jobs are cancelled. With them a controller tells a shared outage of the store
-/// from one of its own.
+/// Heartbeats carry hints that need not be current: which controllers are alive and reach the
+/// key-value store, which one leads the shard, and which jobs are cancelled. From its peers'
+/// heartbeats a controller can tell an outage of the store for all controllers from a loss of only
+/// its own connection.
 #pragma once
 #include <functional>
 #include <map>
@@ -18,43 +19,51 @@
 
 namespace damsonport {
 
-/// One coroutine, send_heartbeats(), sends; the listener's callback receives. Both run in the loop.
+/// Owned by the controller. The coroutine send_heartbeats() sends, and the listener's callback
+/// receives; both run on the loop's thread.
 class PeerNetwork {
  public:
+  /// Opens the listener and the links to the peers. All references except `settings` have to
+  /// outlive the object.
   PeerNetwork(Loop& loop, Network& network, const Settings& settings,
               CancellationGossip& cancellations);
+  /// False: the address for peers can't be listened on.
   bool listening() const { return listener_ && listener_->listening(); }
 
-  /// Sends heartbeats until stopped. `make_heartbeat` gives the part that is the same for
-  /// all peers.
+  /// Sends heartbeats until stopped. `make_heartbeat` returns the part that is the same for all
+  /// peers.
   Task<void> send_heartbeats(std::function<PeerHeartbeat()> make_heartbeat,
                              std::stop_token stop_token);
-  /// Sends the next heartbeats now.
+  /// Sends the next heartbeats without waiting for the end of the interval.
   void wake() { wake_.notify(); }
-  /// Called for each job that a peer says is cancelled, the first time.
+  /// Called when a peer reports a job as cancelled for the first time.
   std::function<void(const std::string& job)> on_cancelled;
 
-  /// Whether a heartbeat of this peer came within the last few intervals.
+  /// Whether a heartbeat of this peer was received within the last few intervals.
   bool is_alive(const std::string& controller) const;
-  /// Infinite for a peer without any heartbeat so far, and for a controller that is no peer.
+  /// Seconds since this peer's last heartbeat; infinite if it has sent none, or if the controller
+  /// is not a peer.
   double since_last_heartbeat_s(const std::string& controller) const;
+  /// Number of peers that are not alive.
   int unreachable_peers() const;
-  /// No peer is alive.
+  /// Whether no peer is alive.
   bool is_isolated() const { return unreachable_peers() == static_cast<int>(peers_.size()); }
-  /// Some live peer had contact with the key-value store within so many seconds.
+  /// Whether some live peer had contact with the key-value store within the last `max_age_s`
+  /// seconds.
   bool any_peer_reaches_store(double max_age_s) const;
-  /// Writes per second that all live peers together want.
+  /// Sum of the writes per second that the live peers want to make.
   uint64_t wanted_writes() const;
-  /// The most machines that come to one live peer without being its own.
+  /// The highest number of machines that any live peer reports as misrouted to it.
   uint64_t max_misrouted_machines() const;
 
+  /// A controller that reports a shard lease, and the lease's fencing token.
   struct ShardLeaderClaim {
     std::string controller;
     uint64_t fencing_token = 0;
   };
-  /// The live peer with the newest shard lease, as its heartbeat says; nothing where none has one.
+  /// The live peer that reports the newest shard lease; nothing if no live peer reports one.
   std::optional<ShardLeaderClaim> newest_shard_leader() const;
-  /// Its fencing token; 0, which no lease has, where no live peer has one.
+  /// The fencing token of that lease; 0, which no lease has, if no live peer reports one.
   uint64_t newest_fencing_token() const;
 
  private:
@@ -62,6 +71,8 @@
     PeerHeartbeat heartbeat;  // the last one
     double received_at = never;
   };
+  // Processes all complete heartbeats at the beginning of `bytes`; returns the number of bytes
+  // consumed, or `malformed_input`.
   long receive(std::string_view bytes);
   void process_heartbeat(PeerHeartbeat heartbeat);
   // Calls `use` with the name and the last heartbeat of each live peer.
--- a/src/coordination/leadership/renewal_policy.cpp
+++ b/src/coordination/leadership/renewal_policy.cpp
@@ -3,18 +3,18 @@
 namespace damsonport {
 
 double staleness_bound_s(double cancel_s, double lease_s) {
-  constexpr double usable_share = 0.85;  // the rest is for clocks and for messages under way
+  constexpr double usable_share = 0.85;  // the rest allows for clock errors and messages in flight
   return usable_share * (cancel_s - lease_s);
 }
 
 RenewalDecision decide_renewal(const RenewalState& state, double bound_s) {
-  // Safety is this line alone; the others say where the machine is better off.
+  // Only this condition is needed for safety. The others choose where the machine is served better.
   if (state.staleness_s >= bound_s) return RenewalDecision::redirect;
   if (state.reaches_store) return RenewalDecision::renew;
-  // Only we have lost the store: whoever still reaches it may be the shard leader by now.
+  // Only this controller has lost the store: one that still reaches it may lead the shard by now.
   if (state.peer_reaches_store) return RenewalDecision::redirect;
-  // Without store and peers we may be the one that is partitioned off, with a new shard leader
-  // elsewhere: then the machine has to find it. One that comes back has found nobody.
+  // Without the store and without peers this controller may be the isolated one, with a new shard
+  // leader elsewhere, which the machine has to find. A machine that returns here has not found one.
   if (state.is_isolated && state.is_first_heartbeat) return RenewalDecision::redirect;
   return RenewalDecision::renew;
 }
--- a/src/coordination/leadership/renewal_policy.hpp
+++ b/src/coordination/leadership/renewal_policy.hpp
@@ -1,24 +1,29 @@
-/// Which controller may answer a machine's heartbeat, and so renew its worker's lease. Pure.
+/// Decides whether a controller may answer a machine's heartbeat, and so renew its worker's lease.
+/// Pure.
 #pragma once
 #include <cstdint>
 
 namespace damsonport {
 
-/// What a controller knows when a machine sends it a heartbeat, its own or another one's machine.
+/// What a controller knows when it receives a heartbeat, from a machine that it leads or from one
+/// that another controller leads.
 struct RenewalState {
-  bool reaches_store = false;       // the key-value store
-  bool peer_reaches_store = false;  // some live peer does
+  bool reaches_store = false;       // this controller reaches the key-value store
+  bool peer_reaches_store = false;  // some live peer reaches the key-value store
   bool is_isolated = false;         // no peer is reachable
-  bool is_first_heartbeat = false;  // the machine comes here for the first time of late
-  double staleness_s = 0;           // how old a cancellation can be that is unknown here
+  bool is_first_heartbeat = false;  // the machine's first heartbeat here for some time
+  double staleness_s = 0;           // greatest age of a cancellation that is unknown here
 };
 
+/// Whether to renew the worker's lease or to send the machine to another controller.
 enum class RenewalDecision : uint8_t { renew, redirect };
 
-/// The bound on `staleness_s`: a task that is kept alive lives a worker's lease (`lease_s`) longer
-/// than the last answer, and when it is cancelled it must be gone within `cancel_s`.
+/// The exclusive upper bound on `staleness_s`, in seconds. An answer keeps a task alive for another
+/// worker's lease (`lease_s`), and a cancelled task must be gone within `cancel_s` of the
+/// cancellation.
 double staleness_bound_s(double cancel_s, double lease_s);
 
+/// Redirects in any case if the staleness has reached `bound_s`.
 RenewalDecision decide_renewal(const RenewalState& state, double bound_s);
 
 }  // namespace damsonport
--- a/src/coordination/leadership/shard_lease_keeper.cpp
+++ b/src/coordination/leadership/shard_lease_keeper.cpp
@@ -5,13 +5,14 @@
 namespace damsonport {
 
 namespace {
-/// Renewals for each lease time: an outage of the store has to fit into what is left of the lease.
+/// Renewals per duration of the lease; the rest of the lease has to outlast an outage of the store.
 constexpr double renewals_per_lease = 6;
-/// After a renewal that failed or whose outcome is unknown.
+/// Pause after a renewal that failed or whose outcome is unknown.
 constexpr double renewal_retry_s = 0.2;
-/// A healthy machine sends at least one heartbeat in so many heartbeat intervals.
+/// A healthy machine sends at least one heartbeat in this many heartbeat intervals.
 constexpr double heartbeat_recency_intervals = 1.5;
-/// After a failover machines still come here by way of the other controllers for this long.
+/// For this many heartbeat intervals after a failover, machines still find this controller by way
+/// of the other controllers.
 constexpr double failover_intervals = 3;
 /// Share of the lease for which the machines have to be unreachable before stepping down.
 constexpr double unreachable_lease_share = 0.125;
@@ -53,7 +54,8 @@
     ShardLease lease;
     lease.controller = deps_.settings.controller_name;
     lease.incarnation = deps_.incarnation;
-    // The very first table replaces nothing; the leader's key is older than any later revision.
+    // The very first shard table replaces nothing, so its token is the revision of the leader
+    // record, which is lower than that of any shard table.
     lease.fencing_token = replaced ? replaced : deps_.cache.leader_version();
     lease.covers_unassigned = true;
     next.leases = {lease};
--- a/src/coordination/leadership/shard_lease_keeper.hpp
+++ b/src/coordination/leadership/shard_lease_keeper.hpp
@@ -1,9 +1,9 @@
-/// The shard lease of this controller: acquiring it, renewing it and giving it up.
+/// Acquires, renews and gives up this controller's shard lease.
 ///
-/// One value in the key-value store, the shard table, says which controller leads the shard. The
-/// cluster leader replaces it while it names another controller and renews it while it names this
-/// one. The fencing token of a lease is the revision of the table that it replaced: unique and
-/// growing, because no revision occurs twice.
+/// One value in the key-value store, the shard table, contains the lease of the controller that
+/// leads the shard. The cluster leader replaces the lease of another controller by its own, and
+/// then renews its own. The fencing token of a lease is the revision of the shard table that it
+/// replaced; tokens are unique and increasing, because no revision occurs twice.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -20,16 +20,17 @@
 /// Whether this controller leads the shard.
 enum class ShardRole : uint8_t { follower, leader };
 
-/// Keeps the shard lease while this controller may hold it.
+/// Owned by the ShardLeader. Keeps the shard lease while this controller may hold it.
 ///
 /// Invariants:
-/// - fencing_token() is that of the latest lease acquired, and 0 from the renewal that finds the
-///   lease gone on. In between the lease may be lost already: see is_leading().
+/// - fencing_token() is the token of the latest lease acquired, and becomes 0 with the renew() that
+///   finds the lease gone. The lease may be lost some time before that: see is_leading().
 /// - Callbacks::on_acquired runs before anything else can act under a new fencing token.
 ///
-/// renew() is called by one coroutine only, and it alone changes the lease.
+/// Only one coroutine calls renew(), and only renew() changes the lease.
 class ShardLeaseKeeper {
  public:
+  /// All references have to outlive the keeper.
   struct Dependencies {
     Loop& loop;
     const Settings& settings;
@@ -49,27 +50,31 @@
   ShardLeaseKeeper(Dependencies dependencies, Callbacks callbacks)
       : deps_(dependencies), callbacks_(std::move(callbacks)) {}
 
-  /// Takes note of what the records say of the lease. The cluster leader then acquires or renews it
-  /// when that is due, with one compare-and-swap on the shard table.
+  /// Updates the state of the lease from the records, and calls the callbacks if it was acquired or
+  /// lost. If this controller is the cluster leader, then acquires the lease, or renews it when
+  /// due, with one compare-and-swap on the shard table. Returns whether this controller leads the
+  /// shard.
   [[nodiscard]] Task<ShardRole> renew(std::stop_token stop_token);
 
-  /// Whether a lease of this process is in the shard table, as far as is known here.
+  /// Whether the shard table contains a lease of this process, as far as is known here.
   bool is_leading() const { return fencing_token_ != 0 && own_lease() != nullptr; }
-  /// A peer reports a newer lease: ours is over, though the shard table read here may not say so.
+  /// Whether a peer reports a newer lease. This controller's lease is then over, even if the shard
+  /// table in the cache still contains it.
   bool is_deposed() const;
-  /// Cluster leader and shard leader, so that the cloud's machines are this controller's to manage.
+  /// Whether this controller is both cluster leader and shard leader, and so manages the machines
+  /// of the cloud.
   bool leads_cluster_and_shard() const;
-  /// The records are complete up to the start of the lease.
+  /// Whether the cache holds every record up to the start of the lease.
   bool records_current() const;
   uint64_t fencing_token() const { return fencing_token_; }
-  /// Steady time.
+  /// Steady time at which the latest lease was acquired.
   double acquired_at() const { return acquired_at_; }
 
-  /// Gives up cluster leadership when more machines reach other controllers than this one, so that
-  /// one of those takes over. `reachable_machines`: see heartbeat_recency_s(). Where the machines
-  /// reach nobody else either, nothing is gained by it.
+  /// Gives up cluster leadership when more machines reach another controller than this one, so that
+  /// a controller which they reach takes over. Keeps it while they reach no other controller
+  /// either, since that would gain nothing. `reachable_machines`: see heartbeat_recency_s().
   void step_down_if_unreachable(size_t reachable_machines);
-  /// Seconds within which a machine counts as reaching this controller after a heartbeat.
+  /// Seconds for which a machine counts as reaching this controller after a heartbeat.
   double heartbeat_recency_s() const;
 
  private:
@@ -81,9 +86,10 @@
   const Dependencies deps_;
   const Callbacks callbacks_;
   uint64_t fencing_token_ = 0;
-  uint64_t required_revision_ = 0;  ///< Records have to be complete up to here.
+  uint64_t required_revision_ = 0;  ///< See records_current().
   double acquired_at_ = 0;
   double next_renewal_at_ = 0;
+  /// Since when more machines have reached another controller than this one.
   std::optional<double> unreachable_since_;
 };
 
--- a/src/coordination/leadership/version_registry.cpp
+++ b/src/coordination/leadership/version_registry.cpp
@@ -21,7 +21,8 @@
                      [&](const Peer& peer) { return has_recorded(peer.name, version); });
 }
 
-// Only this controller writes the key, and always the same value: a late copy does no harm.
+// Only this controller writes the key, and always with the same value, so a late copy of the write
+// does no harm.
 Task<bool> VersionRegistry::write_current_version() {
   Transaction transaction;
   transaction.writes.push_back(
@@ -39,7 +40,8 @@
   while (!stop_token.stop_requested()) {
     if (cache_.loaded()) {
       if (has_recorded(settings_.controller_name, current)) co_return;
-      // A local: GCC 12 lays out the coroutine's frame wrongly with the co_await in the condition.
+      // A local variable, because GCC 12 lays out the coroutine's frame wrongly if the co_await is
+      // in the condition.
       const bool written = co_await write_current_version();
       if (written) co_return;
     }
--- a/src/coordination/leadership/version_registry.hpp
+++ b/src/coordination/leadership/version_registry.hpp
@@ -1,8 +1,9 @@
-/// Which version of the program each controller runs, as recorded in the key-value store.
+/// Records in the key-value store which version of the program each controller runs.
 ///
-/// During a rolling upgrade old and new controllers serve side by side. What the old version does
-/// not understand begins only when every controller has recorded the new one. A record outlives the
-/// process that wrote it, so a controller must not be put back to an older version afterwards.
+/// During a rolling upgrade controllers of the old and the new version run at the same time. A
+/// feature that the old version does not understand is used only after every controller has
+/// recorded the new version. A record outlives the process that wrote it, so a controller must not
+/// be rolled back to an older version afterwards.
 #pragma once
 #include "config/settings.hpp"
 #include "storage/key_value_client.hpp"
@@ -10,6 +11,8 @@
 
 namespace damsonport {
 
+/// Owned by the controller. One coroutine, announce(), writes this controller's record, which no
+/// other controller writes; all_have_recorded() may be called at any time.
 class VersionRegistry {
  public:
   /// The first version whose gangs are started, stopped and restarted as a whole.
@@ -23,14 +26,14 @@
   VersionRegistry(Loop& loop, const Settings& settings, KeyValueClient& store, RecordCache& cache)
       : loop_(loop), settings_(settings), store_(store), cache_(cache) {}
 
-  /// Records this controller's version; ends when that is done, or when stopped.
+  /// Records this controller's version; ends when it is recorded, or when stopped.
   Task<void> announce(std::stop_token stop_token);
-  /// Every controller of the settings has recorded this version or a later one.
+  /// Whether every controller in the settings has recorded this version or a later one.
   bool all_have_recorded(uint64_t version) const;
 
  private:
   bool has_recorded(const std::string& controller, uint64_t version) const;
-  // False: to be repeated.
+  // Returns false if the write has to be repeated.
   Task<bool> write_current_version();
 
   Loop& loop_;
--- a/src/coordination/shard_leader/shard_leader.hpp
+++ b/src/coordination/shard_leader/shard_leader.hpp
@@ -109,7 +109,7 @@
  private:
   // An attempt that was started under this lease.
   struct Attempt {
-    double start_committed_at = 0;  // time of the commit of its start
+    double start_committed_at = 0;
     double running_at = 0;  // time of the first heartbeat that showed it running; 0: none yet
     bool image_cached = false;
   };
--- a/tests/leadership/cancellation_gossip_test.cpp
+++ b/tests/leadership/cancellation_gossip_test.cpp
@@ -9,7 +9,7 @@
 namespace damsonport {
 namespace {
 
-// A controller with a steady clock of its own.
+// A controller with its own steady clock, which differs from the test's time by `clock_offset_s`.
 struct GossipPeer {
   std::string name;
   uint64_t incarnation;
@@ -34,7 +34,7 @@
   std::vector<std::string> merge(const PeerHeartbeat& message, double time) {
     return gossip.merge(message, clock(time)).new_jobs;
   }
-  // How old a cancellation can be that is unknown here.
+  // The greatest age of a cancellation that this controller may not know yet.
   double staleness_s(double time) const { return clock(time) - gossip.watermark(clock(time)); }
 };
 
@@ -56,19 +56,19 @@
   EXPECT_EQ(p.a.merge(p.b.heartbeat("a", 3), 3.01), std::vector<std::string>{"run-1"});
   EXPECT_TRUE(p.a.merge(p.b.heartbeat("a", 3.1), 3.11).empty());
   ASSERT_TRUE(p.a.gossip.cancelled_since("run-1"));
-  // Never younger than it is, and older by no more than a heartbeat and its echo take.
+  // The assumed age is at least the true one, and at most one heartbeat and its echo greater.
   EXPECT_LE(*p.a.gossip.cancelled_since("run-1"), p.a.clock(1.5));
   EXPECT_GT(*p.a.gossip.cancelled_since("run-1"), p.a.clock(0));
 }
 
 TEST(CancellationGossip, WatermarkFollowsTheEchoedTimeOnly) {
   PeerPair p;
-  EXPECT_GT(p.a.staleness_s(1), 1e6);  // nothing was ever received
+  EXPECT_GT(p.a.staleness_s(1), 1e6);  // no heartbeat received
   p.a.merge(p.b.heartbeat("a", 0.5), 0.51);
-  EXPECT_GT(p.a.staleness_s(1), 1e6);  // nothing that echoes a heartbeat of ours
+  EXPECT_GT(p.a.staleness_s(1), 1e6);  // no echo of a heartbeat of `a` received
   p.exchange(1);
   EXPECT_NEAR(p.a.staleness_s(2.5), 1.5, 0.01);
-  // A heartbeat that was held up on the way counts from when it must have been sent.
+  // A delayed heartbeat advances the watermark only to the time that it echoes.
   p.exchange(3);
   auto delayed = p.b.heartbeat("a", 3.5);
   p.a.merge(delayed, 60);
@@ -79,7 +79,7 @@
   PeerPair p;
   p.exchange(1);
   p.exchange(2);
-  // More than fit into two heartbeats.
+  // More cancellations than fit into two heartbeats.
   for (int i = 0; i < 2100; ++i) p.b.gossip.record("run-" + std::to_string(i), p.b.clock(2.5));
   p.exchange(3);
   EXPECT_FALSE(p.a.gossip.is_cancelled("run-2099"));
@@ -89,7 +89,8 @@
   EXPECT_LT(p.a.staleness_s(8), 2.1);
 }
 
-// Longest names: what a heartbeat lists is bounded by what every version reads.
+// The list in a heartbeat is bounded by what every version of the receiver accepts, also with jobs'
+// names of the greatest length.
 TEST(CancellationGossip, HeartbeatStaysWithinTheReceiversLimits) {
   PeerPair p;
   constexpr size_t longest_name = 64;
@@ -110,8 +111,9 @@
   EXPECT_TRUE(p.a.gossip.is_cancelled("run-4999"));
 }
 
-// Many cancellations at once in an outage: with one part of the list in each heartbeat interval it
-// would take seconds, in which a controller must assume that it doesn't know all.
+// Many jobs are cancelled at once in an outage of the store. If only one part of the list were sent
+// in each heartbeat interval, the list would take seconds, in which the receiver has to assume that
+// it doesn't know all cancellations.
 TEST(CancellationGossip, LongListIsSentWithinOneHeartbeatInterval) {
   simulation::World world(1);
   simulation::VirtualNetwork::Streams streams;
--- a/tests/leadership/renewal_policy_test.cpp
+++ b/tests/leadership/renewal_policy_test.cpp
@@ -5,6 +5,8 @@
 namespace damsonport {
 namespace {
 
+// A machine is never answered once the staleness has reached the bound. Below the bound, a machine
+// is redirected only if another controller is expected to serve the machine better.
 TEST(RenewalPolicy, RedirectsAtTheStalenessBoundWhateverElseHolds) {
   const double bound = staleness_bound_s(42, 12);
   EXPECT_GT(bound, 0);
--- a/tests/leadership/shard_lease_keeper_test.cpp
+++ b/tests/leadership/shard_lease_keeper_test.cpp
@@ -1,5 +1,5 @@
-/// The shard lease against a simulated store: acquisition, renewal, loss to another controller, and
-/// stepping down.
+/// Tests of the shard lease with a simulated store: acquisition, renewal, loss to another
+/// controller, and stepping down.
 #include "coordination/leadership/shard_lease_keeper.hpp"
 
 #include <gtest/gtest.h>
@@ -61,7 +61,7 @@
   ShardTable stored_table() const {
     return decode_shard_table(*store_service_.value(keys::shard_table));
   }
-  /// A lease of another controller, as if it had been written by that one.
+  /// Replaces this controller's lease by one of controller `n1`, as `n1` would write it.
   void give_lease_to_other() {
     ShardTable table = stored_table();
     table.leases.front().controller = "n1";
@@ -102,7 +102,7 @@
 };
 
 TEST_F(ShardLeaseKeeperTest, AFollowerWritesNothing) {
-  EXPECT_EQ(renew(), ShardRole::follower) << "before the election";
+  EXPECT_EQ(renew(), ShardRole::follower) << "no election yet";
   EXPECT_EQ(keeper_.fencing_token(), 0u);
   EXPECT_EQ(store_service_.value(keys::shard_table), nullptr);
 }
@@ -117,14 +117,15 @@
   EXPECT_EQ(stored_table().leases[0].controller, "n0");
   EXPECT_EQ(stored_table().leases[0].incarnation, incarnation);
   EXPECT_EQ(stored_table().leases[0].fencing_token, keeper_.fencing_token());
-  EXPECT_EQ(keeper_.fencing_token(), cache_.leader_version()) << "the first table replaces nothing";
+  EXPECT_EQ(keeper_.fencing_token(), cache_.leader_version())
+      << "the first shard table replaces none, so the token is the leader record's revision";
 }
 
 TEST_F(ShardLeaseKeeperTest, ARenewalIsWrittenWhenItIsDueAndKeepsTheToken) {
   become_leader();
   const uint64_t fencing_token = keeper_.fencing_token();
   EXPECT_EQ(renew(), ShardRole::leader);
-  EXPECT_EQ(stored_table().renewals, 1u) << "not due yet";
+  EXPECT_EQ(stored_table().renewals, 1u) << "the renewal is not due yet";
   run(settings_.tuning.shard_lease_s / 6);
   EXPECT_EQ(renew(), ShardRole::leader);
   EXPECT_EQ(stored_table().renewals, 2u);
@@ -137,7 +138,8 @@
   const uint64_t first_token = keeper_.fencing_token();
   give_lease_to_other();
   EXPECT_FALSE(keeper_.is_leading());
-  EXPECT_EQ(keeper_.fencing_token(), first_token) << "until the next renewal takes note of it";
+  EXPECT_EQ(keeper_.fencing_token(), first_token)
+      << "the token stays until the next renew() finds the lease lost";
   const uint64_t replaced = cache_.shard_table_version();
   EXPECT_EQ(renew(), ShardRole::leader);
   EXPECT_EQ(lost_, 1);
@@ -150,7 +152,7 @@
   become_leader();
   run(settings_.tuning.shard_lease_s / 6);
   store_service_.set_down(true);
-  EXPECT_EQ(renew(), ShardRole::leader) << "the lease still stands in the records";
+  EXPECT_EQ(renew(), ShardRole::leader) << "the shard table still contains the lease";
   store_service_.set_down(false);
   EXPECT_EQ(renew(), ShardRole::leader);
   EXPECT_EQ(stored_table().renewals, 2u);
@@ -171,10 +173,10 @@
   const double patience_s = settings_.lease_s / 8;
   receive_from_peer(0, 5);
   keeper_.step_down_if_unreachable(4);
-  EXPECT_TRUE(election_.is_leading()) << "at once";
+  EXPECT_TRUE(election_.is_leading()) << "stepped down without waiting";
   run(patience_s / 2);
   receive_from_peer(0, 5);
-  keeper_.step_down_if_unreachable(5);  // as many come here: the time counts anew
+  keeper_.step_down_if_unreachable(5);  // as many reach this controller: the wait starts again
   run(patience_s / 2 + 0.1);
   receive_from_peer(0, 5);
   keeper_.step_down_if_unreachable(4);
--- a/tests/leadership/version_registry_test.cpp
+++ b/tests/leadership/version_registry_test.cpp
@@ -10,7 +10,8 @@
 const StateLimits store_limits{100, 100, 16, 12};
 const StateLimitSettings limits{store_limits, store_limits};
 
-// What an older controller doesn't understand waits until every one has recorded the version.
+// Features that an older controller doesn't understand must not be used before every controller has
+// recorded the new version.
 TEST(VersionRegistry, RequiresEveryControllerOfTheSettings) {
   EventLoop loop;
   EventHttpClient http(loop);
