--- a/src/coordination/api/user_api.cpp
+++ b/src/coordination/api/user_api.cpp
@@ -109,8 +109,9 @@
 
 // A controller of an older version would run the tasks of a gang or a replica independently.
 bool UserApi::controllers_support(const JobSpec& spec) const {
-  if (spec.kind == JobKind::gang && !versions_.all_have(VersionRegistry::gangs)) return false;
-  return !spec.replicated() || versions_.all_have(VersionRegistry::replicas);
+  if (spec.kind == JobKind::gang && !versions_.all_have_recorded(VersionRegistry::gangs))
+    return false;
+  return !spec.replicated() || versions_.all_have_recorded(VersionRegistry::replicas);
 }
 
 // Limits the pending submissions to the number that can be written soon. Returns the seconds after
--- a/src/coordination/leadership/election.cpp
+++ b/src/coordination/leadership/election.cpp
@@ -8,19 +8,20 @@
 
 namespace {
 
-constexpr double renewals_per_ttl = 3.5;  // two may fail
+constexpr double renewals_per_ttl = 3.5;  // two in a row may fail
 constexpr double campaigns_per_ttl = 10;
-constexpr double not_loaded_pause_s = 0.1;
+constexpr double load_poll_interval_s = 0.1;
 
-// Well inside the workers' leases, so that a dead leader costs no tasks, and long enough for a slow
-// answer or two. Rare heartbeats are no reason to wait longer for a successor.
+// The TTL is well below the workers' leases, so that a failed leader costs no tasks, and long
+// enough for one or two slow answers of the store. If heartbeats are rare, the lease still bounds
+// the TTL, so that a successor is not elected later than necessary.
 double lease_ttl_s(const Settings& settings) {
-  constexpr double heartbeats = 1.5;
-  constexpr double shortest_lease_part = 8;
-  constexpr double longest_lease_part = 6;
-  const double wanted =
-      std::min(settings.heartbeat_interval_s * heartbeats, settings.lease_s / longest_lease_part);
-  return std::max(wanted, settings.lease_s / shortest_lease_part);
+  constexpr double ttl_heartbeat_intervals = 1.5;
+  constexpr double max_ttls_per_lease = 8;
+  constexpr double min_ttls_per_lease = 6;
+  const double preferred_s = std::min(settings.heartbeat_interval_s * ttl_heartbeat_intervals,
+                                      settings.lease_s / min_ttls_per_lease);
+  return std::max(preferred_s, settings.lease_s / max_ttls_per_lease);
 }
 
 }  // namespace
@@ -51,7 +52,7 @@
 Task<void> Election::run(std::stop_token stop_token) {
   while (!stop_token.stop_requested()) {
     if (!cache_.loaded()) {
-      if (!co_await Sleep(loop_, not_loaded_pause_s, stop_token)) co_return;
+      if (!co_await Sleep(loop_, load_poll_interval_s, stop_token)) co_return;
       continue;
     }
     note_lost_leadership();
@@ -61,7 +62,7 @@
     } else if (is_leading_) {
       co_await renew();
     } else {
-      // A restarted controller need not wait for the record of its earlier incarnation to go.
+      // A restarted controller need not wait until the record of its earlier incarnation expires.
       if (!cache_.has_leader() || record_names_us()) co_await campaign(stop_token);
       if (is_leading_) continue;
       pause_s = ttl_s_ / campaigns_per_ttl * loop_.uniform(0.5, 1.5);
@@ -84,7 +85,7 @@
 }
 
 Task<void> Election::renew() {
-  if (!lease_) co_return;  // never while leading
+  if (!lease_) co_return;  // does not occur while leading
   const auto renewal = co_await store_.renew_lease(*lease_);
   if (renewal != KeyValueClient::Renewal::ended) co_return;
   spdlog::warn("the leader's lease ended");
@@ -93,10 +94,11 @@
 }
 
 Task<void> Election::campaign(std::stop_token stop_token) {
-  // Decided on what stands now: if a record appears while the lease is asked for, ours must lose.
+  // The version is taken before the lease is granted: if another record appears meanwhile, ours
+  // must not replace it.
   const uint64_t replaced = cache_.has_leader() ? cache_.leader_version() : 0;
-  // A new lease for each try: one left from an earlier try would be about to end, and the record
-  // with it, while this controller still believed to lead.
+  // Each attempt uses a new lease. The lease of an earlier attempt may be about to expire, which
+  // would remove the record while this controller still believed that it was leading.
   lease_ = co_await store_.grant_lease(ttl_s_);
   if (!lease_ || stop_token.stop_requested()) co_return;
   Transaction transaction;
@@ -113,12 +115,13 @@
     changed_.notify();
   } else if (result.outcome == TransactionOutcome::conflict ||
              result.outcome == TransactionOutcome::unknown) {
-    co_await adopt_standing_record();
+    co_await adopt_existing_record();
   }
 }
 
-// Another controller was faster, or our own transaction whose answer was lost.
-Task<void> Election::adopt_standing_record() {
+// Called after a conflict or an unknown outcome: the record is another controller's, or it is ours
+// and only the answer to the transaction was lost.
+Task<void> Election::adopt_existing_record() {
   const auto read = co_await store_.get(keys::leader, RequestPriority::lease);
   if (!read.found()) co_return;
   cache_.apply(read.key_value);
