--- a/src/config/region_settings.cpp
+++ b/src/config/region_settings.cpp
@@ -25,17 +25,17 @@
     region_.name = SexpDocument::atom(name);
     if (region_.name.empty()) return Error{document_.at_line("region") + "a region needs a name"};
     bool has_share = false;
-    for (const sexp_t* part = name->next; part; part = part->next) {
-      const std::string what = SexpDocument::list_name(part);
-      if (what == "share") {
+    for (const sexp_t* field = name->next; field; field = field->next) {
+      const std::string field_name = SexpDocument::list_name(field);
+      if (field_name == "share") {
         has_share = true;
-        read_share(part->list->next);
-      } else if (what == "zones") {
-        read_zones(part->list->next);
-      } else if (what == "controller") {
-        read_controller(part->list->next);
+        read_share(field->list->next);
+      } else if (field_name == "zones") {
+        read_zones(field->list->next);
+      } else if (field_name == "controller") {
+        read_controller(field->list->next);
       } else {
-        fail(what, "unknown entry '" + what + "'");
+        fail(field_name, "unknown entry '" + field_name + "'");
       }
     }
     if (!has_share) fail(region_.name, "region " + region_.name + ": share is missing");
@@ -45,8 +45,8 @@
   }
 
  private:
-  void fail(const std::string& word, const std::string& what) {
-    problems_.add(document_.at_line(word) + what);
+  void fail(const std::string& word, const std::string& problem) {
+    problems_.add(document_.at_line(word) + problem);
   }
   void read_share(const sexp_t* value) {
     const auto share = SexpDocument::number<uint64_t>(value);
--- a/src/config/replica_settings.cpp
+++ b/src/config/replica_settings.cpp
@@ -31,7 +31,7 @@
     policy_.job_class = SexpDocument::atom(name);
     if (policy_.job_class.empty())
       return Error{document_.at_line("class") + "a class needs a name"};
-    for (const sexp_t* part = name->next; part; part = part->next) read_entry(part);
+    for (const sexp_t* field = name->next; field; field = field->next) read_entry(field);
     if (!seen_.contains("parts")) fail(policy_.job_class, "parts is missing");
     if (policy_.first_backoff_leases > policy_.longest_backoff_leases)
       fail(policy_.job_class, "the first backoff is longer than the longest");
@@ -40,27 +40,29 @@
   }
 
  private:
-  void fail(const std::string& word, const std::string& what) {
+  void fail(const std::string& word, const std::string& problem) {
     problems_.add(document_.at_line(word, policy_.job_class) + "class " + policy_.job_class + ": " +
-                  what);
+                  problem);
   }
 
   void read_entry(const sexp_t* entry) {
-    const std::string what = SexpDocument::list_name(entry);
-    const sexp_t* value = what.empty() ? nullptr : entry->list->next;
-    if (!what.empty() && !seen_.insert(what).second) return fail(what, what + " stands twice");
-    if (what == "parts") {
-      read_count(what, value, min_parts, max_parts, policy_.parts);
-    } else if (what == "repairs") {
-      read_count(what, value, 1, max_at_once, policy_.repairs);
-    } else if (what == "moves") {
-      read_count(what, value, 0, max_at_once, policy_.moves);
-    } else if (what == "distinct-machines") {
-      read_flag(what, value, policy_.distinct_machines);
-    } else if (what == "backoff-leases") {
-      read_backoff(what, value);
+    const std::string field_name = SexpDocument::list_name(entry);
+    const sexp_t* value = field_name.empty() ? nullptr : entry->list->next;
+    if (!field_name.empty() && !seen_.insert(field_name).second)
+      return fail(field_name, field_name + " stands twice");
+    if (field_name == "parts") {
+      read_count(field_name, value, min_parts, max_parts, policy_.parts);
+    } else if (field_name == "repairs") {
+      read_count(field_name, value, 1, max_at_once, policy_.repairs);
+    } else if (field_name == "moves") {
+      read_count(field_name, value, 0, max_at_once, policy_.moves);
+    } else if (field_name == "distinct-machines") {
+      read_flag(field_name, value, policy_.distinct_machines);
+    } else if (field_name == "backoff-leases") {
+      read_backoff(field_name, value);
     } else {
-      fail(what.empty() ? SexpDocument::atom(entry) : what, "unknown entry '" + what + "'");
+      fail(field_name.empty() ? SexpDocument::atom(entry) : field_name,
+           "unknown entry '" + field_name + "'");
     }
   }
 
@@ -113,7 +115,7 @@
   return named ? *named : defaults;
 }
 
-void ReplicaSettings::describe(JobSpec& spec) const {
+void ReplicaSettings::apply_to(JobSpec& spec) const {
   const ReplicaPolicy* policy = find(spec.job_class);
   if (!policy || spec.kind != JobKind::service) return;
   spec.parts = policy->parts;
--- a/src/config/replica_settings.hpp
+++ b/src/config/replica_settings.hpp
@@ -38,7 +38,7 @@
   const ReplicaPolicy& policy(const std::string& job_class) const;
   /// Sets the parts of a service's replicas as the file has its class; other jobs stay as they
   /// are.
-  void describe(JobSpec& spec) const;
+  void apply_to(JobSpec& spec) const;
 };
 
 /// The error has all problems, each with its line.
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -66,12 +66,14 @@
   /// The team of this name; null where the settings don't name it.
   const TeamSettings* team(const std::string& name) const;
   /// Within how many seconds tasks of this class should start; 0: not stated.
-  double start_within(const std::string& job_class) const { return within("wait", job_class); }
-  /// Within how many seconds work within a guaranteed quota should start; 0: not stated.
-  double guarantee_within() const { return within("guarantee", {}); }
+  double start_objective_s(const std::string& job_class) const {
+    return objective_s("wait", job_class);
+  }
+  /// Within how many seconds work objective_s a guaranteed quota should start; 0: not stated.
+  double guarantee_objective_s() const { return objective_s("guarantee", {}); }
 
  private:
-  double within(const std::string& kind, const std::string& job_class) const;
+  double objective_s(const std::string& kind, const std::string& job_class) const;
 };
 
 /// The error has all problems, each with its line and field.
--- a/src/config/sexp_document.cpp
+++ b/src/config/sexp_document.cpp
@@ -13,7 +13,7 @@
 std::string line_prefix(int line) { return "line " + std::to_string(line) + ": "; }
 
 // The library reads only one expression at a time, and no comments.
-std::string without_comments(const std::string& text) {
+std::string blank_out_comments(const std::string& text) {
   std::string out;
   bool comment = false;
   for (char c : text) {
@@ -25,7 +25,7 @@
 }
 
 // The first parenthesis that has no counterpart; nothing where all match.
-std::optional<Error> find_unbalanced(const std::string& text) {
+std::optional<Error> find_unbalanced_parenthesis(const std::string& text) {
   int depth = 0;
   int line = 1;
   for (char c : text) {
@@ -44,8 +44,8 @@
     : text_(std::move(text)), root_(root, destroy_sexp) {}
 
 Result<SexpDocument> SexpDocument::parse(const std::string& raw, const std::string& name) {
-  std::string text = without_comments(raw);
-  if (auto problem = find_unbalanced(text)) return *problem;
+  std::string text = blank_out_comments(raw);
+  if (auto problem = find_unbalanced_parenthesis(text)) return *problem;
   // The parser writes into its input, which has to end with a zero.
   std::vector<char> buffer(text.begin(), text.end());
   buffer.push_back('\0');
--- a/src/config/toml_reader.cpp
+++ b/src/config/toml_reader.cpp
@@ -14,59 +14,60 @@
   }
 }
 
-void TomlReader::fail(const TomlTable& t, const char* key, const std::string& what) {
-  const toml::node* value = t.find(key);
-  const auto line = value ? value->source().begin.line : t.values->source().begin.line;
+void TomlReader::fail(const TomlTable& parent, const char* key, const std::string& what) {
+  const toml::node* value = parent.find(key);
+  const auto line = value ? value->source().begin.line : parent.values->source().begin.line;
   const std::string where = line > 0 ? "line " + std::to_string(line) + ": " : "";
-  problems_.add(where + t.prefix + key + ": " + what);
+  problems_.add(where + parent.prefix + key + ": " + what);
 }
 
-std::string TomlReader::text(const TomlTable& t, const char* key) {
-  const auto value = (*t.values)[key].value<std::string>();
-  if (!value || value->empty()) fail(t, key, t.contains(key) ? "must be a text" : "is missing");
+std::string TomlReader::text(const TomlTable& parent, const char* key) {
+  const auto value = (*parent.values)[key].value<std::string>();
+  if (!value || value->empty())
+    fail(parent, key, parent.contains(key) ? "must be a text" : "is missing");
   return value.value_or("");
 }
 
-double TomlReader::required(const TomlTable& t, const char* key, double low, double high) {
-  if (t.contains(key)) return number(t, key, low, low, high);
-  fail(t, key, "is missing");
+double TomlReader::required(const TomlTable& parent, const char* key, double low, double high) {
+  if (parent.contains(key)) return number(parent, key, low, low, high);
+  fail(parent, key, "is missing");
   return low;
 }
 
-double TomlReader::number(const TomlTable& t, const char* key, double otherwise, double low,
+double TomlReader::number(const TomlTable& parent, const char* key, double fallback, double low,
                           double high) {
-  if (!t.contains(key)) return otherwise;
-  const auto value = (*t.values)[key].value<double>();
+  if (!parent.contains(key)) return fallback;
+  const auto value = (*parent.values)[key].value<double>();
   if (value && *value >= low && *value <= high) return *value;
   std::ostringstream range;
   range << "must be a number from " << low << " to " << high;
-  fail(t, key, range.str());
-  return otherwise;
+  fail(parent, key, range.str());
+  return fallback;
 }
 
-TomlTable TomlReader::required_table(const TomlTable& t, const char* key) {
-  if (!t.contains(key)) fail(t, key, "is missing");
-  return table(t, key);
+TomlTable TomlReader::required_table(const TomlTable& parent, const char* key) {
+  if (!parent.contains(key)) fail(parent, key, "is missing");
+  return table(parent, key);
 }
 
-TomlTable TomlReader::table(const TomlTable& t, const char* key) {
+TomlTable TomlReader::table(const TomlTable& parent, const char* key) {
   static const toml::table empty;
-  const auto* found = (*t.values)[key].as_table();
-  if (!found && t.contains(key)) fail(t, key, "must be a table");
-  return {found ? found : &empty, t.prefix + key + "."};
+  const auto* found = (*parent.values)[key].as_table();
+  if (!found && parent.contains(key)) fail(parent, key, "must be a table");
+  return {found ? found : &empty, parent.prefix + key + "."};
 }
 
-std::vector<TomlTable> TomlReader::tables(const TomlTable& t, const char* key) {
+std::vector<TomlTable> TomlReader::tables(const TomlTable& parent, const char* key) {
   std::vector<TomlTable> out;
-  if (!t.contains(key)) return out;
-  const auto* list = (*t.values)[key].as_array();
-  if (!list) fail(t, key, "must be a list of tables");
+  if (!parent.contains(key)) return out;
+  const auto* list = (*parent.values)[key].as_array();
+  if (!list) fail(parent, key, "must be a list of tables");
   for (size_t i = 0; list && i < list->size(); ++i) {
-    const auto name = t.prefix + key + "[" + std::to_string(i) + "]";
+    const auto name = parent.prefix + key + "[" + std::to_string(i) + "]";
     if (const auto* entry = (*list)[i].as_table()) {
       out.push_back({entry, name + "."});
     } else {
-      fail(t, key, "must have tables only, and number " + std::to_string(i) + " is none");
+      fail(parent, key, "must have tables only, and number " + std::to_string(i) + " is none");
     }
   }
   return out;
--- a/src/config/toml_reader.hpp
+++ b/src/config/toml_reader.hpp
@@ -26,26 +26,26 @@
 class TomlReader {
  public:
   /// Upper bound of a number where none is given.
-  static constexpr double largest = 1e12;
+  static constexpr double default_max = 1e12;
 
   explicit TomlReader(const toml::table& root) : root_{&root, {}} {}
   const TomlTable& root() const { return root_; }
 
   /// A field that has to be there.
-  std::string text(const TomlTable& t, const char* key);
-  double required(const TomlTable& t, const char* key, double low, double high = largest);
-  /// A field that may be missing: then `otherwise`.
-  double number(const TomlTable& t, const char* key, double otherwise, double low,
-                double high = largest);
+  std::string text(const TomlTable& parent, const char* key);
+  double required(const TomlTable& parent, const char* key, double low, double high = default_max);
+  /// A field that may be missing: then `fallback`.
+  double number(const TomlTable& parent, const char* key, double fallback, double low,
+                double high = default_max);
   /// A table that has to be there.
-  TomlTable required_table(const TomlTable& t, const char* key);
+  TomlTable required_table(const TomlTable& parent, const char* key);
   /// A table that may be missing: then an empty one.
-  TomlTable table(const TomlTable& t, const char* key);
+  TomlTable table(const TomlTable& parent, const char* key);
   /// A list of tables that may be missing: then an empty one.
-  std::vector<TomlTable> tables(const TomlTable& t, const char* key);
+  std::vector<TomlTable> tables(const TomlTable& parent, const char* key);
 
   /// Notes a problem with the field, at the line of its value, or of its table where it has none.
-  void fail(const TomlTable& t, const char* key, const std::string& what);
+  void fail(const TomlTable& parent, const char* key, const std::string& what);
   bool ok() const { return problems_.empty(); }
   /// The problems so far, one a line.
   const Error& error() const { return problems_; }
--- a/src/config/tuning.cpp
+++ b/src/config/tuning.cpp
@@ -12,13 +12,13 @@
   double low;
   double high;
   double Tuning::*real;
-  int Tuning::*whole;
+  int Tuning::*integer;
 };
 
 constexpr Entry known_entries[] = {
     {"straggler-alpha", 0.001, 1, &Tuning::straggler_alpha, nullptr},
-    {"straggler-bar", 0.01, 1, &Tuning::straggler_bar, nullptr},
-    {"straggler-test-every", 1, 1000, nullptr, &Tuning::straggler_test_every},
+    {"straggler-bar", 0.01, 1, &Tuning::straggler_threshold, nullptr},
+    {"straggler-test-every", 1, 1000, nullptr, &Tuning::straggler_check_interval},
     {"straggler-min-successes", 1, 1000, nullptr, &Tuning::straggler_min_successes},
     {"grant-s", 1, 600, &Tuning::shard_lease_s, nullptr},
     {"doubt-reports", 1.5, 100, &Tuning::suspect_after_heartbeats, nullptr},
@@ -32,7 +32,7 @@
     {"gang-replacement-share", 0, 0.9, &Tuning::gang_replacement_share, nullptr},
     {"spare-share", 0, 4, &Tuning::headroom_share, nullptr},
     {"cheap-spare-share", 0, 1, &Tuning::cheap_headroom_share, nullptr},
-    {"arrival-spreads", 0, 20, &Tuning::arrival_spreads, nullptr},
+    {"arrival-spreads", 0, 20, &Tuning::arrival_std_deviations, nullptr},
     {"idle-replacements", 0, 1000, &Tuning::idle_replacements, nullptr},
 };
 
@@ -60,9 +60,9 @@
     out.*entry->real = *number;
     return std::nullopt;
   }
-  const int whole = static_cast<int>(*number);
-  if (*number != whole) return Error{where + name + ": must be whole"};
-  out.*entry->whole = whole;
+  const int integer = static_cast<int>(*number);
+  if (*number != integer) return Error{where + name + ": must be whole"};
+  out.*entry->integer = integer;
   return std::nullopt;
 }
 
--- a/src/config/tuning.hpp
+++ b/src/config/tuning.hpp
@@ -11,10 +11,10 @@
 /// entry that is left out has the default.
 struct Tuning {
   // Stragglers: moving average of each machine's speed, after Algorithm 1 of the paper.
-  double straggler_alpha = 0.1;     ///< "straggler-alpha": weight of the newest observation
-  double straggler_bar = 0.8;       ///< "straggler-bar": slower than this share: a straggler
-  int straggler_test_every = 10;    ///< "straggler-test-every"
-  int straggler_min_successes = 5;  ///< "straggler-min-successes"
+  double straggler_alpha = 0.1;       ///< "straggler-alpha": weight of the newest observation
+  double straggler_threshold = 0.8;   ///< "straggler-bar": slower than this share: a straggler
+  int straggler_check_interval = 10;  ///< "straggler-test-every"
+  int straggler_min_successes = 5;    ///< "straggler-min-successes"
 
   double shard_lease_s = 30.0;  ///< "grant-s": duration of a shard lease, s
 
@@ -48,7 +48,7 @@
   double cheap_headroom_share = 0.05;
   /// "arrival-spreads": expected are the mean of the arrivals during a boot and so many standard
   /// deviations.
-  double arrival_spreads = 2;
+  double arrival_std_deviations = 2;
   /// "idle-replacements": an idle machine is deleted after so many times what another one would
   /// take to replace it.
   double idle_replacements = 1;
--- a/src/coordination/api/user_api.cpp
+++ b/src/coordination/api/user_api.cpp
@@ -83,7 +83,7 @@
     co_return co_await status_response(spec->id);
   // The current replica settings are recorded with the job, which keeps them when the operators
   // change the file.
-  settings_.replicas.describe(*spec);
+  settings_.replicas.apply_to(*spec);
   const AdmissionResult admission = check_admission(*spec, settings_, catalog_.types());
   if (admission != AdmissionResult::admitted)
     co_return co_await reject(spec->id, rejection_reason(admission));
--- a/src/coordination/autoscaling/autoscaler_driver.cpp
+++ b/src/coordination/autoscaling/autoscaler_driver.cpp
@@ -108,7 +108,7 @@
       cpus.push_back({age_s, spec.cpus * spec.tasks});
     }
   }
-  const double standard_deviations = deps_.settings.tuning.arrival_spreads;
+  const double standard_deviations = deps_.settings.tuning.arrival_std_deviations;
   input.expected_gpus = headroom::expected_arrivals(gpus, gpu_boot_s, standard_deviations);
   input.expected_cpus = headroom::expected_arrivals(cpus, cpu_boot_s, standard_deviations);
 }
--- a/src/coordination/machines/straggler.cpp
+++ b/src/coordination/machines/straggler.cpp
@@ -21,9 +21,9 @@
 bool update_straggler_state(StragglerState& state, double relative_speed, const Tuning& tuning) {
   state.average =
       tuning.straggler_alpha * relative_speed + (1 - tuning.straggler_alpha) * state.average;
-  if (++state.updates % tuning.straggler_test_every != 0) return false;
+  if (++state.updates % tuning.straggler_check_interval != 0) return false;
   bool was_flagged = state.flagged;
-  state.flagged = state.average < tuning.straggler_bar;
+  state.flagged = state.average < tuning.straggler_threshold;
   return state.flagged && !was_flagged;
 }
 
--- a/src/coordination/quotas/initial_units.cpp
+++ b/src/coordination/quotas/initial_units.cpp
@@ -10,7 +10,7 @@
 /// Of a guarantee that is a sum of decimal fractions, in CPUs or accelerators.
 constexpr double rounding_tolerance = 1e-9;
 
-double of_others(const std::vector<double>& shares, size_t own) {
+double sum_of_others(const std::vector<double>& shares, size_t own) {
   return std::accumulate(shares.begin(), shares.end(), 0.0) - shares[own];
 }
 }  // namespace
@@ -45,11 +45,11 @@
   return out;
 }
 
-void keep_guarantees_elsewhere(Settings& settings, const RegionSettings& regions) {
+void set_guarantees_elsewhere(Settings& settings, const RegionSettings& regions) {
   const size_t own = regions.own_index;
   for (auto& team : settings.teams) {
-    team.cpus_elsewhere = of_others(guarantee_shares(team.cpus, regions.regions), own);
-    team.gpus_elsewhere = of_others(guarantee_shares(team.gpus, regions.regions), own);
+    team.cpus_elsewhere = sum_of_others(guarantee_shares(team.cpus, regions.regions), own);
+    team.gpus_elsewhere = sum_of_others(guarantee_shares(team.gpus, regions.regions), own);
   }
 }
 
--- a/src/coordination/quotas/initial_units.hpp
+++ b/src/coordination/quotas/initial_units.hpp
@@ -19,6 +19,6 @@
 
 /// Notes in each team's settings what other regions keep of its limit, so that the admission check
 /// refuses a job that can never run in this region.
-void keep_guarantees_elsewhere(Settings& settings, const RegionSettings& regions);
+void set_guarantees_elsewhere(Settings& settings, const RegionSettings& regions);
 
 }  // namespace damsonport::quotas
--- a/src/coordination/quotas/quota_policy.cpp
+++ b/src/coordination/quotas/quota_policy.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 /// Units beyond `kept`, what is used and what is guaranteed.
-uint64_t surplus_beyond(const Standing& standing, uint64_t kept) {
-  return excess(standing.quota, std::max({kept, standing.used, standing.guaranteed}));
+uint64_t surplus_beyond(const QuotaState& quota_state, uint64_t kept) {
+  return excess(quota_state.quota, std::max({kept, quota_state.used, quota_state.guaranteed}));
 }
 
 /// Adds to each region's request what it can cover of `wanted`, those with the largest surplus
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-Surplus surplus(const Standing& s, bool defers) {
+Surplus surplus(const QuotaState& s, bool defers) {
   const uint64_t for_urgent = surplus_beyond(s, s.used + s.urgent_need);
   uint64_t for_any = surplus_beyond(s, std::max(s.used + s.need, s.recent_peak));
   // Too little to start anything here, and elsewhere it may be enough.
@@ -40,7 +40,7 @@
   return {std::max(for_urgent, for_any), for_any};
 }
 
-Deficit deficit(const Standing& s) {
+Deficit deficit(const QuotaState& s) {
   return {excess(s.used + s.urgent_need, s.quota), excess(s.used + s.need, s.quota)};
 }
 
@@ -71,11 +71,11 @@
   return excess(std::max(urgent, any), unacknowledged);
 }
 
-void RecentPeak::note(uint64_t value, double now, double period_s) {
-  if (now - begun_ > period_s / 2) {
-    previous_ = now - begun_ > period_s ? 0 : current_;
+void RecentPeak::add_sample(uint64_t value, double now, double period_s) {
+  if (now - half_period_start_ > period_s / 2) {
+    previous_ = now - half_period_start_ > period_s ? 0 : current_;
     current_ = 0;
-    begun_ = now;
+    half_period_start_ = now;
   }
   current_ = std::max(current_, value);
 }
--- a/src/coordination/quotas/quota_policy.hpp
+++ b/src/coordination/quotas/quota_policy.hpp
@@ -17,7 +17,7 @@
 namespace damsonport::quotas {
 
 /// One region's position in one team's limit; all figures in quota units.
-struct Standing {
+struct QuotaState {
   uint64_t quota = 0;
   uint64_t used = 0;         ///< By tasks in the records.
   uint64_t guaranteed = 0;   ///< The region's share of the guarantee: never transferred.
@@ -35,14 +35,14 @@
 };
 /// `defers`: of two regions that each hold too little for their smallest pending task, this one
 /// leaves its units to the other.
-Surplus surplus(const Standing& standing, bool defers);
+Surplus surplus(const QuotaState& quota_state, bool defers);
 
 /// What pending work needs beyond the quota.
 struct Deficit {
   uint64_t urgent = 0;  ///< Part of the second.
   uint64_t any = 0;
 };
-Deficit deficit(const Standing& standing);
+Deficit deficit(const QuotaState& quota_state);
 
 /// What is requested from one region, out of the surplus that it announced.
 struct QuotaRequest {
@@ -62,13 +62,13 @@
 /// The largest value over a period, give or take half of it. Times in seconds.
 class RecentPeak {
  public:
-  void note(uint64_t value, double now, double period_s);
+  void add_sample(uint64_t value, double now, double period_s);
   uint64_t value() const { return current_ > previous_ ? current_ : previous_; }
 
  private:
-  uint64_t current_ = 0;   // of the half period that began at begun_
+  uint64_t current_ = 0;   // of the half period that began at half_period_start_
   uint64_t previous_ = 0;  // of the one before
-  double begun_ = 0;
+  double half_period_start_ = 0;
 };
 
 }  // namespace damsonport::quotas
--- a/src/coordination/quotas/region_network.cpp
+++ b/src/coordination/quotas/region_network.cpp
@@ -39,18 +39,18 @@
 
 long RegionNetwork::receive(std::string_view bytes) {
   long consumed = 0;
-  bool news = false;
+  bool records_due = false;
   for (;;) {
     RegionMessage message;
     size_t used = 0;
-    const auto framed =
+    const auto status =
         decode_region_message(bytes.substr(static_cast<size_t>(consumed)), message, used);
-    if (framed == Framed::bad) return -1;
-    if (framed == Framed::partial) break;
+    if (status == Framed::bad) return -1;
+    if (status == Framed::partial) break;
     consumed += static_cast<long>(used);
-    news |= quotas_.receive_message(message, loop_.now());
+    records_due |= quotas_.receive_message(message, loop_.now());
   }
-  if (news && on_news) on_news();
+  if (records_due && on_records_due) on_records_due();
   return consumed;
 }
 
--- a/src/coordination/quotas/region_network.hpp
+++ b/src/coordination/quotas/region_network.hpp
@@ -28,7 +28,7 @@
   /// Something is to be sent at once.
   void wake() { wake_.notify(); }
   /// Called when a message calls for a change of records.
-  std::function<void()> on_news;
+  std::function<void()> on_records_due;
 
  private:
   // Bytes consumed, or -1 for a broken stream.
--- a/src/coordination/quotas/team_demand.cpp
+++ b/src/coordination/quotas/team_demand.cpp
@@ -11,7 +11,7 @@
 }
 
 /// 0 in `smallest`: no need noted yet; a need of 0 isn't noted.
-void note_smallest(double& smallest, double need) {
+void update_smallest(double& smallest, double need) {
   if (need > 0 && (smallest == 0 || need < smallest)) smallest = need;
 }
 
@@ -27,8 +27,8 @@
     if (pending == 0) continue;
     demand.need += resources_of(spec, pending);
     if (spec.priority >= Priority::high) demand.urgent_need += resources_of(spec, pending);
-    note_smallest(demand.smallest_need.cpus, spec.cpus);
-    note_smallest(demand.smallest_need.gpus, spec.gpus);
+    update_smallest(demand.smallest_need.cpus, spec.cpus);
+    update_smallest(demand.smallest_need.gpus, spec.gpus);
   }
   return demands;
 }
--- a/src/coordination/quotas/team_quotas.cpp
+++ b/src/coordination/quotas/team_quotas.cpp
@@ -12,12 +12,12 @@
 
 /// Age of a region's last message, in heartbeat intervals, from which on its hints of surplus and
 /// requests are ignored.
-constexpr double hint_lifetime_intervals = 8;
+constexpr double max_hint_age_intervals = 8;
 /// Quota that was needed within so many leases is kept from work elsewhere that isn't urgent.
-constexpr double kept_leases = 2;
+constexpr double recent_peak_leases = 2;
 /// A limit of 0 stands for none, so where nothing may be used the limit is this, in CPUs or
 /// accelerators.
-constexpr double smallest_limit = 1e-9;
+constexpr double min_positive_limit = 1e-9;
 
 }  // namespace
 
@@ -56,7 +56,7 @@
   const auto units = record_of(team).available_units();
   for (const auto& r : quota_resources)
     if (team.*r.limit > 0)
-      out.*r.amount = std::max(amount_of(units.*r.units, team.*r.limit), smallest_limit);
+      out.*r.amount = std::max(amount_of(units.*r.units, team.*r.limit), min_positive_limit);
   return out;
 }
 
@@ -75,21 +75,22 @@
   measured_at_ = now;
   demands_ = measure_demands(cache_);
   for (auto& team : settings_.teams) {
-    if (!limited(team)) continue;
+    if (!has_limit(team)) continue;
     auto& peaks = peaks_[team.name];
     peaks.resize(quota_resources.size());
     auto& demand = demands_[team.name];
     for (size_t i = 0; i < quota_resources.size(); ++i) {
       auto& r = quota_resources[i];
       const double wanted = demand.used.*r.amount + demand.need.*r.amount;
-      peaks[i].note(units_covering(wanted, team.*r.limit), now, settings_.lease_s * kept_leases);
+      peaks[i].add_sample(units_covering(wanted, team.*r.limit), now,
+                          settings_.lease_s * recent_peak_leases);
     }
   }
 }
 
-Standing TeamQuotas::standing(const TeamSettings& team, const QuotaRecord& record,
-                              const QuotaResource& r) const {
-  Standing s;
+QuotaState TeamQuotas::quota_state(const TeamSettings& team, const QuotaRecord& record,
+                                   const QuotaResource& r) const {
+  QuotaState s;
   const double limit = team.*r.limit;
   s.quota = record.available_units().*r.units;
   s.guaranteed = units_covering(guarantee(team).*r.amount, limit);
@@ -115,12 +116,12 @@
 bool TeamQuotas::has_recent_message(size_t region, double now) const {
   auto it = received_.find(regions_->regions[region].name);
   if (it == received_.end() || !it->second.received_at) return false;
-  return now - *it->second.received_at < settings_.heartbeat_interval_s * hint_lifetime_intervals;
+  return now - *it->second.received_at < settings_.heartbeat_interval_s * max_hint_age_intervals;
 }
 
 // --- changes of records
 
-// More than all units of a limit can't exist: only a faulty or false peer claims them.
+// More than all units of a limit available't exist: only a faulty or false peer claims them.
 bool TeamQuotas::is_plausible(const QuotaRecord& record, const std::string& region,
                               const QuotaUnits& sent) {
   const auto units = record.available_units(), counted = record.received_from(region);
@@ -151,8 +152,8 @@
       const QuotaRequest request{exchange->urgent_request.*r.units, exchange->request.*r.units};
       const uint64_t sent = record.sent_to(region).*r.units;
       const uint64_t unacknowledged = excess(sent, exchange->received.*r.units);
-      const auto can = surplus(standing(team, record, r), defers_to(i));
-      const uint64_t transfer = decide_transfer(can, request, unacknowledged);
+      const auto available = surplus(quota_state(team, record, r), defers_to(i));
+      const uint64_t transfer = decide_transfer(available, request, unacknowledged);
       if (transfer == 0) continue;
       record.sent[region].*r.units += transfer;
     }
@@ -164,7 +165,7 @@
   if (!regions_) return transaction;
   for (auto& team : settings_.teams) {
     if (static_cast<int>(transaction.writes.size()) >= max_writes) break;
-    if (!limited(team)) continue;
+    if (!has_limit(team)) continue;
     auto known = cache_.quotas().find(team.name);
     const bool first = known == cache_.quotas().end();
     auto record = record_of(team);
@@ -188,9 +189,9 @@
 void TeamQuotas::add_surplus(const TeamSettings& team, const QuotaRecord& record, size_t region,
                              TeamExchange& out) const {
   for (const auto& r : quota_resources) {
-    const auto can = surplus(standing(team, record, r), defers_to(region));
-    out.urgent_surplus.*r.units = can.urgent;
-    out.surplus.*r.units = can.any;
+    const auto available = surplus(quota_state(team, record, r), defers_to(region));
+    out.urgent_surplus.*r.units = available.urgent;
+    out.surplus.*r.units = available.any;
   }
 }
 
@@ -201,7 +202,7 @@
     for (size_t i = 0; i < surpluses.size(); ++i)
       if (auto* exchange = received_from(i, team.name); exchange && is_reachable(i))
         surpluses[i] = {exchange->urgent_surplus.*r.units, exchange->surplus.*r.units};
-    const auto request = divide_requests(deficit(standing(team, record, r)), surpluses)[region];
+    const auto request = divide_requests(deficit(quota_state(team, record, r)), surpluses)[region];
     out.urgent_request.*r.units = request.urgent;
     out.request.*r.units = request.any;
   }
@@ -209,10 +210,10 @@
 
 bool TeamQuotas::any_deficit() const {
   return std::any_of(settings_.teams.begin(), settings_.teams.end(), [&](auto& team) {
-    if (!limited(team)) return false;
+    if (!has_limit(team)) return false;
     const auto record = record_of(team);
     return std::any_of(quota_resources.begin(), quota_resources.end(), [&](auto& r) {
-      return team.*r.limit > 0 && deficit(standing(team, record, r)).any > 0;
+      return team.*r.limit > 0 && deficit(quota_state(team, record, r)).any > 0;
     });
   });
 }
@@ -226,7 +227,7 @@
   message.number = next_number_++;
   for (auto& team : settings_.teams) {
     auto known = cache_.quotas().find(team.name);
-    if (!limited(team) || known == cache_.quotas().end()) continue;
+    if (!has_limit(team) || known == cache_.quotas().end()) continue;
     auto& record = known->second.record;
     auto& exchange = message.teams.emplace_back();
     exchange.team = team.name;
@@ -249,7 +250,7 @@
     received.order = order;
     received.received_at = now;
   }
-  bool calls_for_change = false;
+  bool records_due = false;
   for (auto& exchange : message.teams) {
     auto* team = settings_.team(exchange.team);
     if (!team) continue;
@@ -261,14 +262,14 @@
     auto& known = received.teams[exchange.team];
     // Totals only grow: the largest ever received is the true one, in whatever order they come.
     const auto sent = larger(known.sent, exchange.sent);
-    calls_for_change |= !(sent == known.sent);
+    records_due |= !(sent == known.sent);
     if (newer) {
-      calls_for_change |= !exchange.request.none();
+      records_due |= !exchange.request.none();
       known = exchange;
     }
     known.sent = sent;
   }
-  return calls_for_change;
+  return records_due;
 }
 
 }  // namespace damsonport::quotas
--- a/src/coordination/quotas/team_quotas.hpp
+++ b/src/coordination/quotas/team_quotas.hpp
@@ -75,12 +75,12 @@
   // CPUs and accelerators: memory has no quota.
   static const std::vector<QuotaResource> quota_resources;
 
-  static bool limited(const TeamSettings& team) { return team.cpus_max > 0 || team.gpus_max > 0; }
+  static bool has_limit(const TeamSettings& team) { return team.cpus_max > 0 || team.gpus_max > 0; }
   QuotaRecord first_record() const;
   QuotaRecord record_of(const TeamSettings& team) const;
   // `resource`: an element of quota_resources.
-  Standing standing(const TeamSettings& team, const QuotaRecord& record,
-                    const QuotaResource& resource) const;
+  QuotaState quota_state(const TeamSettings& team, const QuotaRecord& record,
+                         const QuotaResource& resource) const;
   const TeamExchange* received_from(size_t region, const std::string& team) const;
   // As of the last measurement.
   bool is_reachable(size_t region) const;
--- a/src/coordination/replicas/repair_policy.cpp
+++ b/src/coordination/replicas/repair_policy.cpp
@@ -21,7 +21,7 @@
 }
 
 bool has_turn(const RepairCandidate& candidate, double now, double turn_s) {
-  return candidate.offered && candidate.offered_at && now - *candidate.offered_at < turn_s;
+  return candidate.granted && candidate.granted_at && now - *candidate.granted_at < turn_s;
 }
 
 std::vector<size_t> choose_repairs(const std::vector<RepairCandidate>& candidates,
@@ -34,7 +34,7 @@
   std::stable_sort(order.begin(), order.end(), [&](size_t a, size_t b) {
     const bool a_has_turn = has_turn(candidates[a], now, turn_s);
     if (a_has_turn != has_turn(candidates[b], now, turn_s)) return a_has_turn;
-    return candidates[a].offered_at < candidates[b].offered_at;
+    return candidates[a].granted_at < candidates[b].granted_at;
   });
   const size_t free = max_repairs > under_repair ? max_repairs - under_repair : 0;
   if (order.size() > free) order.resize(free);
--- a/src/coordination/replicas/repair_policy.hpp
+++ b/src/coordination/replicas/repair_policy.hpp
@@ -17,8 +17,8 @@
 /// A replica whose attempt is over, with no task left of it.
 struct RepairCandidate {
   double backoff_until = 0;          ///< No start before this time.
-  std::optional<double> offered_at;  ///< When its last turn began; empty: it had none yet.
-  bool offered = false;              ///< Its last turn has not been taken back.
+  std::optional<double> granted_at;  ///< When its last turn began; empty: it had none yet.
+  bool granted = false;              ///< Its last turn has not been taken back.
 };
 
 /// The candidate has its turn at this time.
--- a/src/coordination/replicas/replica_manager.cpp
+++ b/src/coordination/replicas/replica_manager.cpp
@@ -10,17 +10,17 @@
 /// Age of a heartbeat, in heartbeat intervals, up to which it proves readiness. A heartbeat says
 /// what was so at the answer to the one before, so that is up to two intervals old when the next
 /// one is due; each is up to a quarter longer.
-constexpr double readiness_intervals = 4;
+constexpr double max_heartbeat_age_intervals = 4;
 /// Age of a machine's state, in heartbeat intervals, from which on the machine is probed.
-constexpr double probe_after_intervals = 2.6;
+constexpr double probe_age_intervals = 2.6;
 /// After being ready for so long a replica's failures are forgotten.
-constexpr double stable_leases = 1;
+constexpr double failure_reset_leases = 1;
 /// How long a replica that waits for its repair has its turn, in heartbeat intervals.
 constexpr double turn_intervals = 2;
 }  // namespace
 
-double ReplicaManager::max_heartbeat_age_s() const {
-  return readiness_intervals * settings_.heartbeat_interval_s;
+double ReplicaManager::readiness_max_age_s() const {
+  return max_heartbeat_age_intervals * settings_.heartbeat_interval_s;
 }
 
 void ReplicaManager::clear() {
@@ -60,21 +60,21 @@
     parts.push_back(part);
   }
   parts.resize(replica.count);
-  return judge_readiness(parts, loop_.now(), max_heartbeat_age_s());
+  return judge_readiness(parts, loop_.now(), readiness_max_age_s());
 }
 
 ReplicaStatus ReplicaManager::status_of(const Job& job, uint32_t number) {
   const TaskRange replica = gang_range(job.spec, number);
   ReplicaStatus status{job.spec.id, number, ReplicaState::queued, {}, job.summarize(replica)};
-  ReplicaStanding standing;
-  standing.gang = gangs_.status(job, replica);
-  standing.last_attempt = status.record.last_attempt;
+  ReplicaObservation observation;
+  observation.gang = gangs_.status(job, replica);
+  observation.last_attempt = status.record.last_attempt;
   // An attempt of which a part has ended is never ready again.
-  const bool over = standing.gang.broken || standing.gang.stopping || job.cancelled;
+  const bool over = observation.gang.broken || observation.gang.stopping || job.cancelled;
   if (!over) status.readiness = readiness_of(job, replica);
-  standing.ready = status.readiness.ready;
-  if (standing.ready) gangs_.note_running(job, replica, status.readiness.attempt);
-  status.state = replica_state(standing);
+  observation.ready = status.readiness.ready;
+  if (observation.ready) gangs_.note_running(job, replica, status.readiness.attempt);
+  status.state = replica_state(observation);
   return status;
 }
 
@@ -86,16 +86,16 @@
   return out;
 }
 
-bool ReplicaManager::review() {
+bool ReplicaManager::update_states() {
   bool any_pending = false;
   for (auto& [replica_id, history] : replicas_) {
     const Job* job = cache_.job(replica_id.job);
-    if (job && update(*job, replica_id.number, history)) any_pending = true;
+    if (job && update_state(*job, replica_id.number, history)) any_pending = true;
   }
   return any_pending;
 }
 
-bool ReplicaManager::update(const Job& job, uint32_t number, History& history) {
+bool ReplicaManager::update_state(const Job& job, uint32_t number, History& history) {
   const ReplicaId replica_id{job.spec.id, number};
   const ReplicaStatus status = status_of(job, number);
   const TaskRangeSummary& record = status.record;
@@ -103,16 +103,16 @@
   const bool next_attempt =
       record.last_attempt > std::exchange(history.attempt, record.last_attempt);
   auto& repair = history.repair;
-  if (repair.not_ready) {
-    // Between two reviews it may be gone and started anew.
-    if ((record.live == 0 || next_attempt) && !repair.gone) repair.gone = now;
-    if (record.live > 0 && repair.gone && !repair.started) repair.started = now;
+  if (repair.detected) {
+    // Between two reviews it may be terminated and placed anew.
+    if ((record.live == 0 || next_attempt) && !repair.terminated) repair.terminated = now;
+    if (record.live > 0 && repair.terminated && !repair.placed) repair.placed = now;
   }
   if (history.state != status.state) note_state(replica_id, history, status);
   if (status.state != ReplicaState::ready)
     return status.state == ReplicaState::repairing && record.live == 0;
   history.ready_as_of = status.readiness.as_of;
-  if (now - history.ready_since > stable_leases * settings_.lease_s) history.failures = 0;
+  if (now - history.ready_since > failure_reset_leases * settings_.lease_s) history.failures = 0;
   return false;
 }
 
@@ -123,13 +123,13 @@
   if (before == ReplicaState::ready) {
     history.repair = {};
     history.repair.last_ready_as_of = history.ready_as_of;
-    history.repair.not_ready = now;
+    history.repair.detected = now;
   }
   if (status.state == ReplicaState::ready) {
     log_ready(replica_id, history, status.readiness);
     history.ready_since = now;
     history.moving = false;
-    history.turn.offered = false;
+    history.turn.granted = false;
     history.repair = {};
     unready_.erase(replica_id);
     return;
@@ -145,14 +145,14 @@
   const auto& repair = history.repair;
   spdlog::info("replica {}:{} is ready under attempt {}, as of {:.2f} s ago", replica_id.job,
                replica_id.number, readiness.attempt, now - readiness.as_of);
-  if (!repair.not_ready || !repair.gone) return;
-  const double started = repair.started.value_or(now);
+  if (!repair.detected || !repair.terminated) return;
+  const double placed = repair.placed.value_or(now);
   spdlog::info(
       "replica {}:{} repaired in {:.2f} s: detection {:.2f}, termination {:.2f}, placement "
       "{:.2f}, load {:.2f}",
       replica_id.job, replica_id.number, now - repair.last_ready_as_of,
-      *repair.not_ready - repair.last_ready_as_of, *repair.gone - *repair.not_ready,
-      started - *repair.gone, now - started);
+      *repair.detected - repair.last_ready_as_of, *repair.terminated - *repair.detected,
+      placed - *repair.terminated, now - placed);
 }
 
 void ReplicaManager::note_exit(const Job& job, TaskRange replica, uint64_t attempt,
@@ -176,7 +176,7 @@
   });
 }
 
-std::vector<ReplicaManager::Replica> ReplicaManager::take_moves() {
+std::vector<ReplicaManager::Replica> ReplicaManager::start_moves() {
   std::map<std::string, uint32_t> down;  // by class
   for (auto& [replica_id, history] : replicas_)
     if (const Job* job = cache_.job(replica_id.job); job && history.moving)
@@ -198,8 +198,8 @@
   return moves;
 }
 
-std::set<std::string> ReplicaManager::machines_to_ask() const {
-  const double before = loop_.now() - probe_after_intervals * settings_.heartbeat_interval_s;
+std::set<std::string> ReplicaManager::machines_to_probe() const {
+  const double before = loop_.now() - probe_age_intervals * settings_.heartbeat_interval_s;
   std::set<std::string> out;
   for (auto& [replica_id, history] : replicas_) {
     const Job* job = cache_.job(replica_id.job);
@@ -213,7 +213,7 @@
   return out;
 }
 
-std::set<std::string> ReplicaManager::offer_repairs() {
+std::set<std::string> ReplicaManager::grant_repair_turns() {
   std::set<std::string> jobs;
   std::map<std::string, ClassRepairs> classes;
   for (const auto& replica_id : unready_) {
@@ -221,7 +221,7 @@
     if (!job || job->cancelled) continue;
     History& history = replicas_.at(replica_id);
     const TaskRangeSummary record = job->summarize(gang_range(job->spec, replica_id.number));
-    // One that was never started is no repair.
+    // One that was never placed is no repair.
     if (record.last_attempt == 0) continue;
     ClassRepairs& repairs = classes[job->spec.job_class];
     repairs.policy = &settings_.replicas.policy(job->spec.job_class);
@@ -243,12 +243,12 @@
   for (const History* history : repairs.pending) candidates.push_back(history->turn);
   const auto chosen =
       choose_repairs(candidates, repairs.under_repair, repairs.policy->repairs, now, turn_s);
-  for (History* history : repairs.pending) history->turn.offered = false;
+  for (History* history : repairs.pending) history->turn.granted = false;
   for (const size_t index : chosen) {
     RepairCandidate& turn = repairs.pending[index]->turn;
-    turn.offered = true;
+    turn.granted = true;
     // A turn that goes on keeps its beginning.
-    if (!has_turn(candidates[index], now, turn_s)) turn.offered_at = now;
+    if (!has_turn(candidates[index], now, turn_s)) turn.granted_at = now;
   }
 }
 
@@ -256,7 +256,7 @@
   const TaskRangeSummary record = job.summarize(replica);
   if (record.last_attempt == 0 || record.live > 0) return true;
   auto it = replicas_.find({job.spec.id, gang_of(job.spec, replica.first)});
-  return it != replicas_.end() && it->second.turn.offered;
+  return it != replicas_.end() && it->second.turn.granted;
 }
 
 }  // namespace damsonport::replicas
--- a/src/coordination/replicas/replica_manager.hpp
+++ b/src/coordination/replicas/replica_manager.hpp
@@ -47,25 +47,25 @@
   void note_exit(const Job& job, TaskRange replica, uint64_t attempt, ExitCause cause);
   /// Updates the state of every replica, and logs what has changed. True: some wait for their
   /// repair, whose turn may come with time alone.
-  [[nodiscard]] bool review();
-  /// Ready replicas that the caller has to stop now, to be started elsewhere: as many as the
+  [[nodiscard]] bool update_states();
+  /// Ready replicas that the caller has to stop now, to be placed elsewhere: as many as the
   /// class's policy allows to be down for it. They count as down until they are ready again.
-  [[nodiscard]] std::vector<Replica> take_moves();
+  [[nodiscard]] std::vector<Replica> start_moves();
   /// Some job has replicas of several parts.
-  bool any() const { return !replicas_.empty(); }
+  bool has_replicas() const { return !replicas_.empty(); }
   /// Machines with parts whose state is too old to prove readiness: heartbeats that come on ever
   /// new connections may be old. They are to be probed.
-  std::set<std::string> machines_to_ask() const;
+  std::set<std::string> machines_to_probe() const;
   /// Gives turns to replicas that wait for their repair; returns the jobs concerned.
-  std::set<std::string> offer_repairs();
-  /// The replica, or its missing parts, may be started now: always, except for a repair without a
+  std::set<std::string> grant_repair_turns();
+  /// The replica, or its missing parts, may be placed now: always, except for a repair without a
   /// turn.
   bool may_start(const Job& job, TaskRange replica) const;
 
   /// Of all replicas, as of now.
   std::vector<ReplicaStatus> statuses();
   /// Heartbeats older than this, in seconds, prove nothing about readiness.
-  double max_heartbeat_age_s() const;
+  double readiness_max_age_s() const;
 
  private:
   struct ReplicaId {
@@ -75,8 +75,8 @@
   };
   // When the stages of a repair began, on the steady clock; empty: not yet.
   struct RepairTimes {
-    double last_ready_as_of = 0;  // counts only with not_ready
-    std::optional<double> not_ready, gone, started;
+    double last_ready_as_of = 0;  // counts only with detected
+    std::optional<double> detected, terminated, placed;
   };
   struct History {
     ReplicaState state = ReplicaState::queued;
@@ -101,7 +101,7 @@
   Readiness readiness_of(const Job& job, TaskRange replica) const;
   ReplicaStatus status_of(const Job& job, uint32_t number);
   // True: it waits for its repair.
-  bool update(const Job& job, uint32_t number, History& history);
+  bool update_state(const Job& job, uint32_t number, History& history);
   void note_state(const ReplicaId& replica_id, History& history, const ReplicaStatus& status);
   void log_ready(const ReplicaId& replica_id, const History& history,
                  const Readiness& readiness) const;
--- a/src/coordination/replicas/replica_state.cpp
+++ b/src/coordination/replicas/replica_state.cpp
@@ -22,13 +22,13 @@
   return readiness;
 }
 
-ReplicaState replica_state(const ReplicaStanding& standing) {
-  const GangStatus& gang = standing.gang;
-  const bool first_attempt = standing.last_attempt <= 1;
+ReplicaState replica_state(const ReplicaObservation& observation) {
+  const GangStatus& gang = observation.gang;
+  const bool first_attempt = observation.last_attempt <= 1;
   if (gang.live == 0)
-    return standing.last_attempt == 0 ? ReplicaState::queued : ReplicaState::repairing;
+    return observation.last_attempt == 0 ? ReplicaState::queued : ReplicaState::repairing;
   if (gang.stopping || gang.broken) return ReplicaState::stopping;
-  if (standing.ready) return ReplicaState::ready;
+  if (observation.ready) return ReplicaState::ready;
   if (gang.ran) return ReplicaState::degraded;
   return first_attempt ? ReplicaState::starting : ReplicaState::repairing;
 }
--- a/src/coordination/replicas/replica_state.hpp
+++ b/src/coordination/replicas/replica_state.hpp
@@ -40,12 +40,12 @@
 Readiness judge_readiness(const std::vector<PartStatus>& parts, double now, double max_age_s);
 
 /// What the state of a replica follows from.
-struct ReplicaStanding {
+struct ReplicaObservation {
   GangStatus gang;
   uint64_t last_attempt = 0;  ///< Of its records; 0: never started.
   bool ready = false;         ///< By judge_readiness.
 };
 
-ReplicaState replica_state(const ReplicaStanding& standing);
+ReplicaState replica_state(const ReplicaObservation& observation);
 
 }  // namespace damsonport::replicas
--- a/src/coordination/scheduling/snapshot_builder.cpp
+++ b/src/coordination/scheduling/snapshot_builder.cpp
@@ -9,7 +9,7 @@
 void SnapshotBuilder::begin_lease() {
   const Settings& settings = deps_.settings;
   snapshot_ = {};
-  snapshot_.guarantee_within_s = settings.guarantee_within();
+  snapshot_.guarantee_within_s = settings.guarantee_objective_s();
   snapshot_.gang_hold_after_s = settings.gang_wait_s * settings.tuning.gang_hold_after_share;
   snapshot_.gang_hold_for_s = settings.gang_wait_s * settings.tuning.gang_hold_for_share;
   for (auto& team : settings.teams)
@@ -90,7 +90,7 @@
   view.tasks = spec.tasks;
   view.accepted_at = spec.accepted_at;
   view.deadline = spec.deadline_s ? spec.accepted_at + *spec.deadline_s : 0;
-  view.start_within_s = deps_.settings.start_within(spec.job_class);
+  view.start_within_s = deps_.settings.start_objective_s(spec.job_class);
   view.estimate_s = spec.estimate_s;
   view.checkpoint_s = spec.checkpoint_s;
   view.grace_s = facts_.stop_grace_s(spec);
@@ -153,7 +153,8 @@
   view.total = facts_.total_resources(machine);
   view.free = facts_.free_resources(machine);
   view.straggler = machine.straggler.flagged;
-  const bool speed_known = machine.straggler.updates >= deps_.settings.tuning.straggler_test_every;
+  const bool speed_known =
+      machine.straggler.updates >= deps_.settings.tuning.straggler_check_interval;
   view.speed = speed_known ? machine.straggler.average : 1.0;
   if (auto* type = deps_.catalog.type(machine.type)) {
     view.fetch_gb_per_s = type->fetch_gb_per_s;
--- a/src/coordination/shard_leader/shard_leader_commit.cpp
+++ b/src/coordination/shard_leader/shard_leader_commit.cpp
@@ -200,7 +200,7 @@
 }
 
 void ShardLeader::refresh_snapshot() {
-  for (auto& id : replicas_.offer_repairs())
+  for (auto& id : replicas_.grant_repair_turns())
     if (Job* job = cache_.job(id)) snapshot_builder_.mark_job_changed(*job);
   std::vector<SnapshotBuilder::ExpectedMachine> expected;
   autoscaler_.for_each_expected_machine([&](auto&, auto& booting, auto& type) {
--- a/src/coordination/shard_leader/shard_leader_gangs.cpp
+++ b/src/coordination/shard_leader/shard_leader_gangs.cpp
@@ -47,9 +47,9 @@
     for (uint32_t n = 0; n < count; ++n) review_gang(*job, gang_range(job->spec, n));
     if (count > 0 && job->startable_count() > 0) snapshot_builder_.mark_job_changed(*job);
   }
-  if (replicas_.review()) scheduling_requested_ = true;
-  for (auto& machine : replicas_.machines_to_ask()) commands_.start_probe(machine);
-  for (auto& move : replicas_.take_moves()) stop_gang(*move.job, move.parts, 0);
+  if (replicas_.update_states()) scheduling_requested_ = true;
+  for (auto& machine : replicas_.machines_to_probe()) commands_.start_probe(machine);
+  for (auto& move : replicas_.start_moves()) stop_gang(*move.job, move.parts, 0);
 }
 
 // The tasks of a gang complete together: when one is done, all of its attempt are, whether or not
--- a/src/coordination/shard_leader/shard_leader_heartbeats.cpp
+++ b/src/coordination/shard_leader/shard_leader_heartbeats.cpp
@@ -161,7 +161,8 @@
 // A replica that may have been ready is never ready again under an attempt that lost a part, so the
 // part isn't started anew as any other task would be: the attempt is over.
 void ShardLeader::note_absent_parts(const Machine& m) {
-  if (!replicas_.any() || m.fencing_token < lease_.fencing_token() || !lease_.records_current())
+  if (!replicas_.has_replicas() || m.fencing_token < lease_.fencing_token() ||
+      !lease_.records_current())
     return;
   std::vector<std::pair<const Job*, TaskRange>> concerned;
   for (auto& [assignment, attempt] : cache_.assignments_on(m.id)) {
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -103,7 +103,7 @@
     auto regions = damsonport::load_regions(options.regions_file, configuration.settings.zone);
     if (!regions) return damsonport::Error{regions.error()};
     configuration.regions = std::move(*regions);
-    damsonport::quotas::keep_guarantees_elsewhere(configuration.settings, *configuration.regions);
+    damsonport::quotas::set_guarantees_elsewhere(configuration.settings, *configuration.regions);
   }
   return configuration;
 }
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -268,7 +268,7 @@
 TEST(Tuning, EntriesInvalid_ErrorsNameTheirLines) {
   auto t = parse_tuning("; ours\n(damsonport (straggler-bar 0.7)\n (grant-s 20))");
   ASSERT_TRUE(t);
-  EXPECT_EQ(t->straggler_bar, 0.7);
+  EXPECT_EQ(t->straggler_threshold, 0.7);
   EXPECT_EQ(t->shard_lease_s, 20);
   for (const char* text : {"(damsonport\n (nonsense 1))", "(damsonport\n (grant-s x))",
                            "(damsonport\n (grant-s 0))", "(damsonport\n (grant-s 1)"}) {
--- a/tests/regions/budgets_test.cpp
+++ b/tests/regions/quota_policy_test.cpp
@@ -1,8 +1,9 @@
 // The pure parts of dividing limits among regions: settings, codec, first division and policy.
+#include "coordination/quotas/quota_policy.hpp"
+
 #include <gtest/gtest.h>
 
 #include "coordination/quotas/initial_units.hpp"
-#include "coordination/quotas/quota_policy.hpp"
 #include "protocol/region_message.hpp"
 #include "storage/quota_record.hpp"
 
@@ -15,7 +16,7 @@
   (region south (share 1) (zones c) (controller pier-0 "10.4.0.1:8082")
                                     (controller pier-1 "10.4.0.2:8082"))))";
 
-TEST(RegionSettings, AControllerBelongsToTheRegionOfItsZone) {
+TEST(RegionSettings, ControllerBelongsToTheRegionOfItsZone) {
   auto settings = parse_regions(two_regions, "c");
   ASSERT_TRUE(settings) << settings.error();
   EXPECT_EQ(settings->own().name, "south");
@@ -40,10 +41,10 @@
       {"(regions (region n (share 1) (zones b)))", "no region lists the zone a"},
       {"(regions (region n (share 1) (zones a))", "'(' is not closed"},
       {"(areas)", "expected (regions ...)"}};
-  for (auto& [text, complaint] : bad) {
+  for (auto& [text, problem] : bad) {
     auto settings = parse_regions(text, "a");
     ASSERT_FALSE(settings) << text;
-    EXPECT_NE(settings.error().find(complaint), std::string::npos) << settings.error();
+    EXPECT_NE(settings.error().find(problem), std::string::npos) << settings.error();
   }
 }
 
@@ -119,7 +120,7 @@
 }
 
 TEST(QuotaPolicy, SurplusExcludesUseNeedAndGuarantee) {
-  Standing s{.quota = 100, .used = 30, .guaranteed = 20, .urgent_need = 5, .need = 25};
+  QuotaState s{.quota = 100, .used = 30, .guaranteed = 20, .urgent_need = 5, .need = 25};
   EXPECT_EQ(surplus(s, false).urgent, 65u);
   EXPECT_EQ(surplus(s, false).any, 45u);
   s.recent_peak = 90;
@@ -152,8 +153,8 @@
   EXPECT_GE(any, 40u);
 }
 
-TEST(QuotaPolicy, OneOfTwoRegionsWithTooLittleDefers) {
-  Standing s{.quota = 10, .used = 8, .need = 40, .smallest_need = 4};
+TEST(QuotaPolicy, OneOfTwoRegionsWithTooLittleQuotaDefers) {
+  QuotaState s{.quota = 10, .used = 8, .need = 40, .smallest_need = 4};
   EXPECT_EQ(surplus(s, false).any, 0u);
   EXPECT_EQ(surplus(s, true).any, 2u);
   s.quota = 12;
@@ -162,12 +163,12 @@
 
 TEST(QuotaPolicy, RecentPeakExpires) {
   RecentPeak peak;
-  peak.note(10, 100, 20);
-  peak.note(3, 109, 20);
+  peak.add_sample(10, 100, 20);
+  peak.add_sample(3, 109, 20);
   EXPECT_EQ(peak.value(), 10u);
-  peak.note(3, 112, 20);
+  peak.add_sample(3, 112, 20);
   EXPECT_EQ(peak.value(), 10u);
-  peak.note(3, 123, 20);
+  peak.add_sample(3, 123, 20);
   EXPECT_EQ(peak.value(), 3u);
 }
 
--- a/tests/regions/region_cluster.cpp
+++ b/tests/regions/region_cluster.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr double eps = 1e-6;
+constexpr double resource_tolerance = 1e-6;
 constexpr uint16_t api_port = 8080, peer_port = 8081, region_port = 8082;
 const std::string user_host = "10.9.0.1";
 
@@ -33,10 +33,10 @@
 }  // namespace
 
 RegionCluster::RegionCluster(ClusterPlan plan)
-    : plan_(std::move(plan)), world_(plan_.seed), checked_limit_(plan_.team.gpus_max) {
+    : plan_(std::move(plan)), world_(plan_.seed), checked_limit_gpus_(plan_.team.gpus_max) {
   plan_.share.resize(plan_.regions, 1);
   regions_.resize(plan_.regions);
-  for (size_t r = 0; r < plan_.regions; ++r) set_up_region(r);
+  for (size_t r = 0; r < plan_.regions; ++r) create_region(r);
 }
 
 RegionSettings RegionCluster::region_settings(size_t own) const {
@@ -51,7 +51,7 @@
   return out;
 }
 
-void RegionCluster::set_up_region(size_t index) {
+void RegionCluster::create_region(size_t index) {
   auto& region = regions_[index];
   region.name = fmt::format("region-{}", index);
   region.zone = zone_name(index);
@@ -73,17 +73,17 @@
     nodes.push_back({controller_name(index, n), controller_host(index, n)});
   region.state = std::make_unique<KeyValueStore>(world_, s.state.host, limits);
   region.state->on_change = [this, index](const std::string& key, const Json& value) {
-    if (key == keys::quota(plan_.team.name)) budget_changed(index, value);
+    if (key == keys::quota(plan_.team.name)) quota_changed(index, value);
   };
   region.fleet =
       std::make_unique<SimulatedFleet>(world_, s, std::vector<MachineType>{machine_type(plan_)},
                                        nodes, fmt::format("10.{}.", 100 + index));
   region.fleet->cloud().set_capacity(plan_.machines);
-  region.fleet->rules().on_start = [this](const TaskId&) { check_use(); };
+  region.fleet->rules().on_start = [this](const TaskId&) { check_usage(); };
   for (int i = 0; i < plan_.machines; ++i) region.fleet->add_up("g", region.zone, false);
   auto with_elsewhere = s;
   const auto regions = region_settings(index);
-  quotas::keep_guarantees_elsewhere(with_elsewhere, regions);
+  quotas::set_guarantees_elsewhere(with_elsewhere, regions);
   for (size_t n = 0; n < plan_.controllers; ++n) {
     Settings own = with_elsewhere;
     own.controller_name = nodes[n].name;
@@ -118,22 +118,22 @@
 }
 
 void RegionCluster::send_submission(size_t region, const std::string& job, size_t node) {
-  constexpr double patience_s = 5, retry_s = 1;
-  const double asked = world_.now();
-  auto answered = std::make_shared<bool>(false);
+  constexpr double timeout_s = 5, retry_s = 1;
+  const double sent_at = world_.now();
+  auto replied = std::make_shared<bool>(false);
   auto next = [this, region, job, node] {
     world_.in(retry_s, [this, region, job, node] {
       send_submission(region, job, (node + 1) % plan_.controllers);
     });
   };
-  world_.in(patience_s, [answered, next] {
-    if (!std::exchange(*answered, true)) next();
+  world_.in(timeout_s, [replied, next] {
+    if (!std::exchange(*replied, true)) next();
   });
   world_.ask(user_host, regions_[region].controllers[node]->host(), Method::post, "/api/jobs",
              encode(submission_of(jobs_.at(job))),
-             [this, region, job, asked, answered, next](const HttpReply& reply) {
-               if (std::exchange(*answered, true)) return;
-               regions_[region].fleet->rules().on_answer(job, reply.status, "queued", asked);
+             [this, region, job, sent_at, replied, next](const HttpReply& reply) {
+               if (std::exchange(*replied, true)) return;
+               regions_[region].fleet->rules().on_answer(job, reply.status, "queued", sent_at);
                if (reply.status != 200 && reply.status != 201) next();
              });
 }
@@ -175,16 +175,16 @@
 
 // --- faults
 
-void RegionCluster::cut(size_t a, size_t b, Way way, World::Cut how, double for_s) {
-  std::vector<std::pair<std::string, std::string>> ways;
+void RegionCluster::cut(size_t a, size_t b, Direction direction, World::Cut how, double for_s) {
+  std::vector<std::pair<std::string, std::string>> links;
   for (auto& from : regions_[a].controllers)
     for (auto& to : regions_[b].controllers) {
-      ways.emplace_back(from->host(), to->host());
-      if (way == Way::both) ways.emplace_back(to->host(), from->host());
+      links.emplace_back(from->host(), to->host());
+      if (direction == Direction::both) links.emplace_back(to->host(), from->host());
     }
-  for (auto& [from, to] : ways) world_.cut(from, to, how);
-  world_.in(for_s, [this, ways] {
-    for (auto& [from, to] : ways) world_.heal(from, to);
+  for (auto& [from, to] : links) world_.cut(from, to, how);
+  world_.in(for_s, [this, links] {
+    for (auto& [from, to] : links) world_.heal(from, to);
   });
 }
 
@@ -203,7 +203,7 @@
     for (auto& controller : region.controllers) controller->settings().teams[0].gpus_max = gpus;
 }
 
-void RegionCluster::repeat_messages_within(double seconds) {
+void RegionCluster::duplicate_messages_within(double seconds) {
   for (auto& [address, take] : streams_) {
     if (!address.ends_with(":" + std::to_string(region_port))) continue;
     take = [this, seconds, address = address, original = take](std::string_view bytes) {
@@ -229,16 +229,16 @@
   return it == quotas_.end() ? QuotaRecord{} : it->second;
 }
 
-double RegionCluster::budget_gpus(size_t region) const {
+double RegionCluster::quota_gpus(size_t region) const {
   return amount_of(quota(region).available_units().gpus, plan_.team.gpus_max);
 }
 
-uint64_t RegionCluster::gpu_parts_on_the_way() const {
+uint64_t RegionCluster::gpu_units_in_transit() const {
   uint64_t sum = 0;
   for (auto& [from, record] : quotas_)
-    for (auto& [to, parts] : record.sent) {
+    for (auto& [to, units] : record.sent) {
       const auto receiver = static_cast<size_t>(std::stoul(to.substr(to.find('-') + 1)));
-      sum += parts.gpus - quota(receiver).received_from(regions_[from].name).gpus;
+      sum += units.gpus - quota(receiver).received_from(regions_[from].name).gpus;
     }
   return sum;
 }
@@ -257,42 +257,47 @@
   return sum;
 }
 
-void RegionCluster::check_use() {
+void RegionCluster::check_usage() {
   const double used = used_gpus();
-  most_used_ = std::max(most_used_, used);
-  if (used > checked_limit_ + eps)
-    broken_.push_back(fmt::format("quota at {}: {} accelerators of {} are used over all regions",
-                                  world_.now(), used, checked_limit_));
+  peak_used_gpus_ = std::max(peak_used_gpus_, used);
+  if (used > checked_limit_gpus_ + resource_tolerance)
+    violations_.push_back(
+        fmt::format("quota at {}: {} accelerators of {} are used over all regions", world_.now(),
+                    used, checked_limit_gpus_));
 }
 
-void RegionCluster::budget_changed(size_t region, const Json& value) {
-  if (!value.is_object()) return broken_.push_back("a budget's record was removed");
+void RegionCluster::quota_changed(size_t region, const Json& value) {
+  if (!value.is_object()) return violations_.push_back("a budget's record was removed");
   const auto before = quota(region);
   quotas_[region] = decode_quota(value);
   check_totals();
-  if (used_gpus(region) > budget_gpus(region) + eps && checked_limit_ >= plan_.team.gpus_max)
-    broken_.push_back(fmt::format("at {} {} uses {} accelerators of a budget of {}", world_.now(),
-                                  regions_[region].name, used_gpus(region), budget_gpus(region)));
-  if (on_budget) on_budget(region, before, quotas_[region]);
+  if (used_gpus(region) > quota_gpus(region) + resource_tolerance &&
+      checked_limit_gpus_ >= plan_.team.gpus_max)
+    violations_.push_back(fmt::format("at {} {} uses {} accelerators of a budget of {}",
+                                      world_.now(), regions_[region].name, used_gpus(region),
+                                      quota_gpus(region)));
+  if (on_quota_change) on_quota_change(region, before, quotas_[region]);
 }
 
-// All parts are with some region or on the way between two; nothing is received that wasn't sent.
+// All units are with some region or on the direction between two; nothing is received that wasn't
+// sent.
 void RegionCluster::check_totals() {
   if (quotas_.size() < regions_.size()) return;
   uint64_t sum = 0;
   for (auto& [region, record] : quotas_) {
-    const uint64_t parts = record.available_units().gpus;
-    if (parts > all_quota_units)
-      broken_.push_back(fmt::format("{} has given more than it had", regions_[region].name));
-    sum += parts;
+    const uint64_t units = record.available_units().gpus;
+    if (units > all_quota_units)
+      violations_.push_back(fmt::format("{} has given more than it had", regions_[region].name));
+    sum += units;
   }
-  if (const uint64_t moving = gpu_parts_on_the_way();
-      moving > all_quota_units || sum + moving != all_quota_units)
-    broken_.push_back(fmt::format("at {} {} parts and {} on the way", world_.now(), sum, moving));
+  if (const uint64_t in_transit = gpu_units_in_transit();
+      in_transit > all_quota_units || sum + in_transit != all_quota_units)
+    violations_.push_back(
+        fmt::format("at {} {} parts and {} on the way", world_.now(), sum, in_transit));
 }
 
-std::vector<std::string> RegionCluster::broken() const {
-  auto out = broken_;
+std::vector<std::string> RegionCluster::violations() const {
+  auto out = violations_;
   for (auto& region : regions_)
     for (auto& what : region.fleet->rules().violations()) out.push_back(region.name + ": " + what);
   return out;
--- a/tests/regions/region_cluster.hpp
+++ b/tests/regions/region_cluster.hpp
@@ -38,9 +38,9 @@
   int running(const std::string& job) const;
   bool done(const std::string& job) const;
 
-  enum class Way : uint8_t { both, from_first };
+  enum class Direction : uint8_t { both, from_first };
   // Between the controllers of two regions.
-  void cut(size_t a, size_t b, Way way, World::Cut how, double for_s);
+  void cut(size_t a, size_t b, Direction direction, World::Cut how, double for_s);
   // The controller that holds the region's grant, or the first.
   VirtualController& shard_leader(size_t region);
   std::vector<std::unique_ptr<VirtualController>>& controllers(size_t region) {
@@ -50,28 +50,29 @@
   SimulatedFleet& fleet(size_t region) { return *regions_[region].fleet; }
 
   // Called for each change of a budget's record.
-  std::function<void(size_t region, const QuotaRecord& before, const QuotaRecord& after)> on_budget;
+  std::function<void(size_t region, const QuotaRecord& before, const QuotaRecord& after)>
+      on_quota_change;
   // Every message between regions arrives once more after a while, drawn up to `seconds`.
-  void repeat_messages_within(double seconds);
+  void duplicate_messages_within(double seconds);
   // Somebody on the link says this to a region's controllers.
   void deliver(size_t region, const RegionMessage& message);
   std::string region_name(size_t region) const { return regions_[region].name; }
 
   QuotaRecord quota(size_t region) const;
-  double budget_gpus(size_t region) const;
+  double quota_gpus(size_t region) const;
   // Parts that were sent and not received yet.
-  uint64_t gpu_parts_on_the_way() const;
+  uint64_t gpu_units_in_transit() const;
   // In use by tasks on machines; of all regions without an argument.
   double used_gpus(size_t region) const;
   double used_gpus() const;
-  double most_used_gpus() const { return most_used_; }
+  double peak_used_gpus() const { return peak_used_gpus_; }
   // Broken rules: of the protocol in each region, and of the budgets over all.
-  std::vector<std::string> broken() const;
+  std::vector<std::string> violations() const;
 
   // The limit of the team in all settings, in force at each controller's next start.
   void set_limit(double gpus);
   // What is checked for all regions together from now on.
-  void check_limit(double gpus) { checked_limit_ = gpus; }
+  void check_limit(double gpus) { checked_limit_gpus_ = gpus; }
   const ClusterPlan& plan() const { return plan_; }
 
  private:
@@ -82,23 +83,23 @@
     std::unique_ptr<SimulatedFleet> fleet;
     std::vector<std::unique_ptr<VirtualController>> controllers;
   };
-  void set_up_region(size_t index);
+  void create_region(size_t index);
   RegionSettings region_settings(size_t own) const;
   void send_submission(size_t region, const std::string& job, size_t node);
   void send_cancellation(size_t region, const std::string& job, size_t node);
-  void budget_changed(size_t region, const Json& value);
-  void check_use();
+  void quota_changed(size_t region, const Json& value);
+  void check_usage();
   void check_totals();
 
   ClusterPlan plan_;
   World world_;
-  double checked_limit_;
+  double checked_limit_gpus_;
   VirtualNetwork::Streams streams_;
   std::vector<RegionWorld> regions_;
   std::map<size_t, QuotaRecord> quotas_;
   std::map<std::string, JobSpec> jobs_;
-  std::vector<std::string> broken_;
-  double most_used_ = 0;
+  std::vector<std::string> violations_;
+  double peak_used_gpus_ = 0;
 };
 
 }  // namespace damsonport::simulation
--- a/tests/replicas/replicas_test.cpp
+++ b/tests/replicas/replicas_test.cpp
@@ -12,7 +12,7 @@
 namespace damsonport::replicas {
 namespace {
 
-TEST(ReplicaSettings, AClassHasItsPolicyAndDefaults) {
+TEST(ReplicaSettings, ClassHasItsPolicyAndDefaults) {
   auto settings = parse_replicas(R"(; a comment
 (replicas
   (class big (parts 2) (distinct-machines yes) (repairs 7) (moves 0) (backoff-leases 0.25 8))
@@ -33,7 +33,7 @@
   EXPECT_EQ(settings->policy("small").parts, 1u);
 }
 
-TEST(ReplicaSettings, AllErrorsAreNamedAtOnceWithTheirLines) {
+TEST(ReplicaSettings, ErrorListsAllProblemsWithTheirLines) {
   auto settings = parse_replicas(
       "(replicas\n"
       "  (class one (parts 1))\n"
@@ -44,7 +44,7 @@
       "  (class four (backoff-leases 1))\n"
       "  (rack a))");
   ASSERT_FALSE(settings);
-  for (const char* complaint :
+  for (const char* problem :
        {"line 2: class one: parts must be a whole number from 2 to 1024",
         "line 3: class two: repairs must be", "line 4: class two: moves must be",
         "line 4: class two: unknown entry 'colour'",
@@ -53,8 +53,8 @@
         "class two is named twice", "line 7: class four: parts is missing",
         "line 7: class four: backoff-leases must be two numbers",
         "line 8: expected (class NAME ...)"})
-    EXPECT_NE(settings.error().find(complaint), std::string::npos) << complaint << "\nin\n"
-                                                                   << settings.error();
+    EXPECT_NE(settings.error().find(problem), std::string::npos) << problem << "\nin\n"
+                                                                 << settings.error();
   EXPECT_FALSE(parse_replicas("(replicas (class a (parts 2))"));
   EXPECT_FALSE(parse_replicas("(gangs)"));
 }
@@ -78,7 +78,7 @@
   return spec;
 }
 
-TEST(ReplicaRecord, ThePartsAreKeptInTheJobsRecord) {
+TEST(ReplicaRecord, JobRecordKeepsTheNumberOfParts) {
   auto again = decode_job(encode_job(replicated_job()));
   ASSERT_TRUE(again) << again.error();
   EXPECT_EQ(again->parts, 2u);
@@ -90,7 +90,7 @@
 }
 
 // Unknown fields of users' messages are ignored, and these are the operators' alone.
-TEST(ReplicaRecord, AUsersMessageDoesNotSetTheParts) {
+TEST(ReplicaRecord, SubmissionDoesNotSetTheNumberOfParts) {
   Json message = simulation::submission_of(replicated_job());
   message["parts"] = 3;
   message["distinct_machines"] = true;
@@ -103,7 +103,7 @@
   EXPECT_TRUE(decode_submission(message));
 }
 
-TEST(ReplicaRecord, IndivisibleTasksAreRefused) {
+TEST(ReplicaRecord, TaskCountNotDivisibleByPartsIsRejected) {
   Settings settings;
   settings.teams.push_back({"t", 0, 0, 0, 0});
   MachineType type;
@@ -117,7 +117,7 @@
       << "services alone have replicas";
 }
 
-TEST(ReplicaRecord, ARangeIsReadAcrossItsRecords) {
+TEST(ReplicaRecord, RangeIsSummarizedAcrossTaskChunks) {
   Job job;
   job.spec = replicated_job();
   job.chunk_size = 3;  // replica 1 is tasks 2 and 3, in two records
@@ -142,27 +142,27 @@
 }
 
 TEST(Readiness, RequiresAllPartsUnderOneAttemptByRecentHeartbeats) {
-  constexpr double now = 100, most_age = 6;
+  constexpr double now = 100, max_age_s = 6;
   const PartStatus first{true, 3, true, 97}, second{true, 3, true, 99};
-  const auto ready = judge_readiness({first, second}, now, most_age);
+  const auto ready = judge_readiness({first, second}, now, max_age_s);
   EXPECT_TRUE(ready.ready);
   EXPECT_EQ(ready.attempt, 3u);
   EXPECT_EQ(ready.as_of, 97);
   PartStatus other = second;
   other.attempt = 4;
-  EXPECT_FALSE(judge_readiness({first, other}, now, most_age).ready) << "of another attempt";
+  EXPECT_FALSE(judge_readiness({first, other}, now, max_age_s).ready) << "of another attempt";
   other = second;
   other.running = false;
-  EXPECT_FALSE(judge_readiness({first, other}, now, most_age).ready) << "not running";
+  EXPECT_FALSE(judge_readiness({first, other}, now, max_age_s).ready) << "not running";
   other = second;
   other.as_of = 93.9;
-  EXPECT_FALSE(judge_readiness({first, other}, now, most_age).ready) << "not heard of lately";
-  EXPECT_FALSE(judge_readiness({first, {}}, now, most_age).ready) << "not placed";
-  EXPECT_FALSE(judge_readiness({}, now, most_age).ready);
+  EXPECT_FALSE(judge_readiness({first, other}, now, max_age_s).ready) << "not heard of lately";
+  EXPECT_FALSE(judge_readiness({first, {}}, now, max_age_s).ready) << "not placed";
+  EXPECT_FALSE(judge_readiness({}, now, max_age_s).ready);
 }
 
 TEST(ReplicaState, FollowsFromRecordsAndHeartbeats) {
-  ReplicaStanding s;
+  ReplicaObservation s;
   s.gang.tasks = 2;
   EXPECT_EQ(replica_state(s), ReplicaState::queued);
   s.gang.live = 1, s.last_attempt = 1;
@@ -200,23 +200,23 @@
 
 TEST(Repairs, AreBoundedAndTakeTurns) {
   constexpr double now = 100, turn = 3;
-  std::vector<RepairCandidate> waiting(4);
-  EXPECT_EQ(choose_repairs(waiting, 0, 2, now, turn), (std::vector<size_t>{0, 1}));
-  EXPECT_EQ(choose_repairs(waiting, 1, 2, now, turn), (std::vector<size_t>{0}));
-  EXPECT_TRUE(choose_repairs(waiting, 2, 2, now, turn).empty());
-  EXPECT_TRUE(choose_repairs(waiting, 5, 2, now, turn).empty());
+  std::vector<RepairCandidate> candidates(4);
+  EXPECT_EQ(choose_repairs(candidates, 0, 2, now, turn), (std::vector<size_t>{0, 1}));
+  EXPECT_EQ(choose_repairs(candidates, 1, 2, now, turn), (std::vector<size_t>{0}));
+  EXPECT_TRUE(choose_repairs(candidates, 2, 2, now, turn).empty());
+  EXPECT_TRUE(choose_repairs(candidates, 5, 2, now, turn).empty());
   // Those that have their turn keep it; afterwards the others have theirs.
-  waiting[2] = {0, 98, true};
-  waiting[3] = {0, 98, true};
-  EXPECT_EQ(choose_repairs(waiting, 0, 2, now, turn), (std::vector<size_t>{2, 3}));
-  EXPECT_EQ(choose_repairs(waiting, 0, 2, now + turn, turn), (std::vector<size_t>{0, 1}));
-  waiting[0].backoff_until = now + 1;
-  waiting[2] = waiting[3] = {0, 50, false};
-  EXPECT_EQ(choose_repairs(waiting, 0, 2, now, turn), (std::vector<size_t>{1, 2}))
+  candidates[2] = {0, 98, true};
+  candidates[3] = {0, 98, true};
+  EXPECT_EQ(choose_repairs(candidates, 0, 2, now, turn), (std::vector<size_t>{2, 3}));
+  EXPECT_EQ(choose_repairs(candidates, 0, 2, now + turn, turn), (std::vector<size_t>{0, 1}));
+  candidates[0].backoff_until = now + 1;
+  candidates[2] = candidates[3] = {0, 50, false};
+  EXPECT_EQ(choose_repairs(candidates, 0, 2, now, turn), (std::vector<size_t>{1, 2}))
       << "one that pauses is passed over";
 }
 
-Heartbeat report(uint64_t agent_epoch, uint64_t sequence) {
+Heartbeat heartbeat(uint64_t agent_epoch, uint64_t sequence) {
   Heartbeat r;
   r.machine = "i-1";
   r.agent_epoch = agent_epoch;
@@ -224,18 +224,18 @@
   return r;
 }
 
-// A report may have been held up for minutes and doesn't say when it was made.
-TEST(ReportTime, IsKnownFromTheConnectionOrOurOwnQuestion) {
+// A heartbeat may have been held up for minutes and doesn't say when it was made.
+TEST(HeartbeatTime, IsKnownFromTheConnectionOrAProbe) {
   Machine m;
-  ASSERT_TRUE(apply_heartbeat(m, report(1, 5), 100, false));
+  ASSERT_TRUE(apply_heartbeat(m, heartbeat(1, 5), 100, false));
   EXPECT_EQ(m.tasks_as_of, 0) << "the first on its connection";
-  ASSERT_TRUE(apply_heartbeat(m, report(1, 6), 102, false, 100));
+  ASSERT_TRUE(apply_heartbeat(m, heartbeat(1, 6), 102, false, 100));
   EXPECT_EQ(m.tasks_as_of, 100);
-  ASSERT_TRUE(apply_heartbeat(m, report(1, 8), 130, false));
+  ASSERT_TRUE(apply_heartbeat(m, heartbeat(1, 8), 130, false));
   EXPECT_EQ(m.tasks_as_of, 100) << "newer, but it isn't known by how much";
-  ASSERT_TRUE(apply_heartbeat(m, report(1, 9), 132, true, 131.5));
+  ASSERT_TRUE(apply_heartbeat(m, heartbeat(1, 9), 132, true, 131.5));
   EXPECT_EQ(m.tasks_as_of, 131.5);
-  EXPECT_FALSE(apply_heartbeat(m, report(1, 7), 140, false, 139));
+  EXPECT_FALSE(apply_heartbeat(m, heartbeat(1, 7), 140, false, 139));
   EXPECT_EQ(m.tasks_as_of, 131.5) << "an old copy";
 }
 
--- a/tests/scenarios/scenario_parser.cpp
+++ b/tests/scenarios/scenario_parser.cpp
@@ -205,7 +205,7 @@
     spec.estimate_s = spec.kind == JobKind::service ? 0 : run_time_s;
     plan_.run_time_s[id] = run_time_s;
     if (words.contains("broken")) plan_.broken_jobs.insert(id);
-    plan_.settings.replicas.describe(spec);
+    plan_.settings.replicas.apply_to(spec);
     plan_.jobs[id] = std::move(spec);
   }
   return {};
--- a/tools/loadtest/users.cpp
+++ b/tools/loadtest/users.cpp
@@ -55,7 +55,7 @@
   spec.priority = load.priority;
   const double factor = 1 + load.tasks_spread * world_.uniform(-1, 1);
   spec.tasks = static_cast<uint32_t>(std::max(1.0, std::round(load.tasks * factor)));
-  plan_.settings.replicas.describe(spec);
+  plan_.settings.replicas.apply_to(spec);
   if (spec.replicated()) spec.tasks = std::max(spec.tasks / spec.parts, 1U) * spec.parts;
   spec.cpus = load.cpus, spec.gpus = load.gpus, spec.memory_gb = load.memory_gb;
   spec.image = "image-" + load.name;
