--- a/src/coordination/quotas/initial_units.cpp
+++ b/src/coordination/quotas/initial_units.cpp
@@ -7,9 +7,11 @@
 namespace damsonport::quotas {
 
 namespace {
-/// Of a guarantee that is a sum of decimal fractions, in CPUs or accelerators.
+/// Tolerance for the rounding error of a guarantee that is a sum of decimal fractions, in CPUs or
+/// accelerators.
 constexpr double rounding_tolerance = 1e-9;
 
+// Sum of all shares except the one of region `own`.
 double sum_of_others(const std::vector<double>& shares, size_t own) {
   return std::accumulate(shares.begin(), shares.end(), 0.0) - shares[own];
 }
@@ -18,8 +20,9 @@
 std::vector<uint64_t> initial_units(const std::vector<Region>& regions) {
   uint64_t shares = 0;
   for (auto& region : regions) shares += region.share;
-  // Differences of rounded cumulative sums, so that together they are all units. The quotient and
-  // the remainder are multiplied apart, since the product with all units may exceed 64 bits.
+  // The units are differences of rounded cumulative sums, so their sum is exactly all units. The
+  // quotient and the remainder are multiplied separately, since the product of all units and a sum
+  // of shares may exceed 64 bits.
   const uint64_t quotient = all_quota_units / shares;
   const uint64_t remainder = all_quota_units % shares;
   std::vector<uint64_t> units;
@@ -39,7 +42,7 @@
   std::vector<double> out;
   for (uint64_t units : divide_by_share(static_cast<uint64_t>(whole), regions))
     out.push_back(static_cast<double>(units));
-  // The fraction of a guarantee that isn't whole goes to the first region that has any share.
+  // The fractional part of the guarantee goes to the first region with a share above 0.
   auto first = std::find_if(regions.begin(), regions.end(), [](auto& r) { return r.share > 0; });
   out[static_cast<size_t>(first - regions.begin())] += std::max(guarantee - whole, 0.0);
   return out;
--- a/src/coordination/quotas/initial_units.hpp
+++ b/src/coordination/quotas/initial_units.hpp
@@ -1,5 +1,5 @@
-/// How a team's quota limit and its guaranteed quota are divided among regions before any transfer.
-/// Pure.
+/// Divides a team's quota limit and its guaranteed quota among regions, as they are before any
+/// transfer. Pure functions.
 #pragma once
 #include <vector>
 
@@ -8,17 +8,18 @@
 
 namespace damsonport::quotas {
 
-/// The quota units of a limit that each region starts with, by the order of the regions file;
-/// together `all_quota_units` exactly. They depend on the shares alone, since regions may write
-/// their first records under different limits.
+/// The quota units of a limit that each region starts with, in the order of the regions file. Their
+/// sum is exactly `all_quota_units`. They depend only on the regions' shares, since regions may
+/// write their first records under different limits. At least one share must be above 0.
 std::vector<uint64_t> initial_units(const std::vector<Region>& regions);
 
-/// Each region's share of a guarantee (CPUs or accelerators), in whole ones where there are as
-/// many; together the guarantee.
+/// Each region's share of a guaranteed quota (CPUs or accelerators), in the order of the regions
+/// file. The shares are whole numbers, except that one region also gets the guarantee's fraction;
+/// their sum is the guarantee.
 std::vector<double> guarantee_shares(double guarantee, const std::vector<Region>& regions);
 
-/// Notes in each team's settings what other regions keep of its limit, so that the admission check
-/// refuses a job that can never run in this region.
+/// Sets in each team's settings the part of its limit that other regions keep as guaranteed quota,
+/// so that the admission check rejects a job that can never run in this region.
 void set_guarantees_elsewhere(Settings& settings, const RegionSettings& regions);
 
 }  // namespace damsonport::quotas
--- a/src/coordination/quotas/quota_policy.cpp
+++ b/src/coordination/quotas/quota_policy.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// Units beyond `kept`, what is used and what is guaranteed.
+/// Units of the quota that exceed the largest of `kept`, the units used and the guaranteed units.
 uint64_t surplus_beyond(const QuotaState& quota_state, uint64_t kept) {
   return excess(quota_state.quota, std::max({kept, quota_state.used, quota_state.guaranteed}));
 }
 
-/// Adds to each region's request what it can cover of `wanted`, those with the largest surplus
-/// first. `field`: the urgent requests or those for any work.
+/// Distributes `wanted` units over the requests, each up to the region's entry in `surpluses`; the
+/// largest surplus is used first. `field`: the field of the requests to add to.
 void distribute(const std::vector<uint64_t>& surpluses, uint64_t wanted,
                 std::vector<QuotaRequest>& requests, uint64_t QuotaRequest::*field) {
   std::vector<size_t> order(surpluses.size());
@@ -34,7 +34,7 @@
 Surplus surplus(const QuotaState& s, bool defers) {
   const uint64_t for_urgent = surplus_beyond(s, s.used + s.urgent_need);
   uint64_t for_any = surplus_beyond(s, std::max(s.used + s.need, s.recent_peak));
-  // Too little to start anything here, and elsewhere it may be enough.
+  // The free quota is too small for any pending task here, but may be enough in the other region.
   if (defers && s.smallest_need && excess(s.quota, s.used) < *s.smallest_need)
     for_any = surplus_beyond(s, s.used);
   return {std::max(for_urgent, for_any), for_any};
@@ -53,7 +53,7 @@
     any_left.push_back(surplus.any);
   }
   distribute(urgent_left, deficit.urgent, requests, &QuotaRequest::urgent);
-  // What is requested for urgent work counts for the deficit of any work too.
+  // Units requested for urgent work also count towards the deficit of any work.
   uint64_t rest = deficit.any;
   for (size_t i = 0; i < surpluses.size(); ++i) {
     requests[i].any = requests[i].urgent;
--- a/src/coordination/quotas/quota_policy.hpp
+++ b/src/coordination/quotas/quota_policy.hpp
@@ -1,13 +1,17 @@
-/// How a region shares its quota of one team's limit with other regions. Pure; for one resource
-/// (CPUs or accelerators), in quota units.
+/// Policy by which a region shares its quota of one team's limit with other regions. Pure
+/// functions, for one resource at a time (CPUs or accelerators), in quota units.
 ///
-/// Whatever is decided here, the limit holds: transfers are committed by the sender first and are
-/// never more than its surplus. The rules below only decide where the quota is of most use:
-/// - a region keeps what it uses, what its own pending work needs, and its share of the guarantee;
-/// - it also keeps what it needed lately, so that units don't go to and fro;
-/// - urgent work elsewhere goes before work here that isn't urgent, and before what was needed
-///   lately;
-/// - nothing that runs is preempted for another region.
+/// The limit holds independently of this policy, since a region commits a transfer before the
+/// receiver counts it and never transfers more than its surplus. The policy decides where quota is
+/// most useful:
+/// - A region keeps the quota that it uses, the quota that its own pending work needs, and its
+/// share
+///   of the guaranteed quota.
+/// - A region also keeps the quota that it needed recently, so that units don't oscillate between
+///   regions.
+/// - Urgent work of another region takes precedence over this region's work that isn't urgent and
+///   over its recent need.
+/// - Running tasks are never preempted for another region.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -16,58 +20,60 @@
 
 namespace damsonport::quotas {
 
-/// One region's position in one team's limit; all figures in quota units.
+/// One region's use of its quota and its need, for one team and resource, in quota units.
 struct QuotaState {
   uint64_t quota = 0;
-  uint64_t used = 0;         ///< By tasks in the records.
-  uint64_t guaranteed = 0;   ///< The region's share of the guarantee: never transferred.
-  uint64_t urgent_need = 0;  ///< Of pending urgent work.
-  uint64_t need = 0;         ///< Of all pending work, urgent or not.
-  uint64_t recent_peak = 0;  ///< Of use and need together.
-  /// Of the smallest pending task; empty: none is pending.
+  uint64_t used = 0;         ///< by tasks that the records place on machines
+  uint64_t guaranteed = 0;   ///< the region's share of the guaranteed quota: never transferred
+  uint64_t urgent_need = 0;  ///< of pending urgent work
+  uint64_t need = 0;         ///< of all pending work, urgent or not
+  uint64_t recent_peak = 0;  ///< largest recent sum of use and need
+  /// Need of the smallest pending task; empty if no task is pending.
   std::optional<uint64_t> smallest_need = std::nullopt;
 };
 
-/// What could be transferred for urgent work and for any work elsewhere.
+/// Quota units that a region can transfer to others.
 struct Surplus {
-  uint64_t urgent = 0;
-  uint64_t any = 0;  ///< Part of the first.
+  uint64_t urgent = 0;  ///< for urgent work
+  uint64_t any = 0;     ///< for any work; included in `urgent`
 };
-/// `defers`: of two regions that each hold too little for their smallest pending task, this one
-/// leaves its units to the other.
+/// The region's surplus. `defers`: if this region and the other one each hold too little for their
+/// smallest pending task, this region leaves its units to the other.
 Surplus surplus(const QuotaState& quota_state, bool defers);
 
-/// What pending work needs beyond the quota.
+/// Quota units that pending work needs beyond the region's quota.
 struct Deficit {
-  uint64_t urgent = 0;  ///< Part of the second.
-  uint64_t any = 0;
+  uint64_t urgent = 0;  ///< for urgent work; included in `any`
+  uint64_t any = 0;     ///< for any work
 };
 Deficit deficit(const QuotaState& quota_state);
 
-/// What is requested from one region, out of the surplus that it announced.
+/// Quota units requested from one region, out of the surplus that the region announced.
 struct QuotaRequest {
-  uint64_t urgent = 0;  ///< Part of the second.
-  uint64_t any = 0;
+  uint64_t urgent = 0;  ///< for urgent work; included in `any`
+  uint64_t any = 0;     ///< for any work
 };
-/// One request for each entry of `surpluses`: to those with the largest surplus first. Nothing is
-/// requested twice, and of no region more than its surplus.
+/// Divides the deficit into one request for each entry of `surpluses`; the regions with the largest
+/// surplus are used first. No unit is requested from two regions, and no request exceeds the
+/// region's surplus.
 std::vector<QuotaRequest> divide_requests(const Deficit& deficit,
                                           const std::vector<Surplus>& surpluses);
 
-/// Units to transfer to a region that requests them. `unacknowledged`: sent before, and its receipt
-/// not confirmed yet.
+/// Quota units to transfer to a region that requests them. `unacknowledged`: units sent to the
+/// region before, whose receipt the region has not confirmed yet.
 uint64_t decide_transfer(const Surplus& surplus, const QuotaRequest& request,
                          uint64_t unacknowledged);
 
-/// The largest value over a period, give or take half of it. Times in seconds.
+/// The largest value over a sliding period. The period is tracked in halves, so a value expires
+/// after between half a period and a whole one. Times are in seconds.
 class RecentPeak {
  public:
   void add_sample(uint64_t value, double now, double period_s);
   uint64_t value() const { return current_ > previous_ ? current_ : previous_; }
 
  private:
-  uint64_t current_ = 0;   // of the half period that began at half_period_start_
-  uint64_t previous_ = 0;  // of the one before
+  uint64_t current_ = 0;   // in the half period since half_period_start_
+  uint64_t previous_ = 0;  // in the half period before
   double half_period_start_ = 0;
 };
 
--- a/src/coordination/quotas/region_network.cpp
+++ b/src/coordination/quotas/region_network.cpp
@@ -9,10 +9,12 @@
 constexpr double max_message_intervals = 1.0;
 /// Shortest time between two messages to a region, in heartbeat intervals.
 constexpr double min_message_intervals = 0.05;
-/// The longest time is drawn between these shares of it, so that controllers don't send in step.
+/// The period is drawn uniformly between these shares of the longest time, so that controllers
+/// don't send in lockstep.
 constexpr double min_period_share = 0.85;
 constexpr double max_period_share = 1.05;
-/// Streams accepted from each controller of the other regions: one in use, one being replaced.
+/// Streams accepted from each controller of another region: the one in use, and one that is being
+/// replaced.
 constexpr size_t streams_per_peer = 2;
 }  // namespace
 
--- a/src/coordination/quotas/team_demand.cpp
+++ b/src/coordination/quotas/team_demand.cpp
@@ -4,13 +4,14 @@
 
 namespace {
 
-/// Of so many tasks of the job together.
+/// Resources of `tasks` tasks of the job together.
 scheduling::Resources resources_of(const JobSpec& spec, uint64_t tasks) {
   const auto n = static_cast<double>(tasks);
   return {spec.cpus * n, spec.gpus * n, spec.memory_gb * n};
 }
 
-/// 0 in `smallest`: no need noted yet; a need of 0 isn't noted.
+/// Lowers `smallest` to `need`. A `smallest` of 0 means that there is no value yet; a `need` of 0
+/// is ignored.
 void update_smallest(double& smallest, double need) {
   if (need > 0 && (smallest == 0 || need < smallest)) smallest = need;
 }
--- a/src/coordination/quotas/team_demand.hpp
+++ b/src/coordination/quotas/team_demand.hpp
@@ -1,4 +1,5 @@
-/// What the teams use and need in this region, from the records. Pure.
+/// Measures the resources that the teams use and need in this region, from the job records. Pure
+/// functions.
 #pragma once
 #include <map>
 #include <string>
@@ -8,18 +9,19 @@
 
 namespace damsonport::quotas {
 
-/// CPUs, accelerators and GB of memory of one team.
+/// Use and need of one team in CPUs, accelerators and GB of memory.
 struct TeamDemand {
-  scheduling::Resources used;         ///< Of tasks that the records place on machines.
-  scheduling::Resources urgent_need;  ///< Of pending tasks of high priority or above.
-  scheduling::Resources need;         ///< Of all pending tasks.
-  /// Of each resource the least that a pending task needs; 0: no pending task needs any.
+  scheduling::Resources used;         ///< by tasks that the records place on machines
+  scheduling::Resources urgent_need;  ///< of pending tasks of high priority or above
+  scheduling::Resources need;         ///< of all pending tasks
+  /// For each resource, the smallest amount above 0 that a pending task needs; 0: no pending task
+  /// needs the resource.
   scheduling::Resources smallest_need;
 };
 
 using Demands = std::map<std::string, TeamDemand>;  // by team
 
-/// Teams without any unfinished job are left out.
+/// Measures all teams that have an unfinished job.
 Demands measure_demands(const RecordCache& cache);
 
 }  // namespace damsonport::quotas
--- a/src/coordination/quotas/team_quotas.cpp
+++ b/src/coordination/quotas/team_quotas.cpp
@@ -10,13 +10,14 @@
 
 namespace {
 
-/// Age of a region's last message, in heartbeat intervals, from which on its hints of surplus and
-/// requests are ignored.
+/// Age of a region's last message, in heartbeat intervals, from which on the surplus and requests
+/// in the message are ignored.
 constexpr double max_hint_age_intervals = 8;
-/// Quota that was needed within so many leases is kept from work elsewhere that isn't urgent.
+/// Quota that was needed within this many worker leases is not transferred for work of another
+/// region that isn't urgent.
 constexpr double recent_peak_leases = 2;
-/// A limit of 0 stands for none, so where nothing may be used the limit is this, in CPUs or
-/// accelerators.
+/// The limit of a region without quota, in CPUs or accelerators. The scheduler takes a limit of 0
+/// as "no limit", so the limit must be above 0, and too small for any task.
 constexpr double min_positive_limit = 1e-9;
 
 }  // namespace
@@ -40,7 +41,8 @@
 
 QuotaRecord TeamQuotas::first_record() const {
   QuotaRecord record;
-  // Without a regions file the quotas of other regions are unknown: none here, until one is given.
+  // Without a regions file the quotas of the other regions are unknown, so this region has no quota
+  // until a regions file is given.
   if (regions_) record.initial = initial_;
   return record;
 }
@@ -121,7 +123,8 @@
 
 // --- changes of records
 
-// More than all units of a limit available't exist: only a faulty or false peer claims them.
+// Total quota never exceeds all units of a limit, so a message that claims more comes from a faulty
+// or forged sender.
 bool TeamQuotas::is_plausible(const QuotaRecord& record, const std::string& region,
                               const QuotaUnits& sent) {
   const auto units = record.available_units(), counted = record.received_from(region);
@@ -129,7 +132,7 @@
          units.gpus + excess(sent.gpus, counted.gpus) <= all_quota_units;
 }
 
-// What other regions have sent to this one, by their messages.
+// Adds the transfers to this region that the messages of other regions state.
 void TeamQuotas::add_received_transfers(const TeamSettings& team, QuotaRecord& record) const {
   for (size_t i = 0; i < regions_->regions.size(); ++i) {
     auto* exchange = received_from(i, team.name);
@@ -142,7 +145,7 @@
   }
 }
 
-// New transfers to the regions that request quota, each resource apart.
+// Adds new transfers to the regions that request quota, separately for each resource.
 void TeamQuotas::add_sent_transfers(const TeamSettings& team, QuotaRecord& record) const {
   for (size_t i = 0; i < regions_->regions.size(); ++i) {
     auto* exchange = received_from(i, team.name);
@@ -171,7 +174,7 @@
     auto record = record_of(team);
     const auto before = record;
     add_received_transfers(team, record);
-    // Nothing is transferred from a record that isn't committed yet.
+    // Quota is transferred only from a record that is committed already.
     if (!first && exchanging()) add_sent_transfers(team, record);
     if (!first && record == before) continue;
     transaction.preconditions[keys::quota(team.name)] = first ? 0 : known->second.version;
@@ -260,7 +263,8 @@
       continue;
     }
     auto& known = received.teams[exchange.team];
-    // Totals only grow: the largest ever received is the true one, in whatever order they come.
+    // Totals only grow, so the largest one received is the current one, in whatever order the
+    // messages arrive.
     const auto sent = larger(known.sent, exchange.sent);
     records_due |= !(sent == known.sent);
     if (newer) {
