--- a/src/coordination/replicas/repair_policy.cpp
+++ b/src/coordination/replicas/repair_policy.cpp
@@ -6,9 +6,10 @@
 namespace damsonport::replicas {
 
 namespace {
-/// The part of a pause that isn't drawn at random.
+/// The share of a retry delay that isn't random.
 constexpr double min_jitter_share = 0.5;
-/// Beyond it any policy's longest pause is reached; keeps ldexp finite.
+/// Any policy's longest delay is reached before this many doublings. The limit keeps the result of
+/// ldexp finite.
 constexpr int max_doublings = 30;
 }  // namespace
 
@@ -30,7 +31,7 @@
   std::vector<size_t> order;
   for (size_t i = 0; i < candidates.size(); ++i)
     if (now >= candidates[i].backoff_until) order.push_back(i);
-  // Those with a turn keep it; then those that waited longest since their last one.
+  // Candidates whose turn is in progress come first, then those whose last turn is longest ago.
   std::stable_sort(order.begin(), order.end(), [&](size_t a, size_t b) {
     const bool a_has_turn = has_turn(candidates[a], now, turn_s);
     if (a_has_turn != has_turn(candidates[b], now, turn_s)) return a_has_turn;
--- a/src/coordination/replicas/repair_policy.hpp
+++ b/src/coordination/replicas/repair_policy.hpp
@@ -1,5 +1,5 @@
-/// How many replicas are repaired at a time, which ones, and when one that failed is tried again.
-/// Pure; all times in seconds.
+/// Policy for repairing replicas: how many are repaired at the same time, which ones, and when a
+/// failed replica is started again. Pure functions; all times are in seconds.
 #pragma once
 #include <cstddef>
 #include <optional>
@@ -9,24 +9,25 @@
 
 namespace damsonport::replicas {
 
-/// Pause before the next try after so many failed attempts in a row; doubles with each, up to the
-/// policy's limit. `jitter`: from 0 to 1, drawn by the caller, so that replicas that failed
-/// together aren't all tried together again.
+/// Retry delay after `failures` failed attempts in a row; doubles with each failure, up to the
+/// policy's limit. `jitter`: a random value from 0 to 1 drawn by the caller, so that replicas that
+/// failed together aren't all started again together. `lease_s`: duration of a worker lease.
 double backoff_s(const ReplicaPolicy& policy, int failures, double lease_s, double jitter);
 
-/// A replica whose attempt is over, with no task left of it.
+/// A replica whose attempt is over and has no task left. Candidates take turns: a candidate may be
+/// started only during its turn.
 struct RepairCandidate {
-  double backoff_until = 0;          ///< No start before this time.
-  std::optional<double> granted_at;  ///< When its last turn began; empty: it had none yet.
-  bool granted = false;              ///< Its last turn has not been taken back.
+  double backoff_until = 0;          ///< no start before this time
+  std::optional<double> granted_at;  ///< start of the last turn; empty before the first
+  bool granted = false;              ///< the last turn has not been revoked
 };
 
-/// The candidate has its turn at this time.
+/// Whether the candidate's turn, of `turn_s` seconds, is in progress at the time `now`.
 bool has_turn(const RepairCandidate& candidate, double now, double turn_s);
 
-/// Indices in `candidates` of those that may be started now: `max_repairs` less those under repair.
-/// A turn lasts `turn_s`; after it others have theirs, so that one for which there is no capacity
-/// doesn't keep the rest waiting.
+/// Chooses the candidates that may be started now, as indices into `candidates`: at most
+/// `max_repairs` minus `under_repair` of them. A turn lasts `turn_s`; then other candidates get a
+/// turn, so that a replica for which there is no capacity doesn't block the rest.
 std::vector<size_t> choose_repairs(const std::vector<RepairCandidate>& candidates,
                                    size_t under_repair, size_t max_repairs, double now,
                                    double turn_s);
--- a/src/coordination/replicas/replica_manager.cpp
+++ b/src/coordination/replicas/replica_manager.cpp
@@ -7,15 +7,17 @@
 namespace damsonport::replicas {
 
 namespace {
-/// Age of a heartbeat, in heartbeat intervals, up to which it proves readiness. A heartbeat says
-/// what was so at the answer to the one before, so that is up to two intervals old when the next
-/// one is due; each is up to a quarter longer.
+/// Maximum age of a heartbeat that proves readiness, in heartbeat intervals. A heartbeat is dated
+/// to the response to the heartbeat before it, so its state is up to two intervals old when the
+/// next heartbeat is due; each interval may be up to a quarter longer.
 constexpr double max_heartbeat_age_intervals = 4;
-/// Age of a machine's state, in heartbeat intervals, from which on the machine is probed.
+/// Age of the state of a machine's tasks, in heartbeat intervals, beyond which the machine is
+/// probed.
 constexpr double probe_age_intervals = 2.6;
-/// After being ready for so long a replica's failures are forgotten.
+/// Time for which a replica must have been ready before its failure count is reset, in worker
+/// leases.
 constexpr double failure_reset_leases = 1;
-/// How long a replica that waits for its repair has its turn, in heartbeat intervals.
+/// Duration of a turn of a replica that waits for repair, in heartbeat intervals.
 constexpr double turn_intervals = 2;
 }  // namespace
 
@@ -69,7 +71,7 @@
   ReplicaObservation observation;
   observation.gang = gangs_.status(job, replica);
   observation.last_attempt = status.record.last_attempt;
-  // An attempt of which a part has ended is never ready again.
+  // An attempt is never ready again after one of its parts has ended.
   const bool over = observation.gang.broken || observation.gang.stopping || job.cancelled;
   if (!over) status.readiness = readiness_of(job, replica);
   observation.ready = status.readiness.ready;
@@ -104,7 +106,7 @@
       record.last_attempt > std::exchange(history.attempt, record.last_attempt);
   auto& repair = history.repair;
   if (repair.detected) {
-    // Between two reviews it may be terminated and placed anew.
+    // The attempt may have ended, and the next one may have started, between two updates.
     if ((record.live == 0 || next_attempt) && !repair.terminated) repair.terminated = now;
     if (record.live > 0 && repair.terminated && !repair.placed) repair.placed = now;
   }
@@ -221,7 +223,7 @@
     if (!job || job->cancelled) continue;
     History& history = replicas_.at(replica_id);
     const TaskRangeSummary record = job->summarize(gang_range(job->spec, replica_id.number));
-    // One that was never placed is no repair.
+    // The first start of a replica is not a repair.
     if (record.last_attempt == 0) continue;
     ClassRepairs& repairs = classes[job->spec.job_class];
     repairs.policy = &settings_.replicas.policy(job->spec.job_class);
@@ -247,7 +249,7 @@
   for (const size_t index : chosen) {
     RepairCandidate& turn = repairs.pending[index]->turn;
     turn.granted = true;
-    // A turn that goes on keeps its beginning.
+    // A turn in progress keeps its start time.
     if (!has_turn(candidates[index], now, turn_s)) turn.granted_at = now;
   }
 }
--- a/src/coordination/replicas/replica_state.hpp
+++ b/src/coordination/replicas/replica_state.hpp
@@ -1,5 +1,5 @@
-/// The state of a replica of several parts, and whether it is ready. Pure: what is known of the
-/// parts and the time are passed in. Times are in seconds on the loop's steady clock.
+/// State and readiness of a replica of several parts. Pure functions of the status of the parts and
+/// the time. Times are in seconds on the loop's steady clock.
 #pragma once
 #include <cstdint>
 #include <string_view>
@@ -9,43 +9,45 @@
 
 namespace damsonport::replicas {
 
+/// State of a replica, as shown in a job's status.
 enum class ReplicaState : uint8_t {
-  queued,     ///< Never started.
-  starting,   ///< Its first attempt has been started and isn't ready yet.
-  ready,      ///< All parts run under one attempt, by recent heartbeats.
-  degraded,   ///< It may have been ready, and a part is lost or without recent heartbeats.
-  stopping,   ///< Its attempt is over, and some part may still run.
-  repairing,  ///< A later attempt is pending, or has been started and isn't ready yet.
+  queued,     ///< never started
+  starting,   ///< the first attempt has been started and isn't ready yet
+  ready,      ///< all parts run under one attempt, by recent heartbeats
+  degraded,   ///< may have been ready; a part is lost or has no recent heartbeat
+  stopping,   ///< the attempt is over, and some part may still run
+  repairing,  ///< a later attempt is pending, or is started and isn't ready yet
 };
-/// As in the status of a job.
+/// The state's name in the status of a job.
 std::string_view name_of(ReplicaState state);
 
-/// What is known of one part.
+/// Status of one part of a replica, by the records and heartbeats.
 struct PartStatus {
-  bool placed = false;   ///< By the records.
-  uint64_t attempt = 0;  ///< 0: none.
-  bool running = false;  ///< By the newest heartbeat of its machine.
-  double as_of = 0;      ///< That was true at this time or later.
+  bool placed = false;   ///< by the records
+  uint64_t attempt = 0;  ///< 0: none
+  bool running = false;  ///< by the newest heartbeat of its machine
+  double as_of = 0;      ///< earliest time for which `running` holds
 };
 
-/// Readiness of a replica; the other fields count only where it is ready.
+/// Readiness of a replica; the other fields are valid only if `ready` is true.
 struct Readiness {
   bool ready = false;
-  uint64_t attempt = 0;  ///< Of all parts.
-  double as_of = 0;      ///< The oldest time at which a part was known to run.
+  uint64_t attempt = 0;  ///< of all parts
+  double as_of = 0;      ///< earliest `as_of` of the parts
 };
 
-/// Ready: all `parts` run under one attempt, by heartbeats no older than `max_age_s`. What is not
-/// known is not ready.
+/// A replica is ready if all `parts` run under one attempt, by heartbeats no older than
+/// `max_age_s`. A part of unknown status is not running.
 Readiness judge_readiness(const std::vector<PartStatus>& parts, double now, double max_age_s);
 
-/// What the state of a replica follows from.
+/// The inputs that determine the state of a replica.
 struct ReplicaObservation {
   GangStatus gang;
-  uint64_t last_attempt = 0;  ///< Of its records; 0: never started.
-  bool ready = false;         ///< By judge_readiness.
+  uint64_t last_attempt = 0;  ///< by the records; 0: never started
+  bool ready = false;         ///< by judge_readiness()
 };
 
+/// The state that follows from the inputs.
 ReplicaState replica_state(const ReplicaObservation& observation);
 
 }  // namespace damsonport::replicas
