--- a/src/coordination/quotas/quota_policy.hpp
+++ b/src/coordination/quotas/quota_policy.hpp
@@ -5,8 +5,7 @@
 /// receiver counts it and never transfers more than its surplus. The policy decides where quota is
 /// most useful:
 /// - A region keeps the quota that it uses, the quota that its own pending work needs, and its
-/// share
-///   of the guaranteed quota.
+///   share of the guaranteed quota.
 /// - A region also keeps the quota that it needed recently, so that units don't oscillate between
 ///   regions.
 /// - Urgent work of another region takes precedence over this region's work that isn't urgent and
@@ -65,7 +64,7 @@
                          uint64_t unacknowledged);
 
 /// The largest value over a sliding period. The period is tracked in halves, so a value expires
-/// after between half a period and a whole one. Times are in seconds.
+/// after half a period to a whole one. Times are in seconds.
 class RecentPeak {
  public:
   void add_sample(uint64_t value, double now, double period_s);
--- a/src/coordination/replicas/replica_manager.hpp
+++ b/src/coordination/replicas/replica_manager.hpp
@@ -49,8 +49,9 @@
   /// Updates the state of every replica, and logs changes of state. Returns true if some replica
   /// waits for repair, whose turn may come without any other event.
   [[nodiscard]] bool update_states();
-  /// Ready replicas that the caller has to stop now, to be placed elsewhere: as many as the
-  /// class's policy allows to be down for it. They count as down until they are ready again.
+  /// Chooses ready replicas on draining machines to be moved. The caller must stop them now, so
+  /// that they are started on other machines. At most as many replicas of a class are moved at a
+  /// time as its policy allows; a replica counts as moved until it is ready again.
   [[nodiscard]] std::vector<Replica> start_moves();
   /// Some managed job has replicas of several parts.
   bool has_replicas() const { return !replicas_.empty(); }
@@ -60,8 +61,8 @@
   std::set<std::string> machines_to_probe() const;
   /// Grants turns to replicas that wait for repair. Returns the jobs with such replicas.
   std::set<std::string> grant_repair_turns();
-  /// The replica, or its missing parts, may be placed now: always, except for a repair without a
-  /// turn.
+  /// Whether the replica, or its missing parts, may be started now. Only the repair of a replica
+  /// that has no turn may not.
   bool may_start(const Job& job, TaskRange replica) const;
 
   /// The current status of all replicas.
--- a/src/coordination/replicas/replica_state.hpp
+++ b/src/coordination/replicas/replica_state.hpp
@@ -26,14 +26,14 @@
   bool placed = false;   ///< by the records
   uint64_t attempt = 0;  ///< 0: none
   bool running = false;  ///< by the newest heartbeat of its machine
-  double as_of = 0;      ///< earliest time for which `running` holds
+  double as_of = 0;      ///< the part had this status at this time or later
 };
 
 /// Readiness of a replica; the other fields are valid only if `ready` is true.
 struct Readiness {
   bool ready = false;
   uint64_t attempt = 0;  ///< of all parts
-  double as_of = 0;      ///< earliest `as_of` of the parts
+  double as_of = 0;      ///< smallest `as_of` of the parts
 };
 
 /// A replica is ready if all `parts` run under one attempt, by heartbeats no older than
