--- a/src/config/region_settings.cpp
+++ b/src/config/region_settings.cpp
@@ -13,7 +13,7 @@
 
 constexpr uint64_t max_share = 1000000;
 
-// Reads one (region ...) entry, and collects all its problems.
+// Reads one (region ...) entry and collects all problems of the entry.
 class RegionReader {
  public:
   explicit RegionReader(const SexpDocument& document) : document_(document) {}
@@ -73,7 +73,7 @@
   Error problems_;
 };
 
-// What the regions contradict one another in; nothing where they are consistent.
+// The first inconsistency between the regions; empty if they are consistent.
 std::optional<Error> find_inconsistency(const RegionSettings& settings) {
   std::set<std::string> names;
   std::set<std::string> zones;
--- a/src/config/region_settings.hpp
+++ b/src/config/region_settings.hpp
@@ -1,11 +1,12 @@
-/// The operators' file that names the regions among which the teams' limits are divided.
+/// Settings of the regions among which the teams' limits are divided, read from the operators'
+/// regions file.
 ///
 ///     (regions
 ///       (region north (share 1) (zones colombo-north)
 ///         (controller quay-0 "10.0.0.1:8082"))
 ///       (region south (share 1) (zones galle) (controller pier-0 "10.4.0.1:8082")))
 ///
-/// The same file serves all regions: a controller belongs to the region that lists its zone.
+/// All regions use the same file. A controller belongs to the region that lists its zone.
 #pragma once
 #include <optional>
 #include <string>
@@ -16,41 +17,44 @@
 
 namespace damsonport {
 
+/// A controller of a region.
 struct RegionController {
   std::string name;
-  Endpoint endpoint;  ///< where it listens to the controllers of other regions
+  Endpoint endpoint;  ///< listens for the controllers of other regions
 };
 
+/// One (region ...) entry.
 struct Region {
   std::string name;
-  /// The region's part of every team's limit and guaranteed quota, in proportion to the shares of
-  /// the others. It counts when a team's quota is first recorded; a region that is added later has
-  /// 0 and gets what others transfer to it.
+  /// The region's part of every team's limit and guaranteed quota, relative to the sum of all
+  /// shares. Used when a team's quota is first recorded. A region that is added later has the share
+  /// 0, and gets the quota that other regions transfer to it.
   uint64_t share = 0;
   std::vector<std::string> zones;
   std::vector<RegionController> controllers;
 };
 
-/// The file's content, as one controller sees it.
+/// The contents of the regions file, from the view of one controller.
 struct RegionSettings {
   std::vector<Region> regions;
-  size_t own_index = 0;  ///< of the region that this controller belongs to
+  size_t own_index = 0;  ///< index of the region that this controller belongs to
 
+  /// The region that this controller belongs to.
   const Region& own() const { return regions[own_index]; }
-  /// The controller of the own region with this name; null where the file doesn't name it.
+  /// The controller of the own region with this name; null if the file doesn't list it.
   const RegionController* controller(const std::string& name) const;
-  /// Position of the region in the file; nothing where it is not there.
+  /// Index of the region with this name; empty if the file doesn't list it.
   std::optional<size_t> index_of(const std::string& region) const;
 };
 
-/// `zone`: of this controller. The error has all problems of the entries, each with its line, or
-/// the first inconsistency between them.
+/// Parses a regions file. `zone`: the zone of this controller. The error lists all problems of the
+/// entries, each with its line; if there are none, the first inconsistency between entries.
 Result<RegionSettings> parse_regions(const std::string& text, const std::string& zone);
-/// As parse_regions(); each problem names the file too.
+/// Reads the file and calls parse_regions(); each problem names the file too.
 Result<RegionSettings> load_regions(const std::string& path, const std::string& zone);
 
-/// Divides a whole number of units in proportion to the regions' shares: sums to the total exactly,
-/// and differs from the exact quotients by less than one. One share has to be above 0.
+/// Divides `units` in proportion to the regions' shares. The results sum to `units` exactly, and
+/// each differs from the exact quotient by less than one. At least one share must be above 0.
 std::vector<uint64_t> divide_by_share(uint64_t units, const std::vector<Region>& regions);
 
 }  // namespace damsonport
--- a/src/config/replica_settings.cpp
+++ b/src/config/replica_settings.cpp
@@ -15,12 +15,12 @@
 constexpr uint32_t max_at_once = 100000;
 constexpr double max_backoff_leases = 1000;
 
-// Reads one (class ...) entry, and collects all its problems.
+// Reads one (class ...) entry and collects all problems of the entry.
 class ClassReader {
  public:
   explicit ClassReader(const SexpDocument& document) : document_(document) {}
 
-  // The class's name, as far as it was read.
+  // The name of the class; empty if the entry has none, or before read().
   const std::string& name() const { return policy_.job_class; }
 
   Result<ReplicaPolicy> read(const sexp_t* entry) {
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-// The least that the key-value store must offer for the records to be written at all.
+// Minimum limits of the key-value store with which records can be written at all.
 constexpr double min_rate = 1;
 constexpr double min_value_kb = 1;
 constexpr double min_txn_writes = 3;
-// Beyond any system in sight, and objective_s an int.
+// Upper bounds, larger than any expected deployment, and small enough for an int.
 constexpr double max_txn_writes = 1e9;
 constexpr double max_controllers = 1e6;
 constexpr double max_sockets = 1e9;
@@ -32,7 +32,7 @@
   return out;
 }
 
-// What `next` does not name stays as it is.
+// Limits that the table `next` omits stay as they are at present.
 StateLimits read_announced_limits(TomlReader& reader, const TomlTable& table,
                                   const StateLimits& present) {
   StateLimits out;
@@ -66,7 +66,7 @@
   return team;
 }
 
-// A field that is missing or of another type counts as left out.
+// A field of the wrong type is treated as missing.
 Objective read_objective(const TomlTable& table) {
   const auto& values = *table.values;
   return {values["kind"].value_or(std::string()), values["class"].value_or(std::string()),
@@ -77,7 +77,8 @@
   settings.heartbeat_interval_s = reader.required(table, "report_s", min_period_s);
   settings.lease_s = reader.required(table, "lease_s", min_period_s);
   settings.cancel_s = reader.required(table, "cancel_s", min_period_s);
-  // Known to every platform that has gangs; elsewhere they only bound how long a gang is held.
+  // Every platform that supports gangs states these two. On other platforms the defaults only bound
+  // how long capacity is reserved for a gang.
   settings.gang_wait_s = reader.number(table, "gang_wait_s", settings.cancel_s, min_period_s);
   settings.gang_peer_s = reader.number(table, "gang_peer_s", settings.lease_s / 2, min_period_s);
 }
@@ -142,7 +143,7 @@
 Result<Settings> load_settings(const std::string& path) {
   auto settings = parse_text_file(path, parse_settings);
   if (!settings) return settings;
-  // The operators' file lies beside the platform'settings, with the ending .sexp.
+  // The operators' file has the same path as the platform's, with the extension .sexp.
   auto own = std::filesystem::path(path).replace_extension(".sexp").string();
   if (auto own_text = read_text_file(own)) {
     auto tuning = parse_tuning(*own_text);
--- a/src/config/sexp_document.cpp
+++ b/src/config/sexp_document.cpp
@@ -12,7 +12,8 @@
 
 std::string line_prefix(int line) { return "line " + std::to_string(line) + ": "; }
 
-// The library reads only one expression at a time, and no comments.
+// Replaces comments by spaces, since the library doesn't support comments. Lines and positions stay
+// the same.
 std::string blank_out_comments(const std::string& text) {
   std::string out;
   bool comment = false;
@@ -24,7 +25,7 @@
   return out;
 }
 
-// The first parenthesis that has no counterpart; nothing where all match.
+// The error for the first parenthesis that has no counterpart; empty if all parentheses match.
 std::optional<Error> find_unbalanced_parenthesis(const std::string& text) {
   int depth = 0;
   int line = 1;
@@ -46,7 +47,7 @@
 Result<SexpDocument> SexpDocument::parse(const std::string& raw, const std::string& name) {
   std::string text = blank_out_comments(raw);
   if (auto problem = find_unbalanced_parenthesis(text)) return *problem;
-  // The parser writes into its input, which has to end with a zero.
+  // The parser modifies its input, which must end with a zero byte.
   std::vector<char> buffer(text.begin(), text.end());
   buffer.push_back('\0');
   SexpDocument document(text, parse_sexp(buffer.data(), text.size()));
--- a/src/config/sexp_document.hpp
+++ b/src/config/sexp_document.hpp
@@ -1,5 +1,5 @@
-/// S-expressions as the operators' files have them: one list with a name in front, comments from
-/// ';' to the end of the line.
+/// Parser for the operators' files. A file is one S-expression: a list that begins with a name. A
+/// comment runs from ';' to the end of the line.
 #pragma once
 #include <sfsexp/sexp.h>
 
@@ -12,27 +12,29 @@
 
 namespace damsonport {
 
-/// One parsed file: (NAME ENTRY ...). The entries live as long as the document.
+/// A parsed file: (NAME ENTRY ...). The document owns the entries.
 class SexpDocument {
  public:
-  /// `name`: the one that the outermost list has to have. The error names the line.
+  /// Parses a file's text. `name`: the required name of the outermost list. The error names the
+  /// line.
   static Result<SexpDocument> parse(const std::string& raw, const std::string& name);
 
-  /// The first entry behind the name, or null; each entry's `next` is the following one.
+  /// The first entry after the name, or null; each entry's `next` points to the following entry.
   const sexp_t* entries() const { return root_->list->next; }
 
-  /// "line N: " of the first place where the word stands. The parser keeps no positions, so the
-  /// word is found in the text again.
+  /// "line N: " for the first occurrence of the word, for use in errors. The parser keeps no
+  /// positions, so the word is searched for in the text.
   std::string at_line(const std::string& word) const { return at_line(word, {}); }
-  /// The same, behind the first place of `after`.
+  /// "line N: " for the first occurrence of the word after the first occurrence of `after`.
   std::string at_line(const std::string& word, const std::string& after) const;
 
+  /// Whether `entry` is a list that is not empty.
   static bool is_list(const sexp_t* entry) { return entry->ty == SEXP_LIST && entry->list; }
-  /// The word, or empty where `entry` is a list or null.
+  /// The entry's word; empty if `entry` is a list or null.
   static std::string atom(const sexp_t* entry);
-  /// The first word of a list, or empty where `entry` is a word or begins with a list.
+  /// The first word of a list; empty if `entry` is a word or a list that begins with a list.
   static std::string list_name(const sexp_t* entry);
-  /// The word as a number; nothing where it is none, or `entry` is a list or null.
+  /// The entry's word as a number; empty if the word isn't a number, or `entry` is a list or null.
   template <class Number>
   static std::optional<Number> number(const sexp_t* entry);
 
--- a/src/config/state_limits.hpp
+++ b/src/config/state_limits.hpp
@@ -1,29 +1,32 @@
-/// The limits of the key-value store: those in force and those announced for later.
+/// Limits of the key-value store: those in force at present and those announced for later.
 #pragma once
 
 namespace damsonport {
 
+/// One set of limits. The comment of each field quotes the field's name in the settings file.
 struct StateLimits {
   double requests_per_s = 0;  ///< "rps"
   double writes_per_s = 0;    ///< "write_rps": puts and deletes
   double value_kb = 0;        ///< "value_kb": size of one value in its JSON form, KiB
   int txn_writes = 0;         ///< "txn_ops": puts and deletes in one transaction
 
-  /// Preconditions of one transaction, by the protocol.
+  /// Maximum number of preconditions in one transaction, as the store's protocol defines it.
   int txn_conditions() const { return 4 * txn_writes; }
+  /// Maximum size of one value, in bytes.
   double value_bytes() const { return value_kb * 1024; }
 };
 
-/// Says which limits to go by. The announced ones come into force at an unknown moment, so whatever
-/// is sized by them has to fit both sets.
+/// The present and the announced limits. The announced limits come into force at an unknown time,
+/// so requests must be sized to fit both sets.
 class StateLimitSettings {
  public:
   StateLimitSettings() = default;
   StateLimitSettings(const StateLimits& present, const StateLimits& announced);
 
-  /// In force when the settings were written.
+  /// The limits in force when the settings file was written.
   const StateLimits& present() const { return present_; }
-  /// The smaller of each figure: what fits it is accepted before and after the change.
+  /// The smaller value of each limit. A request that fits these limits is accepted before and after
+  /// the change.
   const StateLimits& always() const { return always_; }
 
  private:
--- a/src/config/text_file.hpp
+++ b/src/config/text_file.hpp
@@ -1,4 +1,4 @@
-/// Files read as a whole.
+/// Functions that read a whole file into memory.
 #pragma once
 #include <string>
 
@@ -6,10 +6,11 @@
 
 namespace damsonport {
 
-/// The file's bytes. The error names the file.
+/// Reads the file's bytes. The error names the file.
 Result<std::string> read_text_file(const std::string& path);
 
-/// What `parse` makes of the file's text; each problem that it finds gets the file's name.
+/// Reads the file and parses the text with `parse`. Each problem that `parse` finds is prefixed
+/// with the file's name.
 template <class Parse>
 auto parse_text_file(const std::string& path, Parse parse) -> decltype(parse(std::string())) {
   auto text = read_text_file(path);
--- a/src/config/tuning.cpp
+++ b/src/config/tuning.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// One entry of the file: its name, its range, and the field that it sets, of which one is null.
+/// One entry of the file: its name, its range, and the field that the entry sets. Exactly one of
+/// the two field pointers is not null.
 struct Entry {
   const char* name;
   double low;
@@ -42,7 +43,8 @@
   return nullptr;
 }
 
-// Sets the field that `item` names; the problem where it can't.
+// Sets the field that `item` names. Returns the problem if the item is unknown, malformed or out of
+// range.
 std::optional<Error> apply(Tuning& out, const SexpDocument& document, const sexp_t* item) {
   if (!SexpDocument::is_list(item))
     return Error{document.at_line(SexpDocument::atom(item)) + "expected (NAME VALUE)"};
