--- a/src/config/tuning.hpp
+++ b/src/config/tuning.hpp
@@ -15,7 +15,7 @@
   double straggler_alpha = 0.1;       ///< "straggler-alpha": weight of the newest observation
   double straggler_threshold = 0.8;   ///< "straggler-bar": slower machines are stragglers
   int straggler_check_interval = 10;  ///< "straggler-test-every": observations between checks
-  int straggler_min_successes = 5;    ///< "straggler-min-successes": tasks of a job
+  int straggler_min_successes = 5;    ///< "straggler-min-successes": for a job's median
 
   double shard_lease_s = 30.0;  ///< "grant-s": duration of a shard lease, s
 
--- a/tests/regions/quota_policy_test.cpp
+++ b/tests/regions/quota_policy_test.cpp
@@ -1,4 +1,5 @@
-// The pure parts of dividing limits among regions: settings, codec, first division and policy.
+// Tests of the pure functions that divide limits among regions: regions file, message and record
+// encoding, initial units and transfer policy.
 #include "coordination/quotas/quota_policy.hpp"
 
 #include <gtest/gtest.h>
@@ -125,11 +126,11 @@
   EXPECT_EQ(surplus(s, false).any, 45u);
   s.recent_peak = 90;
   EXPECT_EQ(surplus(s, false).any, 10u);
-  EXPECT_EQ(surplus(s, false).urgent, 65u) << "what was needed lately gives way to urgent work";
+  EXPECT_EQ(surplus(s, false).urgent, 65u) << "recent need yields to urgent work";
   s.guaranteed = 80;
   EXPECT_EQ(surplus(s, false).urgent, 20u);
   s.used = 120;
-  EXPECT_EQ(surplus(s, false).urgent, 0u) << "more in use than the budget: nothing to give";
+  EXPECT_EQ(surplus(s, false).urgent, 0u) << "no surplus, since more than the quota is in use";
 }
 
 TEST(QuotaPolicy, TransfersRequestedUnitsNotYetSent) {
@@ -148,7 +149,7 @@
   EXPECT_EQ(urgent, 20u);
   EXPECT_LE(any, 50u);
   EXPECT_EQ(requests[0].any, 0u);
-  EXPECT_EQ(requests[2].urgent, 20u) << "the one that can spare most is asked first";
+  EXPECT_EQ(requests[2].urgent, 20u) << "the region with the largest surplus is used first";
   EXPECT_LE(requests[1].any, 15u);
   EXPECT_GE(any, 40u);
 }
@@ -158,7 +159,7 @@
   EXPECT_EQ(surplus(s, false).any, 0u);
   EXPECT_EQ(surplus(s, true).any, 2u);
   s.quota = 12;
-  EXPECT_EQ(surplus(s, true).any, 0u) << "a task fits";
+  EXPECT_EQ(surplus(s, true).any, 0u) << "the free quota is enough for a pending task";
 }
 
 TEST(QuotaPolicy, RecentPeakExpires) {
--- a/tests/regions/region_cluster.cpp
+++ b/tests/regions/region_cluster.cpp
@@ -61,7 +61,7 @@
   const StateLimits limits{150, 50, 16, 12};
   s.state_limits = {limits, limits};
   s.cloud_rps = 5, s.list_lag_s = 4, s.max_sockets = 600;
-  // Budgets are looked at, not rentals: machines that have no work yet stay.
+  // These tests check quotas, not scale in, so idle machines are never deleted.
   s.tuning.idle_replacements = 1000;
   s.zones = {region.zone};
   s.controller_count = static_cast<int>(plan_.controllers);
@@ -222,7 +222,7 @@
   }
 }
 
-// --- what is checked
+// --- checks
 
 QuotaRecord RegionCluster::quota(size_t region) const {
   auto it = quotas_.find(region);
@@ -262,38 +262,39 @@
   peak_used_gpus_ = std::max(peak_used_gpus_, used);
   if (used > checked_limit_gpus_ + resource_tolerance)
     violations_.push_back(
-        fmt::format("quota at {}: {} accelerators of {} are used over all regions", world_.now(),
-                    used, checked_limit_gpus_));
+        fmt::format("at {} s all regions together use {} accelerators of a limit of {}",
+                    world_.now(), used, checked_limit_gpus_));
 }
 
 void RegionCluster::quota_changed(size_t region, const Json& value) {
-  if (!value.is_object()) return violations_.push_back("a budget's record was removed");
+  if (!value.is_object()) return violations_.push_back("a quota record was removed");
   const auto before = quota(region);
   quotas_[region] = decode_quota(value);
   check_totals();
   if (used_gpus(region) > quota_gpus(region) + resource_tolerance &&
       checked_limit_gpus_ >= plan_.team.gpus_max)
-    violations_.push_back(fmt::format("at {} {} uses {} accelerators of a budget of {}",
+    violations_.push_back(fmt::format("at {} s {} uses {} accelerators of a quota of {}",
                                       world_.now(), regions_[region].name, used_gpus(region),
                                       quota_gpus(region)));
   if (on_quota_change) on_quota_change(region, before, quotas_[region]);
 }
 
-// All units are with some region or on the direction between two; nothing is received that wasn't
-// sent.
+// Checks that every quota unit is held by one region or in transit between two, and that no units
+// are received that weren't sent.
 void RegionCluster::check_totals() {
   if (quotas_.size() < regions_.size()) return;
   uint64_t sum = 0;
   for (auto& [region, record] : quotas_) {
     const uint64_t units = record.available_units().gpus;
     if (units > all_quota_units)
-      violations_.push_back(fmt::format("{} has given more than it had", regions_[region].name));
+      violations_.push_back(
+          fmt::format("{} has sent more quota than it had", regions_[region].name));
     sum += units;
   }
   if (const uint64_t in_transit = gpu_units_in_transit();
       in_transit > all_quota_units || sum + in_transit != all_quota_units)
-    violations_.push_back(
-        fmt::format("at {} {} parts and {} on the way", world_.now(), sum, in_transit));
+    violations_.push_back(fmt::format("at {} s quotas sum to {} units, and {} are in transit",
+                                      world_.now(), sum, in_transit));
 }
 
 std::vector<std::string> RegionCluster::violations() const {
--- a/tests/regions/region_cluster.hpp
+++ b/tests/regions/region_cluster.hpp
@@ -1,5 +1,5 @@
-// Several regions on virtual time: each with its own state service, cloud, machines and
-// controllers, and a checker of the teams' limits over all of them.
+/// Simulation of several regions in virtual time. Each region has its own key-value store, cloud,
+/// machines and controllers. Checks the team's limit over all regions.
 #pragma once
 #include <functional>
 #include <map>
@@ -14,15 +14,17 @@
 
 namespace damsonport::simulation {
 
+/// Parameters of a simulated cluster of regions.
 struct ClusterPlan {
   size_t regions = 2;
   size_t controllers = 2;            // in each region
   int machines = 4;                  // in each region, of 8 accelerators and 64 CPUs
-  std::vector<uint64_t> share = {};  // by region; empty: alike
+  std::vector<uint64_t> share = {};  // by region; empty: equal shares
   TeamSettings team{"t", 0, 0, 0, 16};
   uint64_t seed = 1;
 };
 
+/// Owns the simulated world, the regions and their controllers.
 class RegionCluster {
  public:
   explicit RegionCluster(ClusterPlan plan);
@@ -31,17 +33,20 @@
   void run_until(double time) { world_.run_until(time); }
   void at(double time, std::function<void()> what) { world_.at(time, std::move(what)); }
 
-  // A job of the team: `gpus` for each task. A run time of 0 makes it a service.
+  // Submits a job of the team to a region. `gpus`: accelerators of each task. A `run_s` of 0 makes
+  // the job a service.
   void submit(size_t region, const std::string& job, uint32_t tasks, double gpus, double run_s,
               Priority priority = Priority::normal);
   void cancel(size_t region, const std::string& job);
+  // Number of the job's tasks that run in any region.
   int running(const std::string& job) const;
+  // Whether all tasks of the job are complete.
   bool done(const std::string& job) const;
 
   enum class Direction : uint8_t { both, from_first };
-  // Between the controllers of two regions.
+  // Cuts the network between the controllers of regions `a` and `b` for `for_s` seconds.
   void cut(size_t a, size_t b, Direction direction, World::Cut how, double for_s);
-  // The controller that holds the region's grant, or the first.
+  // The controller that holds the region's shard lease, or the first one if none does.
   VirtualController& shard_leader(size_t region);
   std::vector<std::unique_ptr<VirtualController>>& controllers(size_t region) {
     return regions_[region].controllers;
@@ -49,29 +54,30 @@
   KeyValueStore& state(size_t region) { return *regions_[region].state; }
   SimulatedFleet& fleet(size_t region) { return *regions_[region].fleet; }
 
-  // Called for each change of a budget's record.
+  // Called for each change of a region's quota record.
   std::function<void(size_t region, const QuotaRecord& before, const QuotaRecord& after)>
       on_quota_change;
-  // Every message between regions arrives once more after a while, drawn up to `seconds`.
+  // Delivers every message between regions a second time, after a random delay of up to `seconds`.
   void duplicate_messages_within(double seconds);
-  // Somebody on the link says this to a region's controllers.
+  // Delivers a forged message to all controllers of a region.
   void deliver(size_t region, const RegionMessage& message);
   std::string region_name(size_t region) const { return regions_[region].name; }
 
   QuotaRecord quota(size_t region) const;
   double quota_gpus(size_t region) const;
-  // Parts that were sent and not received yet.
+  // Accelerator quota units sent by one region and not yet received by another.
   uint64_t gpu_units_in_transit() const;
-  // In use by tasks on machines; of all regions without an argument.
+  // Accelerators used by tasks on the machines of one region, or of all regions.
   double used_gpus(size_t region) const;
   double used_gpus() const;
   double peak_used_gpus() const { return peak_used_gpus_; }
-  // Broken rules: of the protocol in each region, and of the budgets over all.
+  // Violations of the protocol's rules in each region, and of the quota rules over all regions.
   std::vector<std::string> violations() const;
 
-  // The limit of the team in all settings, in force at each controller's next start.
+  // Sets the team's limit in the settings of all controllers; takes effect at each one's next
+  // start.
   void set_limit(double gpus);
-  // What is checked for all regions together from now on.
+  // Sets the limit that use over all regions is checked against from now on.
   void check_limit(double gpus) { checked_limit_gpus_ = gpus; }
   const ClusterPlan& plan() const { return plan_; }
 
--- a/tests/regions/regions_test.cpp
+++ b/tests/regions/regions_test.cpp
@@ -1,5 +1,5 @@
-// The teams' limits over several regions: exact at every instant, whatever fails, and of use where
-// work waits.
+// Simulation tests of team limits that are divided among regions. The regions together never exceed
+// a limit at any time, whichever faults occur, and quota reaches the regions where work is pending.
 #include <gtest/gtest.h>
 
 #include "regions/region_cluster.hpp"
@@ -7,7 +7,7 @@
 namespace damsonport::simulation {
 namespace {
 
-constexpr double startup_end_s = 10;  // all controllers are up and every record is written
+constexpr double startup_end_s = 10;  // all controllers run and every quota record is written
 
 void expect_no_violations(const RegionCluster& cluster) {
   for (auto& what : cluster.violations())
@@ -30,7 +30,8 @@
   expect_no_violations(cluster);
 }
 
-// The limits of two regions' settings differ for a while; first records are written meanwhile.
+// While a changed limit is being rolled out, regions write their first records under different
+// limits.
 TEST(Regions, FirstRecordsUnderDifferentLimitsSumToAllUnits) {
   RegionCluster cluster({.regions = 3, .team = {"t", 0, 0, 0, 17}});
   for (auto& controller : cluster.controllers(0)) {
@@ -55,7 +56,8 @@
   expect_no_violations(cluster);
 }
 
-// The operators' bound for urgent work, with the budget elsewhere (the fetch takes 0.15 s).
+// Urgent work must start within the operators' bound even if its quota must first be transferred
+// from another region. Fetching the image takes 0.15 s of the time.
 TEST(Regions, UrgentJobThatNeedsQuotaOfAnotherRegionStartsInTime) {
   RegionCluster cluster({});
   cluster.at(startup_end_s, [&] { cluster.submit(0, "run-1", 8, 1, 0); });
@@ -89,7 +91,7 @@
   EXPECT_EQ(cluster.running("run-1"), 12);
   EXPECT_DOUBLE_EQ(cluster.quota_gpus(1), 4);
   cluster.run_until(64);
-  EXPECT_EQ(cluster.running("run-2"), 4) << "what is guaranteed starts without asking anybody";
+  EXPECT_EQ(cluster.running("run-2"), 4) << "guaranteed quota is available without a transfer";
   expect_no_violations(cluster);
 }
 
@@ -100,7 +102,7 @@
   EXPECT_FALSE(cluster.fleet(0).rules().is_accepted("run-1"));
 }
 
-// Each of two regions has room for half a task: one gives direction.
+// Each of two regions has half of the quota that a task needs; one region must transfer its half.
 TEST(Regions, QuotaTooSmallForAnyTaskIsTransferred) {
   RegionCluster cluster({.team = {"t", 0, 0, 0, 12}});
   for (size_t region : {0, 1})
@@ -127,10 +129,11 @@
   expect_no_violations(cluster);
 }
 
-// Whoever is killed at whichever step, the other side finds the rest.
+// A shard leader crashes before or after either commit of a transfer. The transfer must still
+// complete, exactly once.
 struct CrashPoint {
   const char* name;
-  bool sender, after_send;  // who ends, and upon whose commit
+  bool sender, after_send;  // which leader crashes; on the sender's commit or the receiver's
 };
 
 class LeaderCrashDuringTransfer : public testing::TestWithParam<CrashPoint> {};
@@ -143,7 +146,7 @@
       const bool upon =
           GetParam().after_send ? sent_quota(before, after) : received_quota(before, after);
       if (!upon || crashes >= 3) return;
-      // The committer itself, before it hears of it, or the other side.
+      // Either the leader that committed, before it gets the response, or the other region's.
       const bool committer = GetParam().sender == GetParam().after_send;
       const size_t victim = committer ? region : 1 - region;
       ++crashes;
@@ -185,7 +188,7 @@
   }
 }
 
-// A holder that stands still in the middle of a gift is deposed; on going on it can't give.
+// A shard leader stalls during a transfer and is replaced. When it resumes, its transfer must fail.
 TEST(Regions, DeposedLeaderCannotTransfer) {
   for (uint64_t seed : {1, 2, 3, 4}) {
     RegionCluster cluster({.controllers = 3, .seed = seed});
@@ -201,10 +204,11 @@
   }
 }
 
-// The gift of a holder that has ended is carried out while its successor uses what was to be given:
-// it has to fail on `blocks`, since the record itself has not changed.
+// The store applies the transfer of a crashed shard leader after its successor has started to use
+// the quota. The transaction must fail on its precondition on the shard table, since the quota
+// record itself has not changed.
 TEST(Regions, TransferCommittedAfterFailoverFails) {
-  int scenarios_kept_by_successor = 0;  // what the successor used
+  int scenarios_kept_by_successor = 0;  // seeds in which the successor used the quota
   for (uint64_t seed = 1; seed <= 8; ++seed) {
     RegionCluster cluster({.seed = seed});
     std::string host;
@@ -219,7 +223,7 @@
     });
     cluster.at(40, [&] { cluster.state(0).set_fate(KeyValueStore::Fate::normal, {}); });
     cluster.run_until(60);
-    // The gift may also have arrived before its holder was replaced.
+    // With some seeds the transfer is applied before the leader is replaced.
     EXPECT_EQ(cluster.running("run-1") + cluster.running("run-2"), 16);
     scenarios_kept_by_successor += cluster.running("run-2") == 8;
     expect_no_violations(cluster);
@@ -227,11 +231,12 @@
   EXPECT_GT(scenarios_kept_by_successor, 0);
 }
 
-// A copy of a gift comes after the next gift of the same holder: it must not put the total back.
+// The store applies a delayed copy of a transfer after the next transfer by the same leader. The
+// copy must not reset the total.
 TEST(Regions, StaleTotalDoesNotOverwriteNewerTotal) {
   for (uint64_t seed = 1; seed <= 16; ++seed) {
     RegionCluster cluster({.seed = seed});
-    // Between two renewals of the grant.
+    // This time lies between two renewals of the shard lease.
     cluster.at(15.8, [&] {
       cluster.state(0).set_fate(KeyValueStore::Fate::applied_late, cluster.shard_leader(0).host());
       cluster.submit(1, "run-1", 10, 1, 0);
@@ -276,7 +281,7 @@
     state.set_fate(KeyValueStore::Fate::normal, {});
     state.set_delay(0.004);
   });
-  // Wanted just before and in the middle.
+  // Quota is needed just before the fault begins and during the fault.
   cluster.at(start_s - 0.2, [&] { cluster.submit(0, "run-1", 14, 1, 30); });
   cluster.at(start_s + 9, [&] { cluster.submit(1, "run-2", 14, 1, 30, Priority::high); });
   cluster.run_until(220);
@@ -292,7 +297,8 @@
                                      StoreFault::slow),
                      testing::Values(size_t{0}, size_t{1}), testing::Values(1, 2)));
 
-// An hour without each other, both links or one direction only, with demand on both sides.
+// Two regions are partitioned for an hour, in both directions or one, while jobs are submitted to
+// both.
 class PartitionedForAnHour
     : public testing::TestWithParam<std::tuple<RegionCluster::Direction, World::Cut>> {};
 
@@ -309,7 +315,7 @@
         cluster.submit(region, "run-" + std::to_string(1000 * (region + 1) + i), 6, 1, 90);
       });
   cluster.run_until(30 + hour - 1);
-  // What came within the cut was done within it, on both sides.
+  // Jobs submitted during the partition are complete before its end, in both regions.
   for (size_t region : {0, 1})
     for (int i = 0; i < 25; ++i)
       EXPECT_TRUE(cluster.done("run-" + std::to_string(1000 * (region + 1) + i)));
@@ -353,7 +359,8 @@
   }
 }
 
-// A limit that is lowered below what is in use: nothing starts before use has fallen under it.
+// A limit is lowered below the current use. No task may start before use has fallen below the
+// limit.
 TEST(Regions, LoweredLimitHoldsForNewStarts) {
   RegionCluster cluster({});
   cluster.at(startup_end_s, [&] { cluster.submit(0, "run-1", 14, 1, 100); });
@@ -364,7 +371,7 @@
     for (size_t region : {0, 1})
       for (auto& controller : cluster.controllers(region)) controller->crash(3);
   });
-  // Everything older is over by then.
+  // All tasks from before the change have ended by this time.
   cluster.at(140, [&] { cluster.check_limit(8); });
   cluster.run_until(260);
   EXPECT_TRUE(cluster.done("run-1"));
@@ -372,7 +379,8 @@
   expect_no_violations(cluster);
 }
 
-// Some controllers of a region were started without the file: the records bind them all the same.
+// Controllers of a region restart without the regions file. They must still keep to the quota in
+// the records.
 TEST(Regions, ControllerWithoutRegionsFileFollowsTheRecords) {
   RegionCluster cluster({});
   cluster.at(30, [&] {
@@ -389,7 +397,7 @@
   expect_no_violations(cluster);
 }
 
-// A budget of nothing is a limit, where a limit of nothing is none.
+// A quota of 0 allows no use, whereas a team limit of 0 means that there is no limit.
 TEST(Regions, RegionWithoutQuotaStartsNothing) {
   RegionCluster cluster({.share = {1, 0}});
   cluster.at(startup_end_s, [&] { cluster.submit(0, "run-1", 16, 1, 60, Priority::production); });
@@ -398,14 +406,15 @@
   EXPECT_EQ(cluster.running("run-1"), 16);
   EXPECT_EQ(cluster.running("run-2"), 0);
   cluster.run_until(120);
-  EXPECT_EQ(cluster.running("run-2"), 4) << "it has been given some";
+  EXPECT_EQ(cluster.running("run-2"), 4) << "quota has been transferred";
   expect_no_violations(cluster);
 }
 
-// An older version that takes over would count the whole limit as its own.
+// A controller of an older version that becomes shard leader would use the whole limit, so no quota
+// may be transferred before all controllers have recorded the current version.
 TEST(Regions, NoTransferBeforeAllControllersHaveTheVersion) {
   RegionCluster cluster({.controllers = 3});
-  cluster.controllers(0)[2]->crash(100);  // from the beginning
+  cluster.controllers(0)[2]->crash(100);  // from the start
   cluster.at(startup_end_s, [&] { cluster.submit(1, "run-1", 14, 1, 0); });
   cluster.run_until(90);
   EXPECT_EQ(cluster.running("run-1"), 8);
@@ -414,7 +423,7 @@
   expect_no_violations(cluster);
 }
 
-// Somebody on the link claims to have sent all there is, or says what is meant for others.
+// Forged messages claim that the whole limit was transferred, or name a wrong sender or receiver.
 TEST(Regions, ImplausibleTransferIsNotCounted) {
   RegionCluster cluster({.regions = 3});
   const QuotaUnits all{all_quota_units, all_quota_units};
@@ -430,7 +439,7 @@
   cluster.at(startup_end_s + 1,
              [&] { cluster.submit(0, "run-1", 16, 1, 600, Priority::production); });
   cluster.run_until(40);
-  EXPECT_EQ(cluster.running("run-1"), 16) << "what was really sent still comes";
+  EXPECT_EQ(cluster.running("run-1"), 16) << "real transfers still arrive";
   for (size_t region : {1, 2})
     EXPECT_LT(cluster.quota(0).received_from(cluster.region_name(region)).gpus, all_quota_units);
   expect_no_violations(cluster);
@@ -446,7 +455,7 @@
   expect_no_violations(cluster);
 }
 
-// What was wanted some time ago is not wanted now.
+// A delayed message with a request must not cause a transfer.
 TEST(Regions, StaleMessageRequestsNothing) {
   RegionCluster cluster({});
   RegionMessage message{cluster.region_name(1), cluster.region_name(0), "r1n0", 1, 1, {}};
@@ -457,7 +466,7 @@
   expect_no_violations(cluster);
 }
 
-// Drawn troubles in three regions, and afterwards everything that was submitted gets done.
+// Random faults in three regions. After the faults have ended, all submitted jobs must complete.
 class RandomRegionScenarios : public testing::TestWithParam<uint64_t> {};
 
 void inject_random_fault(RegionCluster& cluster, std::mt19937_64& draw) {
--- a/tests/replicas/replicas_test.cpp
+++ b/tests/replicas/replicas_test.cpp
@@ -1,5 +1,5 @@
-// The pure parts of replicas that span several machines: settings, records, readiness, states,
-// repairs.
+// Tests of the pure functions for replicas of several parts: settings, records, readiness, states
+// and repairs.
 #include <gtest/gtest.h>
 
 #include "config/replica_settings.hpp"
@@ -86,10 +86,10 @@
   JobSpec plain = replicated_job();
   plain.parts = 1;
   plain.distinct_machines = false;
-  EXPECT_FALSE(encode_job(plain).contains("parts")) << "no cost without the file";
+  EXPECT_FALSE(encode_job(plain).contains("parts")) << "the record of a plain job doesn't grow";
 }
 
-// Unknown fields of users' messages are ignored, and these are the operators' alone.
+// Only operators may set these fields, so they are ignored like unknown fields in a submission.
 TEST(ReplicaRecord, SubmissionDoesNotSetTheNumberOfParts) {
   Json message = simulation::submission_of(replicated_job());
   message["parts"] = 3;
@@ -114,20 +114,20 @@
   EXPECT_EQ(check_admission(spec, settings, {type}), AdmissionResult::indivisible_replicas);
   spec.kind = JobKind::batch;
   EXPECT_EQ(check_admission(spec, settings, {type}), AdmissionResult::admitted)
-      << "services alone have replicas";
+      << "only services have replicas";
 }
 
 TEST(ReplicaRecord, RangeIsSummarizedAcrossTaskChunks) {
   Job job;
   job.spec = replicated_job();
-  job.chunk_size = 3;  // replica 1 is tasks 2 and 3, in two records
+  job.chunk_size = 3;  // replica 1 is tasks 2 and 3, in two chunks
   EXPECT_EQ(job.summarize({2, 2}).last_attempt, 0u);
   job.chunks[0].record.start(2, 4, "i-1");
   auto record = job.summarize({2, 2});
   EXPECT_EQ(record.live, 1u);
   EXPECT_EQ(record.live_attempt, 4u);
   EXPECT_EQ(next_attempt(job, {2, 2}), 4u);
-  EXPECT_EQ(next_attempt(job, {0, 2}), 1u) << "passed over, and never started";
+  EXPECT_EQ(next_attempt(job, {0, 2}), 1u) << "replica 0 was never started";
   job.chunks[1].record.start(0, 5, "i-2");
   record = job.summarize({2, 2});
   EXPECT_TRUE(record.has_mixed_attempts);
@@ -150,14 +150,15 @@
   EXPECT_EQ(ready.as_of, 97);
   PartStatus other = second;
   other.attempt = 4;
-  EXPECT_FALSE(judge_readiness({first, other}, now, max_age_s).ready) << "of another attempt";
+  EXPECT_FALSE(judge_readiness({first, other}, now, max_age_s).ready)
+      << "the parts have different attempts";
   other = second;
   other.running = false;
-  EXPECT_FALSE(judge_readiness({first, other}, now, max_age_s).ready) << "not running";
+  EXPECT_FALSE(judge_readiness({first, other}, now, max_age_s).ready) << "a part is not running";
   other = second;
   other.as_of = 93.9;
-  EXPECT_FALSE(judge_readiness({first, other}, now, max_age_s).ready) << "not heard of lately";
-  EXPECT_FALSE(judge_readiness({first, {}}, now, max_age_s).ready) << "not placed";
+  EXPECT_FALSE(judge_readiness({first, other}, now, max_age_s).ready) << "a heartbeat is too old";
+  EXPECT_FALSE(judge_readiness({first, {}}, now, max_age_s).ready) << "a part is not placed";
   EXPECT_FALSE(judge_readiness({}, now, max_age_s).ready);
 }
 
@@ -177,7 +178,8 @@
   EXPECT_EQ(replica_state(s), ReplicaState::stopping);
   s = {};
   s.gang.tasks = 2, s.last_attempt = 1;
-  EXPECT_EQ(replica_state(s), ReplicaState::repairing) << "gone, and to be started anew";
+  EXPECT_EQ(replica_state(s), ReplicaState::repairing)
+      << "no part is left, and the next attempt is pending";
   s.gang.live = 2, s.last_attempt = 2;
   EXPECT_EQ(replica_state(s), ReplicaState::repairing);
   s.gang.stopping = true;
@@ -205,7 +207,7 @@
   EXPECT_EQ(choose_repairs(candidates, 1, 2, now, turn), (std::vector<size_t>{0}));
   EXPECT_TRUE(choose_repairs(candidates, 2, 2, now, turn).empty());
   EXPECT_TRUE(choose_repairs(candidates, 5, 2, now, turn).empty());
-  // Those that have their turn keep it; afterwards the others have theirs.
+  // Candidates keep a turn in progress; after the turn the others get one.
   candidates[2] = {0, 98, true};
   candidates[3] = {0, 98, true};
   EXPECT_EQ(choose_repairs(candidates, 0, 2, now, turn), (std::vector<size_t>{2, 3}));
@@ -213,7 +215,7 @@
   candidates[0].backoff_until = now + 1;
   candidates[2] = candidates[3] = {0, 50, false};
   EXPECT_EQ(choose_repairs(candidates, 0, 2, now, turn), (std::vector<size_t>{1, 2}))
-      << "one that pauses is passed over";
+      << "a candidate in its retry delay is skipped";
 }
 
 Heartbeat heartbeat(uint64_t agent_epoch, uint64_t sequence) {
@@ -224,19 +226,19 @@
   return r;
 }
 
-// A heartbeat may have been held up for minutes and doesn't say when it was made.
+// A heartbeat may have been delayed for minutes, and doesn't state when it was sent.
 TEST(HeartbeatTime, IsKnownFromTheConnectionOrAProbe) {
   Machine m;
   ASSERT_TRUE(apply_heartbeat(m, heartbeat(1, 5), 100, false));
-  EXPECT_EQ(m.tasks_as_of, 0) << "the first on its connection";
+  EXPECT_EQ(m.tasks_as_of, 0) << "the first heartbeat of its connection";
   ASSERT_TRUE(apply_heartbeat(m, heartbeat(1, 6), 102, false, 100));
   EXPECT_EQ(m.tasks_as_of, 100);
   ASSERT_TRUE(apply_heartbeat(m, heartbeat(1, 8), 130, false));
-  EXPECT_EQ(m.tasks_as_of, 100) << "newer, but it isn't known by how much";
+  EXPECT_EQ(m.tasks_as_of, 100) << "newer state of unknown age";
   ASSERT_TRUE(apply_heartbeat(m, heartbeat(1, 9), 132, true, 131.5));
   EXPECT_EQ(m.tasks_as_of, 131.5);
   EXPECT_FALSE(apply_heartbeat(m, heartbeat(1, 7), 140, false, 139));
-  EXPECT_EQ(m.tasks_as_of, 131.5) << "an old copy";
+  EXPECT_EQ(m.tasks_as_of, 131.5) << "an old heartbeat";
 }
 
 }  // namespace
