--- a/src/config/toml_reader.cpp
+++ b/src/config/toml_reader.cpp
@@ -14,11 +14,11 @@
   }
 }
 
-void TomlReader::fail(const TomlTable& parent, const char* key, const std::string& what) {
+void TomlReader::fail(const TomlTable& parent, const char* key, const std::string& problem) {
   const toml::node* value = parent.find(key);
   const auto line = value ? value->source().begin.line : parent.values->source().begin.line;
   const std::string where = line > 0 ? "line " + std::to_string(line) + ": " : "";
-  problems_.add(where + parent.prefix + key + ": " + what);
+  problems_.add(where + parent.prefix + key + ": " + problem);
 }
 
 std::string TomlReader::text(const TomlTable& parent, const char* key) {
--- a/src/config/toml_reader.hpp
+++ b/src/config/toml_reader.hpp
@@ -52,7 +52,7 @@
 
   /// Adds a problem with the field. The problem names the line of the field's value, or that of the
   /// table if the field is missing.
-  void fail(const TomlTable& parent, const char* key, const std::string& what);
+  void fail(const TomlTable& parent, const char* key, const std::string& problem);
   /// No problem has been found so far.
   bool ok() const { return problems_.empty(); }
   /// The problems found so far, one per line.
--- a/tests/regions/region_cluster.cpp
+++ b/tests/regions/region_cluster.cpp
@@ -21,29 +21,31 @@
 std::string controller_name(size_t region, size_t n) { return fmt::format("r{}n{}", region, n); }
 std::string zone_name(size_t region) { return fmt::format("zone-{}", region); }
 
-MachineType machine_type(const ClusterPlan& plan) {
+MachineType machine_type(const ClusterOptions& options) {
   MachineType type;
   type.name = "g", type.cpus = 64, type.gpus = 8, type.memory_gb = 512;
   type.cache_gb = 500, type.fetch_gb_per_s = 10;
   type.price = 10, type.spot_price = 2, type.boot_s = 30;
-  for (size_t r = 0; r < plan.regions; ++r) type.zones.push_back(zone_name(r));
+  for (size_t r = 0; r < options.regions; ++r) type.zones.push_back(zone_name(r));
   return type;
 }
 
 }  // namespace
 
-RegionCluster::RegionCluster(ClusterPlan plan)
-    : plan_(std::move(plan)), world_(plan_.seed), checked_limit_gpus_(plan_.team.gpus_max) {
-  plan_.share.resize(plan_.regions, 1);
-  regions_.resize(plan_.regions);
-  for (size_t r = 0; r < plan_.regions; ++r) create_region(r);
+RegionCluster::RegionCluster(ClusterOptions options)
+    : options_(std::move(options)),
+      world_(options_.seed),
+      checked_limit_gpus_(options_.team.gpus_max) {
+  options_.share.resize(options_.regions, 1);
+  regions_.resize(options_.regions);
+  for (size_t r = 0; r < options_.regions; ++r) create_region(r);
 }
 
 RegionSettings RegionCluster::region_settings(size_t own) const {
   RegionSettings out;
-  for (size_t r = 0; r < plan_.regions; ++r) {
-    Region region{fmt::format("region-{}", r), plan_.share[r], {zone_name(r)}, {}};
-    for (size_t n = 0; n < plan_.controllers; ++n)
+  for (size_t r = 0; r < options_.regions; ++r) {
+    Region region{fmt::format("region-{}", r), options_.share[r], {zone_name(r)}, {}};
+    for (size_t n = 0; n < options_.controllers; ++n)
       region.controllers.push_back({controller_name(r, n), {controller_host(r, n), region_port}});
     out.regions.push_back(std::move(region));
   }
@@ -64,34 +66,35 @@
   // These tests check quotas, not scale in, so idle machines are never deleted.
   s.tuning.idle_replacements = 1000;
   s.zones = {region.zone};
-  s.controller_count = static_cast<int>(plan_.controllers);
+  s.controller_count = static_cast<int>(options_.controllers);
   s.state = {state_host(index), 2379};
   s.cloud = {cloud_host(index), 8443};
-  s.teams = {plan_.team};
-  std::vector<ControllerAddress> nodes;
-  for (size_t n = 0; n < plan_.controllers; ++n)
-    nodes.push_back({controller_name(index, n), controller_host(index, n)});
+  s.teams = {options_.team};
+  std::vector<ControllerAddress> addresses;
+  for (size_t n = 0; n < options_.controllers; ++n)
+    addresses.push_back({controller_name(index, n), controller_host(index, n)});
   region.state = std::make_unique<KeyValueStore>(world_, s.state.host, limits);
   region.state->on_change = [this, index](const std::string& key, const Json& value) {
-    if (key == keys::quota(plan_.team.name)) quota_changed(index, value);
+    if (key == keys::quota(options_.team.name)) quota_changed(index, value);
   };
   region.fleet =
-      std::make_unique<SimulatedFleet>(world_, s, std::vector<MachineType>{machine_type(plan_)},
-                                       nodes, fmt::format("10.{}.", 100 + index));
-  region.fleet->cloud().set_capacity(plan_.machines);
+      std::make_unique<SimulatedFleet>(world_, s, std::vector<MachineType>{machine_type(options_)},
+                                       addresses, fmt::format("10.{}.", 100 + index));
+  region.fleet->cloud().set_capacity(options_.machines);
   region.fleet->rules().on_start = [this](const TaskId&) { check_usage(); };
-  for (int i = 0; i < plan_.machines; ++i) region.fleet->add_up("g", region.zone, false);
-  auto with_elsewhere = s;
+  for (int i = 0; i < options_.machines; ++i) region.fleet->add_up("g", region.zone, false);
+  auto settings_with_guarantees = s;
   const auto regions = region_settings(index);
-  quotas::set_guarantees_elsewhere(with_elsewhere, regions);
-  for (size_t n = 0; n < plan_.controllers; ++n) {
-    Settings own = with_elsewhere;
-    own.controller_name = nodes[n].name;
+  quotas::set_guarantees_elsewhere(settings_with_guarantees, regions);
+  for (size_t n = 0; n < options_.controllers; ++n) {
+    Settings own = settings_with_guarantees;
+    own.controller_name = addresses[n].name;
     own.zone = region.zone;
-    own.listen = {nodes[n].host, api_port};
-    own.peer_listen = {nodes[n].host, peer_port};
-    for (size_t m = 0; m < plan_.controllers; ++m)
-      if (m != n) own.peers.push_back({nodes[m].name, region.zone, {nodes[m].host, peer_port}});
+    own.listen = {addresses[n].host, api_port};
+    own.peer_listen = {addresses[n].host, peer_port};
+    for (size_t m = 0; m < options_.controllers; ++m)
+      if (m != n)
+        own.peers.push_back({addresses[m].name, region.zone, {addresses[m].host, peer_port}});
     constexpr double clock_drift = 0.0005;
     region.controllers.push_back(std::make_unique<VirtualController>(
         world_, streams_, std::move(own), regions, 1 + (n % 2 == 1 ? clock_drift : 0)));
@@ -104,7 +107,7 @@
 void RegionCluster::submit(size_t region, const std::string& job, uint32_t tasks, double gpus,
                            double run_s, Priority priority) {
   JobSpec spec;
-  spec.id = job, spec.job_class = "c", spec.team = plan_.team.name;
+  spec.id = job, spec.job_class = "c", spec.team = options_.team.name;
   spec.kind = run_s > 0 ? JobKind::batch : JobKind::service;
   spec.priority = priority;
   spec.tasks = tasks, spec.cpus = 1, spec.gpus = gpus, spec.memory_gb = 1;
@@ -117,20 +120,21 @@
   send_submission(region, job, 0);
 }
 
-void RegionCluster::send_submission(size_t region, const std::string& job, size_t node) {
+void RegionCluster::send_submission(size_t region, const std::string& job,
+                                    size_t controller_index) {
   constexpr double timeout_s = 5, retry_s = 1;
   const double sent_at = world_.now();
   auto replied = std::make_shared<bool>(false);
-  auto next = [this, region, job, node] {
-    world_.in(retry_s, [this, region, job, node] {
-      send_submission(region, job, (node + 1) % plan_.controllers);
+  auto next = [this, region, job, controller_index] {
+    world_.in(retry_s, [this, region, job, controller_index] {
+      send_submission(region, job, (controller_index + 1) % options_.controllers);
     });
   };
   world_.in(timeout_s, [replied, next] {
     if (!std::exchange(*replied, true)) next();
   });
-  world_.ask(user_host, regions_[region].controllers[node]->host(), Method::post, "/api/jobs",
-             encode(submission_of(jobs_.at(job))),
+  world_.ask(user_host, regions_[region].controllers[controller_index]->host(), Method::post,
+             "/api/jobs", encode(submission_of(jobs_.at(job))),
              [this, region, job, sent_at, replied, next](const HttpReply& reply) {
                if (std::exchange(*replied, true)) return;
                regions_[region].fleet->rules().on_answer(job, reply.status, "queued", sent_at);
@@ -143,13 +147,14 @@
   send_cancellation(region, job, 0);
 }
 
-void RegionCluster::send_cancellation(size_t region, const std::string& job, size_t node) {
+void RegionCluster::send_cancellation(size_t region, const std::string& job,
+                                      size_t controller_index) {
   constexpr double retry_s = 1;
   auto done = std::make_shared<bool>(false);
-  world_.in(retry_s, [this, region, job, node, done] {
-    if (!*done) send_cancellation(region, job, (node + 1) % plan_.controllers);
+  world_.in(retry_s, [this, region, job, controller_index, done] {
+    if (!*done) send_cancellation(region, job, (controller_index + 1) % options_.controllers);
   });
-  world_.ask(user_host, regions_[region].controllers[node]->host(), Method::post,
+  world_.ask(user_host, regions_[region].controllers[controller_index]->host(), Method::post,
              "/api/jobs/" + job + "/cancel", {},
              [done](const HttpReply& reply) { *done = reply.status == 200; });
 }
@@ -230,7 +235,7 @@
 }
 
 double RegionCluster::quota_gpus(size_t region) const {
-  return amount_of(quota(region).available_units().gpus, plan_.team.gpus_max);
+  return amount_of(quota(region).available_units().gpus, options_.team.gpus_max);
 }
 
 uint64_t RegionCluster::gpu_units_in_transit() const {
@@ -272,7 +277,7 @@
   quotas_[region] = decode_quota(value);
   check_totals();
   if (used_gpus(region) > quota_gpus(region) + resource_tolerance &&
-      checked_limit_gpus_ >= plan_.team.gpus_max)
+      checked_limit_gpus_ >= options_.team.gpus_max)
     violations_.push_back(fmt::format("at {} s {} uses {} accelerators of a quota of {}",
                                       world_.now(), regions_[region].name, used_gpus(region),
                                       quota_gpus(region)));
@@ -300,7 +305,8 @@
 std::vector<std::string> RegionCluster::violations() const {
   auto out = violations_;
   for (auto& region : regions_)
-    for (auto& what : region.fleet->rules().violations()) out.push_back(region.name + ": " + what);
+    for (auto& violation : region.fleet->rules().violations())
+      out.push_back(region.name + ": " + violation);
   return out;
 }
 
--- a/tests/regions/region_cluster.hpp
+++ b/tests/regions/region_cluster.hpp
@@ -15,7 +15,7 @@
 namespace damsonport::simulation {
 
 /// Parameters of a simulated cluster of regions.
-struct ClusterPlan {
+struct ClusterOptions {
   size_t regions = 2;
   size_t controllers = 2;            // in each region
   int machines = 4;                  // in each region, of 8 accelerators and 64 CPUs
@@ -27,11 +27,11 @@
 /// Owns the simulated world, the regions and their controllers.
 class RegionCluster {
  public:
-  explicit RegionCluster(ClusterPlan plan);
+  explicit RegionCluster(ClusterOptions options);
 
   World& world() { return world_; }
   void run_until(double time) { world_.run_until(time); }
-  void at(double time, std::function<void()> what) { world_.at(time, std::move(what)); }
+  void at(double time, std::function<void()> action) { world_.at(time, std::move(action)); }
 
   // Submits a job of the team to a region. `gpus`: accelerators of each task. A `run_s` of 0 makes
   // the job a service.
@@ -79,7 +79,7 @@
   void set_limit(double gpus);
   // Sets the limit that use over all regions is checked against from now on.
   void check_limit(double gpus) { checked_limit_gpus_ = gpus; }
-  const ClusterPlan& plan() const { return plan_; }
+  const ClusterOptions& options() const { return options_; }
 
  private:
   struct RegionWorld {
@@ -91,13 +91,13 @@
   };
   void create_region(size_t index);
   RegionSettings region_settings(size_t own) const;
-  void send_submission(size_t region, const std::string& job, size_t node);
-  void send_cancellation(size_t region, const std::string& job, size_t node);
+  void send_submission(size_t region, const std::string& job, size_t controller_index);
+  void send_cancellation(size_t region, const std::string& job, size_t controller_index);
   void quota_changed(size_t region, const Json& value);
   void check_usage();
   void check_totals();
 
-  ClusterPlan plan_;
+  ClusterOptions options_;
   World world_;
   double checked_limit_gpus_;
   VirtualNetwork::Streams streams_;
--- a/tests/regions/regions_test.cpp
+++ b/tests/regions/regions_test.cpp
@@ -10,8 +10,8 @@
 constexpr double startup_end_s = 10;  // all controllers run and every quota record is written
 
 void expect_no_violations(const RegionCluster& cluster) {
-  for (auto& what : cluster.violations())
-    ADD_FAILURE() << "seed " << cluster.plan().seed << ": " << what;
+  for (auto& violation : cluster.violations())
+    ADD_FAILURE() << "seed " << cluster.options().seed << ": " << violation;
 }
 
 bool sent_quota(const QuotaRecord& before, const QuotaRecord& after) {
@@ -143,9 +143,9 @@
     RegionCluster cluster({.seed = seed});
     int crashes = 0;
     cluster.on_quota_change = [&](size_t region, auto& before, auto& after) {
-      const bool upon =
+      const bool matches =
           GetParam().after_send ? sent_quota(before, after) : received_quota(before, after);
-      if (!upon || crashes >= 3) return;
+      if (!matches || crashes >= 3) return;
       // Either the leader that committed, before it gets the response, or the other region's.
       const bool committer = GetParam().sender == GetParam().after_send;
       const size_t victim = committer ? region : 1 - region;
@@ -474,7 +474,9 @@
   const size_t region = below(3), other = (region + 1 + below(2)) % 3;
   const double duration_s = 2 + static_cast<double>(below(25));
   auto& state = cluster.state(region);
-  auto later = [&](std::function<void()> what) { cluster.world().in(duration_s, std::move(what)); };
+  auto later = [&](std::function<void()> violation) {
+    cluster.world().in(duration_s, std::move(violation));
+  };
   switch (below(9)) {
     case 0:
       return cluster.shard_leader(region).crash(duration_s);
