--- a/tests/regions/regions_test.cpp
+++ b/tests/regions/regions_test.cpp
@@ -474,8 +474,8 @@
   const size_t region = below(3), other = (region + 1 + below(2)) % 3;
   const double duration_s = 2 + static_cast<double>(below(25));
   auto& state = cluster.state(region);
-  auto later = [&](std::function<void()> violation) {
-    cluster.world().in(duration_s, std::move(violation));
+  auto later = [&](std::function<void()> action) {
+    cluster.world().in(duration_s, std::move(action));
   };
   switch (below(9)) {
     case 0:
