--- a/src/config/state_limits.hpp
+++ b/src/config/state_limits.hpp
@@ -27,10 +27,10 @@
   const StateLimits& present() const { return present_; }
   /// The smaller value of each limit. A request that fits these limits is accepted before and after
   /// the change.
-  const StateLimits& always() const { return always_; }
+  const StateLimits& minimum() const { return minimum_; }
 
  private:
-  StateLimits present_, always_;
+  StateLimits present_, minimum_;
 };
 
 }  // namespace damsonport
--- a/src/coordination/api/submission_batcher.cpp
+++ b/src/coordination/api/submission_batcher.cpp
@@ -46,7 +46,7 @@
 
 // Removes as many pending submissions from the queue as fit into one transaction, in their order.
 SubmissionBatcher::Batch SubmissionBatcher::take_batch() {
-  const auto max_writes = static_cast<size_t>(settings_.state_limits.always().txn_writes);
+  const auto max_writes = static_cast<size_t>(settings_.state_limits.minimum().txn_writes);
   auto& pending = queue_.entries();
   Batch batch;
   std::set<std::string> ids;
@@ -69,7 +69,7 @@
 // Returns a transaction that creates the records of the batch if none of the jobs is recorded or
 // has ended.
 Transaction SubmissionBatcher::transaction_for(const Batch& batch) const {
-  const uint32_t chunk = chunk_size(settings_.state_limits.always().value_kb);
+  const uint32_t chunk = chunk_size(settings_.state_limits.minimum().value_kb);
   Transaction transaction;
   for (auto* entry : batch) {
     const JobSpec& spec = entry->request;
--- a/src/coordination/api/user_api.cpp
+++ b/src/coordination/api/user_api.cpp
@@ -95,7 +95,7 @@
   }
   spec->accepted_at = loop_.wall();
   drop_unknown_machine_types(*spec, catalog_.types());
-  if (!job_record_fits(*spec, settings_.state_limits.always().value_kb))
+  if (!job_record_fits(*spec, settings_.state_limits.minimum().value_kb))
     co_return bad_request("the job's names are too long");
   co_return co_await record(std::move(*spec));
 }
--- a/src/coordination/api/version_confirmer.cpp
+++ b/src/coordination/api/version_confirmer.cpp
@@ -26,7 +26,7 @@
 VersionConfirmer::VersionConfirmer(Loop& loop, const Settings& settings, KeyValueClient& store)
     : loop_(loop),
       store_(store),
-      max_conditions_(static_cast<size_t>(settings.state_limits.always().txn_conditions())),
+      max_conditions_(static_cast<size_t>(settings.state_limits.minimum().txn_conditions())),
       queue_(loop) {}
 
 bool VersionConfirmer::is_full() const { return queue_.size() >= max_pending; }
--- a/src/coordination/autoscaling/scale_in.cpp
+++ b/src/coordination/autoscaling/scale_in.cpp
@@ -37,7 +37,7 @@
 }
 
 size_t ScaleIn::max_per_tombstone() const {
-  return machines_per_tombstone(deps_.settings.state_limits.always().value_kb);
+  return machines_per_tombstone(deps_.settings.state_limits.minimum().value_kb);
 }
 
 // Many machines can fail at once, and the tasks of each machine wait for its return. Their
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -75,7 +75,7 @@
 double watch_interval_s(const Settings& settings) {
   constexpr double watch_share = 0.2;
   constexpr double min_watches_per_s = 2.0;
-  const double share = settings.state_limits.always().requests_per_s / settings.controller_count;
+  const double share = settings.state_limits.minimum().requests_per_s / settings.controller_count;
   return 1.0 / std::max(share * watch_share, min_watches_per_s);
 }
 
--- a/src/coordination/leadership/exit_forwarder.cpp
+++ b/src/coordination/leadership/exit_forwarder.cpp
@@ -28,7 +28,7 @@
 // As many as fit into one value; the others follow when these are committed.
 ForwardedExits ExitForwarder::next_record() const {
   constexpr size_t separator_bytes = 1;
-  const double max_bytes = settings_.state_limits.always().value_bytes();
+  const double max_bytes = settings_.state_limits.minimum().value_bytes();
   ForwardedExits record{fencing_token_, {}};
   size_t bytes = stored_size(encode_forwarded_exits(record));
   for (auto& exit : exits_) {
--- a/src/coordination/scheduling/rechunker.hpp
+++ b/src/coordination/scheduling/rechunker.hpp
@@ -57,7 +57,7 @@
     uint64_t job_version = 0;                // it begins again if the job's record changes
     std::map<uint32_t, TaskChunk> to_write;  // chunks of the new layout, by number
   };
-  [[nodiscard]] const StateLimits& limits() const { return settings_.state_limits.always(); }
+  [[nodiscard]] const StateLimits& limits() const { return settings_.state_limits.minimum(); }
   [[nodiscard]] bool is_oversized(const Job& job) const;
   Task<bool> commit_new_chunks(std::string id, std::stop_token stop_token);
   Task<bool> commit_new_layout(std::string id, std::stop_token stop_token);
--- a/src/coordination/shard_leader/shard_leader.hpp
+++ b/src/coordination/shard_leader/shard_leader.hpp
@@ -158,7 +158,7 @@
   void finish_exits(const std::vector<TaskId>& tasks);
   Task<void> reread(std::vector<std::string> failed);
   // What every write has to fit.
-  const StateLimits& limits() const { return settings_.state_limits.always(); }
+  const StateLimits& limits() const { return settings_.state_limits.minimum(); }
   static bool is_over(const Job& job) { return job.cancelled ? job.live == 0 : job.finished(); }
 
   Task<StepResult> rechunk(std::stop_token stop_token);
--- a/src/storage/rate_limiter.cpp
+++ b/src/storage/rate_limiter.cpp
@@ -51,7 +51,7 @@
   refill();
   lowered_duration_s_ = std::clamp(lowered_duration_s_ * 2, initial_lowered_s, max_lowered_s);
   lowered_until_ = loop_.now() + lowered_duration_s_;
-  apply_limits(limits_.always());
+  apply_limits(limits_.minimum());
 }
 
 void RateLimiter::restore_present_limits() {
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -197,16 +197,16 @@
   ASSERT_TRUE(s) << s.error();
   EXPECT_EQ(s->gang_wait_s, 40);
   EXPECT_EQ(s->state_limits.present().value_kb, 16);
-  EXPECT_EQ(s->state_limits.always().value_kb, 2);
-  EXPECT_EQ(s->state_limits.always().txn_writes, 4);
-  EXPECT_EQ(s->state_limits.always().writes_per_s, 50) << "what is not announced stays";
+  EXPECT_EQ(s->state_limits.minimum().value_kb, 2);
+  EXPECT_EQ(s->state_limits.minimum().txn_writes, 4);
+  EXPECT_EQ(s->state_limits.minimum().writes_per_s, 50) << "what is not announced stays";
   // Limits that are raised don't help before they are.
   auto raised = parse_settings(settings_with("[deployment.state.next]\nvalue_kb = 64.0\n"));
   ASSERT_TRUE(raised);
-  EXPECT_EQ(raised->state_limits.always().value_kb, 16);
+  EXPECT_EQ(raised->state_limits.minimum().value_kb, 16);
   auto none = parse_settings(settings_with(""));
   ASSERT_TRUE(none);
-  EXPECT_EQ(none->state_limits.always().txn_writes, 12);
+  EXPECT_EQ(none->state_limits.minimum().txn_writes, 12);
 }
 
 TEST(Settings, AnnouncedLimitsInvalid_ErrorNamesThem) {
