--- a/src/coordination/quotas/quota_policy.hpp
+++ b/src/coordination/quotas/quota_policy.hpp
@@ -45,6 +45,7 @@
   uint64_t urgent = 0;  ///< for urgent work; included in `any`
   uint64_t any = 0;     ///< for any work
 };
+/// The deficit of the region's pending work.
 Deficit deficit(const QuotaState& quota_state);
 
 /// Quota units requested from one region, out of the surplus that the region announced.
@@ -67,7 +68,9 @@
 /// after half a period to a whole one. Times are in seconds.
 class RecentPeak {
  public:
+  /// Adds the value at the time `now`; `period_s` must be the same in all calls.
   void add_sample(uint64_t value, double now, double period_s);
+  /// The largest value of the period before the newest sample; 0 if there is no sample.
   uint64_t value() const { return current_ > previous_ ? current_ : previous_; }
 
  private:
--- a/src/coordination/replicas/replica_manager.hpp
+++ b/src/coordination/replicas/replica_manager.hpp
@@ -61,8 +61,8 @@
   std::set<std::string> machines_to_probe() const;
   /// Grants turns to replicas that wait for repair. Returns the jobs with such replicas.
   std::set<std::string> grant_repair_turns();
-  /// Whether the replica, or its missing parts, may be started now. Only the repair of a replica
-  /// that has no turn may not.
+  /// Whether the replica, or its missing parts, may be started now. True unless the replica waits
+  /// for repair and has no turn.
   bool may_start(const Job& job, TaskRange replica) const;
 
   /// The current status of all replicas.
@@ -89,7 +89,7 @@
     double ready_as_of = 0;  // last time for which readiness was proven
     RepairTimes repair;
     int failures = 0;             // consecutive attempts that ended with an error
-    uint64_t failed_attempt = 0;  // last failed attempt; 0: none
+    uint64_t failed_attempt = 0;  // last failed attempt; attempts count from 1
     bool moving = false;          // stopped to be moved, and not ready again yet
     RepairCandidate turn;
   };
--- a/tests/regions/region_cluster.hpp
+++ b/tests/regions/region_cluster.hpp
@@ -37,6 +37,7 @@
   // the job a service.
   void submit(size_t region, const std::string& job, uint32_t tasks, double gpus, double run_s,
               Priority priority = Priority::normal);
+  // Requests the cancellation of a job in its region.
   void cancel(size_t region, const std::string& job);
   // Number of the job's tasks that run in any region.
   int running(const std::string& job) const;
@@ -63,7 +64,9 @@
   void deliver(size_t region, const RegionMessage& message);
   std::string region_name(size_t region) const { return regions_[region].name; }
 
+  // The region's quota record as last written; empty before the first write.
   QuotaRecord quota(size_t region) const;
+  // The region's quota in accelerators.
   double quota_gpus(size_t region) const;
   // Accelerator quota units sent by one region and not yet received by another.
   uint64_t gpu_units_in_transit() const;
