--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -75,7 +75,7 @@
 double watch_interval_s(const Settings& settings) {
   constexpr double watch_share = 0.2;
   constexpr double min_watches_per_s = 2.0;
-  const double share = settings.state_limits.always().requests_per_s / settings.controller_count;
+  const double share = settings.state_limits.minimum().requests_per_s / settings.controller_count;
   return 1.0 / std::max(share * watch_share, min_watches_per_s);
 }
 
@@ -135,7 +135,7 @@
   peer_network_.on_cancelled = [this](const std::string& job) {
     shard_leader_.on_peer_cancellation(job);
   };
-  regions_.on_news = [this] { shard_leader_.on_quota_update(); };
+  regions_.on_records_due = [this] { shard_leader_.on_quota_update(); };
   cache_.events().on_assignment = [this](const std::string& machine, const Job& job,
                                          AssignmentChange change) {
     shard_leader_.assignment_changed(machine, job, change == AssignmentChange::added);
--- a/src/coordination/shard_leader/shard_leader.hpp
+++ b/src/coordination/shard_leader/shard_leader.hpp
@@ -190,7 +190,7 @@
   // Reads the keys anew whose preconditions failed.
   Task<void> reread_keys(std::vector<std::string> failed);
   // The limits that every write has to fit.
-  const StateLimits& limits() const { return settings_.state_limits.always(); }
+  const StateLimits& limits() const { return settings_.state_limits.minimum(); }
   // Whether the job's end may be committed: no task of it is left to run.
   static bool is_finalizable(const Job& job) {
     return job.cancelled ? job.live == 0 : job.finished();
--- a/src/coordination/shard_leader/shard_leader_commit.cpp
+++ b/src/coordination/shard_leader/shard_leader_commit.cpp
@@ -206,7 +206,7 @@
 }
 
 void ShardLeader::refresh_snapshot() {
-  for (auto& id : replicas_.offer_repairs())
+  for (auto& id : replicas_.grant_repair_turns())
     if (Job* job = cache_.job(id)) snapshot_builder_.mark_job_changed(*job);
   std::vector<SnapshotBuilder::BootingMachine> expected;
   autoscaler_.for_each_expected_machine([&](auto&, auto& booting, auto& type) {
--- a/src/coordination/shard_leader/shard_leader_heartbeats.cpp
+++ b/src/coordination/shard_leader/shard_leader_heartbeats.cpp
@@ -171,7 +171,8 @@
 // replica that may have been ready never becomes ready again under an attempt that has lost a part,
 // so the attempt is over.
 void ShardLeader::note_missing_parts(const Machine& m) {
-  if (!replicas_.any() || m.fencing_token < lease_.fencing_token() || !lease_.records_current())
+  if (!replicas_.has_replicas() || m.fencing_token < lease_.fencing_token() ||
+      !lease_.records_current())
     return;
   std::vector<std::pair<const Job*, TaskRange>> affected_replicas;
   for (auto& [assignment, attempt] : cache_.assignments_on(m.id)) {
