--- a/simulation/cloud.cpp
+++ b/simulation/cloud.cpp
@@ -44,7 +44,8 @@
   return true;
 }
 
-HttpReply Cloud::handle(Method method, const std::string& target, const std::string& body) {
+HttpClientResponse Cloud::handle(Method method, const std::string& target,
+                                 const std::string& body) {
   if (!take_call()) return {429, {}};
   if (outage_) return {503, encode({{"error", "trouble"}})};
   if (target == "/catalog") return catalog();
@@ -54,7 +55,7 @@
   return rent_machines(request);
 }
 
-HttpReply Cloud::catalog() const {
+HttpClientResponse Cloud::catalog() const {
   Json types = Json::array();
   for (auto& type : machine_types_)
     types.push_back({{"name", type.name},
@@ -70,7 +71,7 @@
   return {200, encode({{"hulls", std::move(types)}})};
 }
 
-HttpReply Cloud::list(const std::string& target) {
+HttpClientResponse Cloud::list(const std::string& target) {
   const auto query = query_of(target);
   const auto limit = field_of(query, "limit");
   const size_t most = limit.empty() ? page_size_ : std::min<size_t>(page_size_, std::stoul(limit));
@@ -108,7 +109,7 @@
   return {{"vessels", std::move(shown)}, {"more", more}};
 }
 
-HttpReply Cloud::return_machines(const Json& request) {
+HttpClientResponse Cloud::return_machines(const Json& request) {
   for (auto& name : request.at("vessels")) {
     const std::string id = name;
     if (auto* worker = fleet_.find(id)) {
@@ -120,7 +121,7 @@
   return {200, encode(Json::object())};
 }
 
-HttpReply Cloud::rent_machines(const Json& request) {
+HttpClientResponse Cloud::rent_machines(const Json& request) {
   const std::string key = request.at("charter");
   if (answered_requests_.contains(key)) return {200, encode(answered_requests_[key])};
   const int count =
--- a/simulation/cloud.hpp
+++ b/simulation/cloud.hpp
@@ -56,11 +56,11 @@
     double taken_at;
     Json machines;
   };
-  HttpReply handle(Method method, const std::string& target, const std::string& body);
-  HttpReply catalog() const;
-  HttpReply list(const std::string& target);
-  HttpReply return_machines(const Json& request);
-  HttpReply rent_machines(const Json& request);
+  HttpClientResponse handle(Method method, const std::string& target, const std::string& body);
+  HttpClientResponse catalog() const;
+  HttpClientResponse list(const std::string& target);
+  HttpClientResponse return_machines(const Json& request);
+  HttpClientResponse rent_machines(const Json& request);
   void boot(const std::string& id, const std::string& type);
   /// Takes one call from the rate limit; false: the limit is reached.
   bool take_call();
--- a/simulation/gang_runs.cpp
+++ b/simulation/gang_runs.cpp
@@ -86,7 +86,7 @@
   if (!run) return;
   fall_back(id, *run);
   const double notice_s = fleet_.settings.gang_peer_s * world_.uniform(0.4, 1.0);
-  world_.in(notice_s, [this, id] { end_tasks(id, ExitCause::peers, false); });
+  world_.in(notice_s, [this, id] { end_tasks(id, ExitCause::gang_member_lost, false); });
 }
 
 void GangRuns::end_tasks(const RunId& id, ExitCause cause, bool saved) {
@@ -120,7 +120,7 @@
   Run& run = runs_[id];
   if (run.has_ended || run.stopped.size() >= spec(id.job).tasks) return;
   fall_back(id, run);
-  end_tasks(id, ExitCause::peers, false);
+  end_tasks(id, ExitCause::gang_member_lost, false);
 }
 
 void GangRuns::save(const RunId& id) {
--- a/simulation/key_value_store.cpp
+++ b/simulation/key_value_store.cpp
@@ -168,7 +168,7 @@
   answer({400, {}});
 }
 
-HttpReply KeyValueStore::get(const std::string& key) const {
+HttpClientResponse KeyValueStore::get(const std::string& key) const {
   auto record = records_.find(key);
   if (record == records_.end()) return {404, encode({{"ledger", revision_}})};
   auto lease = lease_of_.find(key);
@@ -178,7 +178,7 @@
                        {"permit", lease == lease_of_.end() ? 0 : lease->second}})};
 }
 
-HttpReply KeyValueStore::list(const Query& query) const {
+HttpClientResponse KeyValueStore::list(const Query& query) const {
   const auto prefix = field_of(query, "starts");
   const auto since = field_of(query, "since");
   const auto limit_text = field_of(query, "limit");
@@ -214,14 +214,14 @@
   if (it != watches_.end() && answer_watch(*it, WatchAnswer::always)) watches_.erase(it);
 }
 
-HttpReply KeyValueStore::grant_lease(const Json& request) {
+HttpClientResponse KeyValueStore::grant_lease(const Json& request) {
   const uint64_t id = next_lease_++;
   leases_[id].duration_s = request.value("life_ms", 1000) / 1000.0;
   renew_lease(id);
   return {200, encode({{"permit", id}})};
 }
 
-HttpReply KeyValueStore::change_lease(Method method, uint64_t id) {
+HttpClientResponse KeyValueStore::change_lease(Method method, uint64_t id) {
   if (!leases_.contains(id)) return {404, {}};
   if (method == Method::del) {
     end_lease(id);
@@ -248,7 +248,7 @@
   answer(std::move(reply));
 }
 
-HttpReply KeyValueStore::refuse_for_size() {
+HttpClientResponse KeyValueStore::refuse_for_size() {
   ++refused_for_size_;
   return {400, encode({{"error", "too large"}})};
 }
@@ -260,12 +260,12 @@
          transaction.dump().size() > max_transaction_bytes;
 }
 
-std::optional<HttpReply> KeyValueStore::check_write(const Json& write) {
+std::optional<HttpClientResponse> KeyValueStore::check_write(const Json& write) {
   if (!write.contains("set")) return std::nullopt;
   if (static_cast<double>(write["data"].dump().size()) > limits_.value_bytes())
     return refuse_for_size();
   if (write.contains("permit") && !leases_.contains(lease_of_write(write)))
-    return HttpReply{400, encode({{"error", "no such lease"}})};
+    return HttpClientResponse{400, encode({{"error", "no such lease"}})};
   return std::nullopt;
 }
 
@@ -295,7 +295,7 @@
   answer_watches();
 }
 
-HttpReply KeyValueStore::apply(const Json& transaction) {
+HttpClientResponse KeyValueStore::apply(const Json& transaction) {
   const Json none = Json::array();
   const Json& writes = transaction.contains("writes") ? transaction["writes"] : none;
   const Json& conditions = transaction.contains("if") ? transaction["if"] : none;
--- a/simulation/key_value_store.hpp
+++ b/simulation/key_value_store.hpp
@@ -80,18 +80,18 @@
   // --- requests
   void handle(const std::string& from, Method method, const std::string& target,
               const std::string& body, const World::Answer& answer);
-  HttpReply get(const std::string& key) const;
-  HttpReply list(const Query& query) const;
+  HttpClientResponse get(const std::string& key) const;
+  HttpClientResponse list(const Query& query) const;
   void watch(const std::string& from, const Query& query, const World::Answer& answer);
   void on_watch_timeout(uint64_t id);
-  HttpReply grant_lease(const Json& request);
-  HttpReply change_lease(Method method, uint64_t id);
+  HttpClientResponse grant_lease(const Json& request);
+  HttpClientResponse change_lease(Method method, uint64_t id);
   void transact(const std::string& from, const std::string& body, const World::Answer& answer);
-  HttpReply apply(const Json& transaction);
+  HttpClientResponse apply(const Json& transaction);
   bool exceeds_limits(const Json& transaction, const Json& conditions, const Json& writes) const;
   /// Empty: the write is allowed, if the conditions hold.
-  std::optional<HttpReply> check_write(const Json& write);
-  HttpReply refuse_for_size();
+  std::optional<HttpClientResponse> check_write(const Json& write);
+  HttpClientResponse refuse_for_size();
   Json failed_conditions(const Json& conditions) const;
   void apply_writes(const Json& writes);
 
--- a/simulation/virtual_network.cpp
+++ b/simulation/virtual_network.cpp
@@ -7,7 +7,7 @@
 namespace {
 class VirtualTimer : public Timer {
  public:
-  VirtualTimer(VirtualLoop& loop, Fire fire, void* argument)
+  VirtualTimer(VirtualLoop& loop, Callback fire, void* argument)
       : loop_(loop), fire_(fire), argument_(argument) {}
   ~VirtualTimer() override { disarm(); }
   void arm(double seconds) override {
@@ -32,7 +32,7 @@
     fire_(argument_);  // may destroy the timer
   }
   VirtualLoop& loop_;
-  Fire fire_;
+  Callback fire_;
   void* argument_;
   World::EventId event_;
   bool armed_ = false;
@@ -43,15 +43,15 @@
   VirtualClient(VirtualLoop& loop, std::string host, std::shared_ptr<bool> alive)
       : loop_(loop), host_(std::move(host)), alive_(std::move(alive)) {}
 
-  Task<HttpReply> request(Endpoint to, Method method, std::string target, std::string body,
-                          double timeout_s) override {
+  Task<HttpClientResponse> request(Endpoint to, Method method, std::string target, std::string body,
+                                   double timeout_s) override {
     auto exchange = std::make_shared<Exchange>();
     auto& world = loop_.world();
     if (!*alive_) {
       timeout_s = 0;
     } else {
       world.ask(host_, to.host, method, std::move(target), std::move(body),
-                [exchange, &loop = loop_, alive = alive_](HttpReply reply) {
+                [exchange, &loop = loop_, alive = alive_](HttpClientResponse reply) {
                   if (!*alive) return;
                   loop.when_awake([exchange, &loop, alive, reply = std::move(reply)] {
                     if (!*alive || exchange->done) return;
@@ -67,15 +67,15 @@
     co_await wait;
     co_return std::move(exchange->reply);
   }
-  void trim(double) override {}
-  void bound_idle(std::function<size_t()>) override {}
-  size_t in_use() const override { return 0; }
-  size_t idle() const override { return 0; }
+  void close_idle_connections(double) override {}
+  void set_idle_limit(std::function<size_t()>) override {}
+  size_t requests_in_progress() const override { return 0; }
+  size_t idle_connections() const override { return 0; }
 
  private:
   struct Exchange {
     std::coroutine_handle<> waiter;
-    HttpReply reply;
+    HttpClientResponse reply;
     bool done = false;
     World::EventId expiry;
   };
@@ -132,8 +132,8 @@
     return true;
   }
   uint16_t port() const override { return 0; }
-  void tidy() override {}
-  size_t open() const override { return 0; }
+  void resume_accepting() override {}
+  size_t open_connections() const override { return 0; }
 
  private:
   // When the connection that `from` names was last answered; 0: it names none, or it never was.
@@ -192,7 +192,7 @@
   world_.at(stalled_until_, [this, action = std::move(action)] { when_awake(action); });
 }
 
-std::unique_ptr<Timer> VirtualLoop::timer(Timer::Fire fire, void* argument) {
+std::unique_ptr<Timer> VirtualLoop::timer(Timer::Callback fire, void* argument) {
   return std::make_unique<VirtualTimer>(*this, fire, argument);
 }
 
--- a/simulation/virtual_network.hpp
+++ b/simulation/virtual_network.hpp
@@ -18,8 +18,8 @@
   VirtualLoop(World& world, std::string name, std::seed_seq&& seed, double rate, double wall_off)
       : Loop(seed), world_(world), name_(std::move(name)), rate_(rate), wall_off_(wall_off) {}
   double now() const override { return 1000 + world_.now() * rate_; }
-  double wall() const override { return 1.7e9 + world_.now() + wall_off_; }
-  std::unique_ptr<Timer> timer(Timer::Fire fire, void* argument) override;
+  double unix_time() const override { return 1.7e9 + world_.now() + wall_off_; }
+  std::unique_ptr<Timer> timer(Timer::Callback fire, void* argument) override;
   double rate() const { return rate_; }
   World& world() { return world_; }
   /// Names this controller in the log lines that follow.
@@ -32,7 +32,7 @@
   void when_awake(std::function<void()> action);
 
  private:
-  void ended() override {}
+  void on_tasks_ended() override {}
   World& world_;
   std::string name_;
   double rate_;
--- a/simulation/worker.cpp
+++ b/simulation/worker.cpp
@@ -123,7 +123,7 @@
   if (mute) return;
   world_.ask(connection(), fleet_.controllers[controller_].host, Method::post, "/hello",
              std::move(body),
-             [this, number, agent_epoch, sent_at, timeout](const HttpReply& reply) {
+             [this, number, agent_epoch, sent_at, timeout](const HttpClientResponse& reply) {
                if (gone || deaf || is_hung() || number != heartbeat_number_ || !awaits_answer_)
                  return;
                world_.cancel(timeout);
@@ -195,7 +195,7 @@
 
 void Worker::repeat_kept_heartbeat(const std::string& controller_host) {
   world_.ask(host, controller_host, Method::post, "/hello", kept_heartbeat_,
-             [](const HttpReply&) {});
+             [](const HttpClientResponse&) {});
 }
 
 }  // namespace damsonport::simulation
--- a/simulation/worker_tasks.cpp
+++ b/simulation/worker_tasks.cpp
@@ -89,13 +89,13 @@
   task.report.task = attempt.task;
   task.report.attempt = attempt.number;
   const JobSpec* spec = fleet_.rules().spec(attempt.task.job);
-  if (!spec) return exit(task, ExitCause::unknown);
+  if (!spec) return exit(task, ExitCause::not_found);
   const bool has_other_attempt = std::any_of(tasks_.begin(), tasks_.end(), [&](auto& entry) {
     return entry.first.task == attempt.task && entry.first != attempt &&
            entry.second.report.state != TaskState::exited;
   });
-  if (has_other_attempt) return exit(task, ExitCause::busy);
-  if (!has_room_for_all_tasks()) return exit(task, ExitCause::no_room);
+  if (has_other_attempt) return exit(task, ExitCause::other_attempt_running);
+  if (!has_room_for_all_tasks()) return exit(task, ExitCause::insufficient_resources);
   task.report.state = TaskState::fetching;
   set_timer(task, image_fetch_s(*spec),
             [this, attempt](RunningTask&) { on_image_fetched(attempt); });
@@ -129,7 +129,7 @@
   RunningTask& task = tasks_.at(attempt);
   task.report.state = TaskState::waiting;
   set_timer(task, fleet_.settings.gang_wait_s,
-            [this](RunningTask& alone) { exit(alone, ExitCause::alone); });
+            [this](RunningTask& alone) { exit(alone, ExitCause::gang_incomplete); });
   on_change();
   fleet_.gangs().on_task_ready(attempt);
 }
--- a/simulation/world.cpp
+++ b/simulation/world.cpp
@@ -69,7 +69,7 @@
   report_traffic(from, to, std::to_string(static_cast<int>(method)) + " " + target, body);
   send(host, to,
        [this, from, host, to, method, target = std::move(target), body = std::move(body), answer] {
-         Answer respond = [this, host, to, answer](const HttpReply& reply) {
+         Answer respond = [this, host, to, answer](const HttpClientResponse& reply) {
            report_traffic(to, host, std::to_string(reply.status), reply.body);
            send(to, host, [answer, reply] { answer(reply); });
          };
--- a/simulation/world.hpp
+++ b/simulation/world.hpp
@@ -57,7 +57,7 @@
 
   // --- the network between hosts, which are named by their address
 
-  using Answer = std::function<void(HttpReply)>;
+  using Answer = std::function<void(HttpClientResponse)>;
   using Serve =
       std::function<void(const std::string& from, Method method, const std::string& target,
                          const std::string& body, Answer answer)>;
--- a/src/coordination/api/user_api.cpp
+++ b/src/coordination/api/user_api.cpp
@@ -93,7 +93,7 @@
     demand_.note_rejection();
     co_return too_many_requests(*retry_after_s);
   }
-  spec->accepted_at = loop_.wall();
+  spec->accepted_at = loop_.unix_time();
   drop_unknown_machine_types(*spec, catalog_.types());
   if (!job_record_fits(*spec, settings_.state_limits.always().value_kb))
     co_return bad_request("the job's names are too long");
@@ -177,7 +177,7 @@
   Transaction transaction;
   transaction.preconditions[keys::job(id)] = record.version;
   record.value[fields::cancelled] = 1;
-  record.value[fields::cancelled_at] = loop_.wall();
+  record.value[fields::cancelled_at] = loop_.unix_time();
   transaction.writes.push_back({keys::job(id), std::move(record.value), 0});
   auto writes = transaction.writes;
   const auto result =
--- a/src/coordination/autoscaling/autoscaler_driver.cpp
+++ b/src/coordination/autoscaling/autoscaler_driver.cpp
@@ -101,7 +101,7 @@
   for (auto& [id, job] : deps_.cache.jobs()) {
     auto& spec = job->spec;
     if (spec.spot) continue;
-    const double age_s = deps_.loop.wall() - spec.accepted_at;
+    const double age_s = deps_.loop.unix_time() - spec.accepted_at;
     if (spec.gpus > 0) {
       gpus.push_back({age_s, spec.gpus * spec.tasks});
     } else {
--- a/src/coordination/autoscaling/machine_type_catalog.cpp
+++ b/src/coordination/autoscaling/machine_type_catalog.cpp
@@ -33,7 +33,7 @@
       types_ = std::move(*types);
     } else if (!loaded()) {
       const std::string reason = types ? "it is empty" : types.error();
-      if (auto times = warning_.note(reason, loop_.now()))
+      if (auto times = warning_.record(reason, loop_.now()))
         spdlog::warn("machine type catalogue not available yet: {} ({} times)", reason, *times);
     }
     const double delay_s = loaded() ? refresh_s : 1.0 / settings_.cloud_rps + retry_margin_s;
--- a/src/coordination/autoscaling/scale_in.cpp
+++ b/src/coordination/autoscaling/scale_in.cpp
@@ -118,7 +118,7 @@
   for (auto& machine : machines) tracker_.begin_return_call(machine);
   const auto fencing_token = fencing_token_;
   auto reply = co_await deps_.http.request(deps_.settings.cloud, Method::post, "/hosts/return",
-                                           encode_return(machines), cloud_timeout_s);
+                                           encode_return_request(machines), cloud_timeout_s);
   if (fencing_token != fencing_token_) co_return false;
   for (auto& machine : machines) tracker_.end_return_call(machine);
   if (reply.status != 200) co_return false;
--- a/src/coordination/autoscaling/scale_out_requests.cpp
+++ b/src/coordination/autoscaling/scale_out_requests.cpp
@@ -34,7 +34,7 @@
 
 /// Whether the reply states the outcome of the request. After any other reply, or none, the cloud
 /// may or may not have created the machines.
-bool is_final_reply(const HttpReply& reply) {
+bool is_final_reply(const HttpClientResponse& reply) {
   if (reply.status == 200 || reply.status == 400) return true;
   if (reply.status != 503) return false;
   auto body = decode_map(reply.body);
@@ -134,10 +134,10 @@
   co_return true;
 }
 
-Task<HttpReply> ScaleOutRequests::send_with_retries(const ScaleOutRequest& request,
-                                                    std::stop_token stop_token) {
+Task<HttpClientResponse> ScaleOutRequests::send_with_retries(const ScaleOutRequest& request,
+                                                             std::stop_token stop_token) {
   const auto fencing_token = fencing_token_;
-  HttpReply reply;
+  HttpClientResponse reply;
   for (int retries = 0; fencing_token == fencing_token_ && !stop_token.stop_requested();
        ++retries) {
     reply = co_await http_.request(settings_.cloud, Method::post, "/hosts",
@@ -150,7 +150,8 @@
   co_return reply;
 }
 
-void ScaleOutRequests::apply_reply(const ScaleOutRequest& request, const HttpReply& reply) {
+void ScaleOutRequests::apply_reply(const ScaleOutRequest& request,
+                                   const HttpClientResponse& reply) {
   const auto kind = kind_of(request);
   std::vector<std::string> machines;
   if (reply.status == 200) {
--- a/src/coordination/autoscaling/scale_out_requests.hpp
+++ b/src/coordination/autoscaling/scale_out_requests.hpp
@@ -61,8 +61,9 @@
   Task<void> run_request(ScaleOutRequest request, std::stop_token stop_token);
   Task<void> send_and_record(ScaleOutRequest request, std::stop_token stop_token);
   Task<bool> commit_request(const ScaleOutRequest& request);
-  Task<HttpReply> send_with_retries(const ScaleOutRequest& request, std::stop_token stop_token);
-  void apply_reply(const ScaleOutRequest& request, const HttpReply& reply);
+  Task<HttpClientResponse> send_with_retries(const ScaleOutRequest& request,
+                                             std::stop_token stop_token);
+  void apply_reply(const ScaleOutRequest& request, const HttpClientResponse& reply);
   Task<void> remove_record(std::string id);
 
   Loop& loop_;
--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -123,7 +123,7 @@
 }
 
 void Controller::connect_callbacks() {
-  http_->bound_idle([this] { return max_idle_connections(); });
+  http_->set_idle_limit([this] { return max_idle_connections(); });
   cache_.events().on_change = [this](Job* job) {
     // This controller wrote or read a version that is newer than the revision of the watch, so the
     // other controllers may not know of the cancellation yet.
@@ -150,7 +150,7 @@
 // users, the requests in progress and the reserved sockets.
 size_t Controller::max_idle_connections() const {
   const auto all = static_cast<size_t>(settings_.max_sockets);
-  const auto taken = server_->open() + http_->in_use() + reserved_sockets;
+  const auto taken = server_->open_connections() + http_->requests_in_progress() + reserved_sockets;
   return std::max(all > taken ? all - taken : 0, min_idle_connections);
 }
 
@@ -204,10 +204,10 @@
   heartbeat.controller = settings_.controller_name;
   heartbeat.incarnation = incarnation_;
   heartbeat.state_age_ms = static_cast<uint64_t>(state_age_s * 1000);
-  heartbeat.waiting = shard_leader_.pending_tasks();
-  heartbeat.loaded = cache_.loaded();
+  heartbeat.pending_tasks = shard_leader_.pending_tasks();
+  heartbeat.records_loaded = cache_.loaded();
   heartbeat.misrouted_machines = shard_leader_.misrouted_machines();
-  heartbeat.writes = static_cast<uint64_t>(std::ceil(wanted_writes()));
+  heartbeat.writes_per_s = static_cast<uint64_t>(std::ceil(wanted_writes()));
   heartbeat.fencing_token = shard_leader_.fencing_token();
   return heartbeat;
 }
@@ -241,10 +241,11 @@
     divide_store_limits();
     cancellations_.forget_received_before(cache_.as_of());
     api_.begin_demand_period();
-    http_->trim(idle_connection_s);
-    server_->tidy();
-    spdlog::debug("connections: {} of users and workers, {} requests, {} idle", server_->open(),
-                  http_->in_use(), http_->idle());
+    http_->close_idle_connections(idle_connection_s);
+    server_->resume_accepting();
+    spdlog::debug("connections: {} of users and workers, {} requests, {} idle",
+                  server_->open_connections(), http_->requests_in_progress(),
+                  http_->idle_connections());
     if (!co_await Sleep(loop_, interval_s, stop_token)) co_return;
   }
 }
@@ -265,7 +266,8 @@
   const auto requester = requester_of(request.path);
   auto response = co_await dispatch(std::move(request));
   response.close = closes_after_answer(
-      requester, {server_->open(), max_connections(settings_), shard_leader_.fleet_size()});
+      requester,
+      {server_->open_connections(), max_connections(settings_), shard_leader_.fleet_size()});
   co_return response;
 }
 
--- a/src/coordination/leadership/cancellation_gossip.cpp
+++ b/src/coordination/leadership/cancellation_gossip.cpp
@@ -46,21 +46,21 @@
 void CancellationGossip::add_to(PeerHeartbeat& heartbeat, const std::string& peer_name,
                                 double now) const {
   heartbeat.sent_ms = to_ms(now);
-  heartbeat.last = last_number_;
-  heartbeat.upto = last_number_;
+  heartbeat.newest_number = last_number_;
+  heartbeat.listed_upto = last_number_;
   auto it = peers_.find(peer_name);
   if (it == peers_.end()) return;
   const Peer& peer = it->second;
   heartbeat.echo_incarnation = peer.newest_incarnation;
   heartbeat.echo_ms = peer.newest_sent_ms;
-  heartbeat.have = peer.received_upto;
-  heartbeat.from = peer.acknowledged_upto;
+  heartbeat.received_upto = peer.received_upto;
+  heartbeat.listed_after = peer.acknowledged_upto;
   size_t bytes = 0;
   for (auto next = known_.upper_bound(peer.acknowledged_upto); next != known_.end(); ++next) {
     const auto& [number, cancellation] = *next;
     bytes += cancellation.job.size() + entry_overhead_bytes;
     if (heartbeat.cancelled.size() == max_entries || bytes > max_bytes) {
-      heartbeat.upto = number - 1;
+      heartbeat.listed_upto = number - 1;
       break;
     }
     const double age_s = std::min(now - cancellation.since, max_age_s);
@@ -96,7 +96,7 @@
   peer.newest_incarnation = heartbeat.incarnation;
   peer.newest_sent_ms = heartbeat.sent_ms;
   // As it says, also when that is less than before: it may have restarted.
-  if (echoed) peer.acknowledged_upto = std::min(heartbeat.have, last_number_);
+  if (echoed) peer.acknowledged_upto = std::min(heartbeat.received_upto, last_number_);
 }
 
 std::vector<std::string> CancellationGossip::take_cancellations(const PeerHeartbeat& heartbeat,
@@ -124,16 +124,16 @@
   if (!follow_incarnation(peer, heartbeat, echoed)) return result;
   note_acknowledgement(peer, heartbeat, echoed);
   result.new_jobs = take_cancellations(heartbeat, std::min(echoed.value_or(now), now), now);
-  if (peer.received_upto >= heartbeat.from)
-    peer.received_upto = std::max(peer.received_upto, heartbeat.upto);
+  if (peer.received_upto >= heartbeat.listed_after)
+    peer.received_upto = std::max(peer.received_upto, heartbeat.listed_upto);
   // Before it has loaded the records, the peer knows nothing of what its earlier incarnations sent.
   // Afterwards it knows all of that, since they sent only what stood in the records.
-  if (echoed && heartbeat.loaded && peer.received_upto >= heartbeat.last)
+  if (echoed && heartbeat.records_loaded && peer.received_upto >= heartbeat.newest_number)
     peer.watermark = std::max(peer.watermark, *echoed);
   const bool peer_waits_for_more =
       peer.acknowledged_upto > acknowledged_before && peer.acknowledged_upto < last_number_;
   const bool more_follows =
-      peer.received_upto > received_before && peer.received_upto < heartbeat.last;
+      peer.received_upto > received_before && peer.received_upto < heartbeat.newest_number;
   result.answer_at_once = peer_waits_for_more || more_follows;
   return result;
 }
--- a/src/coordination/leadership/peer_network.cpp
+++ b/src/coordination/leadership/peer_network.cpp
@@ -41,8 +41,8 @@
     size_t size = 0;
     const auto framed =
         decode_peer_heartbeat(bytes.substr(static_cast<size_t>(used)), heartbeat, size);
-    if (framed == Framed::bad) return bad_bytes;
-    if (framed == Framed::partial) return used;
+    if (framed == FrameStatus::malformed) return bad_bytes;
+    if (framed == FrameStatus::incomplete) return used;
     used += static_cast<long>(size);
     take(std::move(heartbeat));
   }
@@ -98,7 +98,7 @@
 
 uint64_t PeerNetwork::wanted_writes() const {
   uint64_t sum = 0;
-  for_each_live([&](auto&, const PeerHeartbeat& heartbeat) { sum += heartbeat.writes; });
+  for_each_live([&](auto&, const PeerHeartbeat& heartbeat) { sum += heartbeat.writes_per_s; });
   return sum;
 }
 
--- a/src/coordination/machines/command_dispatcher.cpp
+++ b/src/coordination/machines/command_dispatcher.cpp
@@ -44,10 +44,10 @@
   return commands;
 }
 
-Task<HttpReply> CommandDispatcher::post_commands(std::string address, uint64_t agent_epoch,
-                                                 std::vector<Command> commands) {
+Task<HttpClientResponse> CommandDispatcher::post_commands(std::string address, uint64_t agent_epoch,
+                                                          std::vector<Command> commands) {
   Endpoint endpoint;
-  if (!parse_endpoint(address, endpoint)) co_return HttpReply{};
+  if (!parse_endpoint(address, endpoint)) co_return HttpClientResponse{};
   co_return co_await http_.request(
       endpoint, Method::post, "/commands",
       encode_direct_commands(callbacks_.fencing_token(), agent_epoch, commands),
@@ -70,7 +70,7 @@
     const uint64_t agent_epoch = machine->agent_epoch;
     const uint64_t fencing_token = callbacks_.fencing_token();
     const double requested_at = loop_.now();
-    const HttpReply reply =
+    const HttpClientResponse reply =
         co_await post_commands(machine->address, agent_epoch, std::move(commands));
     machine = callbacks_.find_machine(machine_id);
     if (!machine || fencing_token != callbacks_.fencing_token()) co_return;
@@ -98,7 +98,7 @@
                 machine.failed_sends);
 }
 
-void CommandDispatcher::handle_response(Machine& machine, const HttpReply& reply,
+void CommandDispatcher::handle_response(Machine& machine, const HttpClientResponse& reply,
                                         double requested_at) {
   machine.failed_sends = 0;
   const auto status = decode_heartbeat(decode_map(reply.body));
@@ -123,7 +123,7 @@
   const uint64_t fencing_token = callbacks_.fencing_token();
   const double requested_at = loop_.now();
   probes_in_progress_.insert(machine_id);
-  const HttpReply reply =
+  const HttpClientResponse reply =
       co_await http_.request(endpoint, Method::get, "/show", {}, settings_.heartbeat_interval_s);
   probes_in_progress_.erase(machine_id);
   machine = callbacks_.find_machine(machine_id);
--- a/src/coordination/machines/command_dispatcher.hpp
+++ b/src/coordination/machines/command_dispatcher.hpp
@@ -89,10 +89,10 @@
   Task<void> send_until_empty(std::string machine_id);
   /// Removes the machine's pending commands and returns those that are still needed.
   std::vector<Command> take_needed_commands(Machine& machine) const;
-  Task<HttpReply> post_commands(std::string address, uint64_t agent_epoch,
-                                std::vector<Command> commands);
+  Task<HttpClientResponse> post_commands(std::string address, uint64_t agent_epoch,
+                                         std::vector<Command> commands);
   void handle_missing_response(Machine& machine);
-  void handle_response(Machine& machine, const HttpReply& reply, double requested_at);
+  void handle_response(Machine& machine, const HttpClientResponse& reply, double requested_at);
   Task<void> probe(std::string machine_id);
 
   Loop& loop_;
--- a/src/coordination/machines/orphan_cleanup.cpp
+++ b/src/coordination/machines/orphan_cleanup.cpp
@@ -105,8 +105,8 @@
     std::vector<std::string> batch(unreachable.begin() + static_cast<long>(i),
                                    unreachable.begin() + static_cast<long>(end));
     spdlog::warn("returning {} machines out of reach that may keep cancelled tasks", batch.size());
-    co_await http_.request(settings_.cloud, Method::post, "/hosts/return", encode_return(batch),
-                           return_timeout_s);
+    co_await http_.request(settings_.cloud, Method::post, "/hosts/return",
+                           encode_return_request(batch), return_timeout_s);
   }
 }
 
--- a/src/coordination/quotas/initial_units.cpp
+++ b/src/coordination/quotas/initial_units.cpp
@@ -20,8 +20,8 @@
   for (auto& region : regions) shares += region.share;
   // Differences of rounded cumulative sums, so that together they are all units. The quotient and
   // the remainder are multiplied apart, since the product with all units may exceed 64 bits.
-  const uint64_t quotient = all_quota_units / shares;
-  const uint64_t remainder = all_quota_units % shares;
+  const uint64_t quotient = total_quota_units / shares;
+  const uint64_t remainder = total_quota_units % shares;
   std::vector<uint64_t> units;
   uint64_t sum = 0;
   uint64_t before = 0;
--- a/src/coordination/quotas/initial_units.hpp
+++ b/src/coordination/quotas/initial_units.hpp
@@ -9,7 +9,7 @@
 namespace damsonport::quotas {
 
 /// The quota units of a limit that each region starts with, by the order of the regions file;
-/// together `all_quota_units` exactly. They depend on the shares alone, since regions may write
+/// together `total_quota_units` exactly. They depend on the shares alone, since regions may write
 /// their first records under different limits.
 std::vector<uint64_t> initial_units(const std::vector<Region>& regions);
 
--- a/src/coordination/quotas/quota_policy.cpp
+++ b/src/coordination/quotas/quota_policy.cpp
@@ -11,7 +11,8 @@
 
 /// Units beyond `kept`, what is used and what is guaranteed.
 uint64_t surplus_beyond(const Standing& standing, uint64_t kept) {
-  return excess(standing.quota, std::max({kept, standing.used, standing.guaranteed}));
+  return saturating_difference(standing.quota,
+                               std::max({kept, standing.used, standing.guaranteed}));
 }
 
 /// Adds to each region's request what it can cover of `wanted`, those with the largest surplus
@@ -35,13 +36,14 @@
   const uint64_t for_urgent = surplus_beyond(s, s.used + s.urgent_need);
   uint64_t for_any = surplus_beyond(s, std::max(s.used + s.need, s.recent_peak));
   // Too little to start anything here, and elsewhere it may be enough.
-  if (defers && s.smallest_need && excess(s.quota, s.used) < *s.smallest_need)
+  if (defers && s.smallest_need && saturating_difference(s.quota, s.used) < *s.smallest_need)
     for_any = surplus_beyond(s, s.used);
   return {std::max(for_urgent, for_any), for_any};
 }
 
 Deficit deficit(const Standing& s) {
-  return {excess(s.used + s.urgent_need, s.quota), excess(s.used + s.need, s.quota)};
+  return {saturating_difference(s.used + s.urgent_need, s.quota),
+          saturating_difference(s.used + s.need, s.quota)};
 }
 
 std::vector<QuotaRequest> divide_requests(const Deficit& deficit,
@@ -58,7 +60,7 @@
   for (size_t i = 0; i < surpluses.size(); ++i) {
     requests[i].any = requests[i].urgent;
     rest -= requests[i].urgent;
-    any_left[i] = excess(any_left[i], requests[i].urgent);
+    any_left[i] = saturating_difference(any_left[i], requests[i].urgent);
   }
   distribute(any_left, rest, requests, &QuotaRequest::any);
   return requests;
@@ -68,7 +70,7 @@
                          uint64_t unacknowledged) {
   const uint64_t urgent = std::min(request.urgent, surplus.urgent);
   const uint64_t any = std::min(request.any, surplus.any);
-  return excess(std::max(urgent, any), unacknowledged);
+  return saturating_difference(std::max(urgent, any), unacknowledged);
 }
 
 void RecentPeak::note(uint64_t value, double now, double period_s) {
--- a/src/coordination/quotas/region_network.cpp
+++ b/src/coordination/quotas/region_network.cpp
@@ -45,8 +45,8 @@
     size_t used = 0;
     const auto framed =
         decode_region_message(bytes.substr(static_cast<size_t>(consumed)), message, used);
-    if (framed == Framed::bad) return -1;
-    if (framed == Framed::partial) break;
+    if (framed == FrameStatus::malformed) return -1;
+    if (framed == FrameStatus::incomplete) break;
     consumed += static_cast<long>(used);
     news |= quotas_.receive_message(message, loop_.now());
   }
--- a/src/coordination/quotas/team_quotas.cpp
+++ b/src/coordination/quotas/team_quotas.cpp
@@ -124,8 +124,8 @@
 bool TeamQuotas::is_plausible(const QuotaRecord& record, const std::string& region,
                               const QuotaUnits& sent) {
   const auto units = record.available_units(), counted = record.received_from(region);
-  return units.cpus + excess(sent.cpus, counted.cpus) <= all_quota_units &&
-         units.gpus + excess(sent.gpus, counted.gpus) <= all_quota_units;
+  return units.cpus + saturating_difference(sent.cpus, counted.cpus) <= total_quota_units &&
+         units.gpus + saturating_difference(sent.gpus, counted.gpus) <= total_quota_units;
 }
 
 // What other regions have sent to this one, by their messages.
@@ -135,7 +135,7 @@
     const auto& region = regions_->regions[i].name;
     if (!exchange || !is_plausible(record, region, exchange->sent)) continue;
     const auto before = record.received_from(region);
-    const auto total = larger(before, exchange->sent);
+    const auto total = elementwise_max(before, exchange->sent);
     if (total == before) continue;
     record.received[region] = total;
   }
@@ -150,7 +150,7 @@
     for (const auto& r : quota_resources) {
       const QuotaRequest request{exchange->urgent_request.*r.units, exchange->request.*r.units};
       const uint64_t sent = record.sent_to(region).*r.units;
-      const uint64_t unacknowledged = excess(sent, exchange->received.*r.units);
+      const uint64_t unacknowledged = saturating_difference(sent, exchange->received.*r.units);
       const auto can = surplus(standing(team, record, r), defers_to(i));
       const uint64_t transfer = decide_transfer(can, request, unacknowledged);
       if (transfer == 0) continue;
@@ -223,7 +223,7 @@
   message.receiver = regions_->regions[region].name;
   message.controller = settings_.controller_name;
   message.fencing_token = fencing_token;
-  message.number = next_number_++;
+  message.sequence_number = next_number_++;
   for (auto& team : settings_.teams) {
     auto known = cache_.quotas().find(team.name);
     if (!limited(team) || known == cache_.quotas().end()) continue;
@@ -243,7 +243,7 @@
   const auto region = regions_->index_of(message.region);
   if (!region || *region == regions_->own_index) return false;
   auto& received = received_[message.region];
-  const MessageOrder order{message.fencing_token, message.number};
+  const MessageOrder order{message.fencing_token, message.sequence_number};
   const bool newer = order > received.order;
   if (newer) {
     received.order = order;
@@ -260,7 +260,7 @@
     }
     auto& known = received.teams[exchange.team];
     // Totals only grow: the largest ever received is the true one, in whatever order they come.
-    const auto sent = larger(known.sent, exchange.sent);
+    const auto sent = elementwise_max(known.sent, exchange.sent);
     calls_for_change |= !(sent == known.sent);
     if (newer) {
       calls_for_change |= !exchange.request.none();
--- a/src/coordination/scheduling/gang_tracker.cpp
+++ b/src/coordination/scheduling/gang_tracker.cpp
@@ -45,7 +45,8 @@
   AttemptState& state = attempt_state(job, gang);
   if (state.attempt != attempt) return;
   if (cause == ExitCause::error) ++state.failures;
-  const bool because_of_others = cause == ExitCause::peers || cause == ExitCause::alone;
+  const bool because_of_others =
+      cause == ExitCause::gang_member_lost || cause == ExitCause::gang_incomplete;
   const bool too_many_failures = job.spec.replicated() && state.failures > max_failures_per_attempt;
   if (state.ran || stopped || because_of_others || too_many_failures) state.broken = true;
 }
--- a/src/coordination/scheduling/snapshot_builder.cpp
+++ b/src/coordination/scheduling/snapshot_builder.cpp
@@ -50,7 +50,7 @@
   }
   refresh_expected(expected);
   refresh_limits();
-  snapshot_.now = deps_.loop.wall();
+  snapshot_.now = deps_.loop.unix_time();
   snapshot_.steady_now = now;
 }
 
--- a/src/coordination/shard_leader/shard_leader.cpp
+++ b/src/coordination/shard_leader/shard_leader.cpp
@@ -305,7 +305,7 @@
   const double now = loop_.now();
   m.sequence = repeat->sequence;
   m.last_heartbeat_at = m.last_repeated_heartbeat_at = now;
-  m.tasks_as_of = std::max(m.tasks_as_of, request.previous_answer_at);
+  m.tasks_as_of = std::max(m.tasks_as_of, request.previous_response_at);
   if (!m.tasks.empty()) m.idle_since = now;
   m.starts_in_response.clear();
   return HttpResponse{200, encode_heartbeat_response(lease_.fencing_token(), {}), 0};
@@ -321,7 +321,7 @@
   if (r.newer_than(m.agent_epoch, m.sequence)) {
     // One report is in flight at a time, so the answer to the one before was taken or dropped.
     m.starts_in_response.clear();
-    if (process_heartbeat(m, r, false, request.previous_answer_at, commands))
+    if (process_heartbeat(m, r, false, request.previous_response_at, commands))
       deduplicator_.remember(m.id, request.body, r.sequence);
     std::erase_if(commands, [&](const Command& c) { return !is_still_wanted(m, c); });
     for (auto& c : commands)
--- a/src/coordination/shard_leader/shard_leader_failures.cpp
+++ b/src/coordination/shard_leader/shard_leader_failures.cpp
@@ -64,9 +64,9 @@
     case ExitCause::error:
       note_error(m, job->spec);
       break;
-    case ExitCause::no_room:
-    case ExitCause::busy:
-    case ExitCause::unknown:
+    case ExitCause::insufficient_resources:
+    case ExitCause::other_attempt_running:
+    case ExitCause::not_found:
       spdlog::info("{} was refused by {}", task.text(), m.id);
       task_failures_.note_refusal(task.job, now);
       // Its place in the gang is filled elsewhere, under the attempt that this machine has refused.
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -16,7 +16,7 @@
 #include "coordination/controller.hpp"
 #include "coordination/quotas/initial_units.hpp"
 #include "transport/event_network.hpp"
-#include "transport/file_limit.hpp"
+#include "transport/open_file_limit.hpp"
 
 namespace {
 
@@ -113,7 +113,7 @@
 void raise_open_file_limit(int max_sockets) {
   constexpr size_t other_files = 32;  // log, event loop and others
   const size_t wanted = static_cast<size_t>(max_sockets) + other_files;
-  const size_t limit = damsonport::ensure_open_files(wanted);
+  const size_t limit = damsonport::ensure_open_file_limit(wanted);
   if (limit != 0 && limit < wanted)
     spdlog::warn("only {} files may be open, and the settings' max_sockets needs {}", limit,
                  wanted);
--- a/src/protocol/cloud_messages.cpp
+++ b/src/protocol/cloud_messages.cpp
@@ -114,7 +114,7 @@
   return machines;
 }
 
-std::string encode_return(const std::vector<std::string>& machines) {
+std::string encode_return_request(const std::vector<std::string>& machines) {
   return encode({{wire::machines, machines}});
 }
 
--- a/src/protocol/cloud_messages.hpp
+++ b/src/protocol/cloud_messages.hpp
@@ -55,6 +55,6 @@
 /// The ids ("vessels") of the machines that a scale-out request created; empty where malformed.
 std::vector<std::string> decode_created_machines(const Json& m);
 /// The request that deletes these machines ("vessels").
-std::string encode_return(const std::vector<std::string>& machines);
+std::string encode_return_request(const std::vector<std::string>& machines);
 
 }  // namespace damsonport
--- a/src/protocol/frame.hpp
+++ b/src/protocol/frame.hpp
@@ -7,7 +7,7 @@
 namespace damsonport {
 
 /// What stands at the front of a stream's buffered bytes.
-enum class Framed : uint8_t {
+enum class FrameStatus : uint8_t {
   partial,  ///< the beginning of a frame: more bytes are needed
   whole,    ///< a whole frame
   bad,      ///< no frame: the stream has to be closed
@@ -18,6 +18,7 @@
 
 /// Decodes the frame at the front of `in`. When whole, `body` refers into `in`, and `used` bytes
 /// were consumed. A frame whose body is longer than `max_body` bytes is bad.
-Framed decode_frame(std::string_view in, uint64_t max_body, std::string_view& body, size_t& used);
+FrameStatus decode_frame(std::string_view in, uint64_t max_body, std::string_view& body,
+                         size_t& used);
 
 }  // namespace damsonport
--- a/src/protocol/peer_heartbeat.cpp
+++ b/src/protocol/peer_heartbeat.cpp
@@ -16,18 +16,18 @@
   body.text(heartbeat.controller);
   body.number(heartbeat.incarnation);
   body.number(heartbeat.state_age_ms);
-  body.number(heartbeat.waiting);
-  body.number(heartbeat.loaded ? 1 : 0);
+  body.number(heartbeat.pending_tasks);
+  body.number(heartbeat.records_loaded ? 1 : 0);
   body.number(heartbeat.misrouted_machines);
-  body.number(heartbeat.writes);
+  body.number(heartbeat.writes_per_s);
   body.number(heartbeat.fencing_token);
   body.number(heartbeat.sent_ms);
   body.number(heartbeat.echo_incarnation);
   body.number(heartbeat.echo_ms);
-  body.number(heartbeat.have);
-  body.number(heartbeat.from);
-  body.number(heartbeat.upto);
-  body.number(heartbeat.last);
+  body.number(heartbeat.received_upto);
+  body.number(heartbeat.listed_after);
+  body.number(heartbeat.listed_upto);
+  body.number(heartbeat.newest_number);
   body.number(heartbeat.cancelled.size());
   for (auto& c : heartbeat.cancelled) {
     body.text(c.job);
@@ -43,12 +43,14 @@
   uint64_t loaded = 0;
   if (!body.number(version) || version < heartbeat_version || !body.text(out.controller) ||
       !body.number(out.incarnation) || !body.number(out.state_age_ms) ||
-      !body.number(out.waiting) || !body.number(loaded) || !body.number(out.misrouted_machines) ||
-      !body.number(out.writes) || !body.number(out.fencing_token) || !body.number(out.sent_ms) ||
-      !body.number(out.echo_incarnation) || !body.number(out.echo_ms) || !body.number(out.have) ||
-      !body.number(out.from) || !body.number(out.upto) || !body.number(out.last))
+      !body.number(out.pending_tasks) || !body.number(loaded) ||
+      !body.number(out.misrouted_machines) || !body.number(out.writes_per_s) ||
+      !body.number(out.fencing_token) || !body.number(out.sent_ms) ||
+      !body.number(out.echo_incarnation) || !body.number(out.echo_ms) ||
+      !body.number(out.received_upto) || !body.number(out.listed_after) ||
+      !body.number(out.listed_upto) || !body.number(out.newest_number))
     return false;
-  out.loaded = loaded != 0;
+  out.records_loaded = loaded != 0;
   return true;
 }
 
@@ -64,14 +66,14 @@
 
 }  // namespace
 
-Framed decode_peer_heartbeat(std::string_view in, PeerHeartbeat& out, size_t& used) {
+FrameStatus decode_peer_heartbeat(std::string_view in, PeerHeartbeat& out, size_t& used) {
   std::string_view content;
-  const Framed framed = decode_frame(in, max_body_bytes, content, used);
-  if (framed != Framed::whole) return framed;
+  const FrameStatus framed = decode_frame(in, max_body_bytes, content, used);
+  if (framed != FrameStatus::complete) return framed;
   VarintReader body(content);
   out = {};
   const bool decoded = decode_fields(body, out) && decode_cancellations(body, out.cancelled);
-  return decoded ? Framed::whole : Framed::bad;
+  return decoded ? FrameStatus::complete : FrameStatus::malformed;
 }
 
 }  // namespace damsonport
--- a/src/protocol/quota_units.cpp
+++ b/src/protocol/quota_units.cpp
@@ -10,8 +10,8 @@
   // A rounding error must not add a unit.
   constexpr double rounding_tolerance = 1e-3;
   const double units =
-      std::ceil(amount / limit * static_cast<double>(all_quota_units) - rounding_tolerance);
-  return static_cast<uint64_t>(std::clamp(units, 0.0, static_cast<double>(all_quota_units)));
+      std::ceil(amount / limit * static_cast<double>(total_quota_units) - rounding_tolerance);
+  return static_cast<uint64_t>(std::clamp(units, 0.0, static_cast<double>(total_quota_units)));
 }
 
 }  // namespace damsonport
--- a/src/protocol/quota_units.hpp
+++ b/src/protocol/quota_units.hpp
@@ -6,7 +6,7 @@
 namespace damsonport {
 
 /// All units of a limit. Every region starts with some of them, and they are only transferred.
-inline constexpr uint64_t all_quota_units = uint64_t{1} << 40;
+inline constexpr uint64_t total_quota_units = uint64_t{1} << 40;
 
 /// Units of the limit on CPUs and of the one on accelerators.
 struct QuotaUnits {
@@ -30,16 +30,16 @@
 inline QuotaUnits operator-(QuotaUnits a, const QuotaUnits& b) { return a -= b; }
 
 /// The larger of both, for each resource.
-inline QuotaUnits larger(const QuotaUnits& a, const QuotaUnits& b) {
+inline QuotaUnits elementwise_max(const QuotaUnits& a, const QuotaUnits& b) {
   return {a.cpus > b.cpus ? a.cpus : b.cpus, a.gpus > b.gpus ? a.gpus : b.gpus};
 }
 
 /// a - b, or 0 where that would be negative.
-inline uint64_t excess(uint64_t a, uint64_t b) { return a > b ? a - b : 0; }
+inline uint64_t saturating_difference(uint64_t a, uint64_t b) { return a > b ? a - b : 0; }
 
 /// What so many units of a limit are worth, in CPUs or accelerators like the limit.
 inline double amount_of(uint64_t units, double limit) {
-  return static_cast<double>(units) / static_cast<double>(all_quota_units) * limit;
+  return static_cast<double>(units) / static_cast<double>(total_quota_units) * limit;
 }
 /// The least number of units that cover an amount, all of them at the most; 0 where there is no
 /// limit.
--- a/src/protocol/region_message.cpp
+++ b/src/protocol/region_message.cpp
@@ -41,7 +41,7 @@
   if (!body.number(version)) return false;
   if (version != message_version) return true;
   if (!body.text(out.region) || !body.text(out.receiver) || !body.text(out.controller) ||
-      !body.number(out.fencing_token) || !body.number(out.number) || !body.number(teams) ||
+      !body.number(out.fencing_token) || !body.number(out.sequence_number) || !body.number(teams) ||
       teams > max_teams)
     return false;
   std::string entry;
@@ -60,18 +60,18 @@
   body.text(message.receiver);
   body.text(message.controller);
   body.number(message.fencing_token);
-  body.number(message.number);
+  body.number(message.sequence_number);
   body.number(message.teams.size());
   for (auto& exchange : message.teams) body.text(encode_exchange(exchange));
   return encode_frame(body.bytes());
 }
 
-Framed decode_region_message(std::string_view in, RegionMessage& out, size_t& used) {
+FrameStatus decode_region_message(std::string_view in, RegionMessage& out, size_t& used) {
   std::string_view body;
-  if (auto framed = decode_frame(in, max_body_bytes, body, used); framed != Framed::whole)
+  if (auto framed = decode_frame(in, max_body_bytes, body, used); framed != FrameStatus::complete)
     return framed;
   out = {};
-  return decode_body(body, out) ? Framed::whole : Framed::bad;
+  return decode_body(body, out) ? FrameStatus::complete : FrameStatus::malformed;
 }
 
 }  // namespace damsonport
--- a/src/protocol/region_message.hpp
+++ b/src/protocol/region_message.hpp
@@ -31,7 +31,7 @@
   std::string receiver;        ///< name of the receiver's region
   std::string controller;      ///< the controller that speaks for `region`
   uint64_t fencing_token = 0;  ///< of the region's leader: orders the messages of one region, with
-  uint64_t number = 0;         ///< a number that grows within one token
+  uint64_t sequence_number = 0;  ///< a number that grows within one token
   std::vector<TeamExchange> teams;
 };
 
@@ -39,6 +39,6 @@
 std::string encode_region_message(const RegionMessage& message);
 /// Takes one framed message off the front of `in`; `used` bytes were consumed when whole. A message
 /// of another version is whole, with an empty `region`.
-Framed decode_region_message(std::string_view in, RegionMessage& out, size_t& used);
+FrameStatus decode_region_message(std::string_view in, RegionMessage& out, size_t& used);
 
 }  // namespace damsonport
--- a/src/protocol/worker_messages.hpp
+++ b/src/protocol/worker_messages.hpp
@@ -23,14 +23,15 @@
 
 enum class ExitCause : uint8_t {
   none,
-  done,     ///< "done": completed
-  stopped,  ///< "stopped": by a command
-  error,    ///< "error": failed, mostly because of a faulty machine
-  no_room,  ///< "no_room": not started, for want of free resources
-  busy,     ///< "busy": not started, since another attempt of the task is on the machine
-  unknown,  ///< "no_such": not started, since the worker finds no such job or task
-  peers,    ///< "peers": another task of the gang is gone
-  alone,    ///< "alone": the gang was not complete in time
+  done,                    ///< "done": completed
+  stopped,                 ///< "stopped": by a command
+  error,                   ///< "error": failed, mostly because of a faulty machine
+  insufficient_resources,  ///< "no_room": not started, for want of free resources
+  other_attempt_running,   ///< "busy": not started, since another attempt of the task is on the
+                           ///< machine
+  not_found,               ///< "no_such": not started, since the worker finds no such job or task
+  gang_member_lost,        ///< "peers": another task of the gang is gone
+  gang_incomplete,         ///< "alone": the gang was not complete in time
 };
 
 /// One entry of a heartbeat's "hands".
--- a/src/storage/key_value_client.cpp
+++ b/src/storage/key_value_client.cpp
@@ -99,7 +99,7 @@
   return out;
 }
 
-TransactionResult decode_transaction_result(const HttpReply& reply) {
+TransactionResult decode_transaction_result(const HttpClientResponse& reply) {
   const auto message = decode_map(reply.body);
   TransactionResult result;
   result.outcome = outcome_of(reply.status);
@@ -118,8 +118,9 @@
                                const StateLimitSettings& limits)
     : loop_(loop), http_(http), endpoint_(std::move(endpoint)), rate_limiter_(loop, limits) {}
 
-Task<HttpReply> KeyValueClient::call(Method method, std::string target, std::string body,
-                                     RequestPriority priority, int writes, double timeout_s) {
+Task<HttpClientResponse> KeyValueClient::call(Method method, std::string target, std::string body,
+                                              RequestPriority priority, int writes,
+                                              double timeout_s) {
   co_await rate_limiter_.acquire(priority, writes);
   auto reply =
       co_await http_.request(endpoint_, method, std::move(target), std::move(body), timeout_s);
--- a/src/storage/key_value_client.hpp
+++ b/src/storage/key_value_client.hpp
@@ -127,8 +127,8 @@
   double contact_age_s() const { return loop_.now() - last_contact_at_; }
 
  private:
-  Task<HttpReply> call(Method method, std::string target, std::string body,
-                       RequestPriority priority, int writes, double timeout_s);
+  Task<HttpClientResponse> call(Method method, std::string target, std::string body,
+                                RequestPriority priority, int writes, double timeout_s);
 
   Loop& loop_;
   HttpClient& http_;
--- a/src/storage/record_cache.cpp
+++ b/src/storage/record_cache.cpp
@@ -93,7 +93,7 @@
 // and of this controller may both be wrong, hence the margin of twice the clock error.
 double RecordCache::steady_time_of(double time_of_day) const {
   if (time_of_day <= 0) return never;
-  const double age_s = std::max(loop_.wall() - time_of_day, 0.0);
+  const double age_s = std::max(loop_.unix_time() - time_of_day, 0.0);
   return loop_.now() - age_s - 2 * clock_error_s_;
 }
 
--- a/src/storage/record_encoding.cpp
+++ b/src/storage/record_encoding.cpp
@@ -81,7 +81,7 @@
 ForwardedExit decode_forwarded_exit(const Json& value) {
   const int cause = value.at(4).get<int>();
   // A cause that only a later version knows still ends the attempt, but never as a success.
-  const bool known = cause > 0 && cause <= static_cast<int>(ExitCause::alone);
+  const bool known = cause > 0 && cause <= static_cast<int>(ExitCause::gang_incomplete);
   return {value.at(0).get<std::string>(),
           {value.at(1).get<std::string>(), value.at(2).get<uint32_t>()},
           value.at(3).get<uint64_t>(),
--- a/src/storage/record_watcher.cpp
+++ b/src/storage/record_watcher.cpp
@@ -14,7 +14,7 @@
 }
 
 Task<bool> RecordWatcher::pause_after_failure(std::stop_token stop_token) {
-  if (auto times = warning_.note("unreadable", loop_.now()))
+  if (auto times = warning_.record("unreadable", loop_.now()))
     spdlog::warn("the key-value store can't be read yet ({} times)", *times);
   co_return co_await Sleep(loop_, loop_.uniform(0.1, 0.4), stop_token);
 }
--- a/src/transport/event_http.hpp
+++ b/src/transport/event_http.hpp
@@ -28,8 +28,10 @@
   EventHttpServer& operator=(const EventHttpServer&) = delete;
   bool bind(const Endpoint& at) override;
   uint16_t port() const override;
-  void tidy() override { pause_or_resume_accepting(); }
-  size_t open() const override { return connections_.size() + awaiting_first_request_.size(); }
+  void resume_accepting() override { pause_or_resume_accepting(); }
+  size_t open_connections() const override {
+    return connections_.size() + awaiting_first_request_.size();
+  }
 
  private:
   struct Exchange;
@@ -66,12 +68,12 @@
   ~EventHttpClient() override;
   EventHttpClient(const EventHttpClient&) = delete;
   EventHttpClient& operator=(const EventHttpClient&) = delete;
-  Task<HttpReply> request(Endpoint to, Method method, std::string target, std::string body,
-                          double timeout_s) override;
-  void trim(double idle_s) override;
-  void bound_idle(std::function<size_t()> most) override { max_idle_ = std::move(most); }
-  size_t in_use() const override { return in_use_; }
-  size_t idle() const override { return by_age_.size(); }
+  Task<HttpClientResponse> request(Endpoint to, Method method, std::string target, std::string body,
+                                   double timeout_s) override;
+  void close_idle_connections(double idle_s) override;
+  void set_idle_limit(std::function<size_t()> most) override { max_idle_ = std::move(most); }
+  size_t requests_in_progress() const override { return in_use_; }
+  size_t idle_connections() const override { return by_age_.size(); }
 
  private:
   struct Call;
--- a/src/transport/event_http_client.cpp
+++ b/src/transport/event_http_client.cpp
@@ -44,7 +44,7 @@
   std::string target;
   std::string body;
   double timeout_s;
-  HttpReply reply;
+  HttpClientResponse reply;
   std::coroutine_handle<> waiter;
   evhttp_connection* connection = nullptr;
   evhttp_request* request = nullptr;
@@ -59,7 +59,7 @@
     waiter = h;
     start();
   }
-  HttpReply await_resume() { return std::move(reply); }
+  HttpClientResponse await_resume() { return std::move(reply); }
 
   void start() {
     connection = client.take_connection(to);
@@ -165,13 +165,13 @@
   by_age_.pop_front();
 }
 
-void EventHttpClient::trim(double idle_s) {
+void EventHttpClient::close_idle_connections(double idle_s) {
   const double before = loop_.now() - idle_s;
   while (!by_age_.empty() && by_age_.front().since < before) close_oldest();
 }
 
-Task<HttpReply> EventHttpClient::request(Endpoint to, Method method, std::string target,
-                                         std::string body, double timeout_s) {
+Task<HttpClientResponse> EventHttpClient::request(Endpoint to, Method method, std::string target,
+                                                  std::string body, double timeout_s) {
   Call call{*this, std::move(to), method, std::move(target), std::move(body), timeout_s, {}, {}};
   co_return co_await call;
 }
--- a/src/transport/event_http_server.cpp
+++ b/src/transport/event_http_server.cpp
@@ -106,7 +106,7 @@
   std::erase_if(awaiting_first_request_,
                 [&](double accepted_at) { return now - accepted_at > idle_s_ + close_grace_s; });
   auto* listener = evhttp_bound_socket_get_listener(socket_);
-  if (open() >= max_connections_) {
+  if (open_connections() >= max_connections_) {
     evconnlistener_disable(listener);
   } else {
     evconnlistener_enable(listener);
@@ -176,7 +176,7 @@
   auto exchange = std::make_shared<Exchange>(Exchange{from});
   Connection& connection = connections_[evhttp_request_get_connection(from)];
   connection.exchange = exchange;
-  request.previous_answer_at = connection.answered_at;
+  request.previous_response_at = connection.answered_at;
   loop_.spawn("request", answer(std::move(exchange), std::move(request)));
 }
 
--- a/src/transport/event_loop.cpp
+++ b/src/transport/event_loop.cpp
@@ -23,7 +23,7 @@
 
 class EventTimer : public Timer {
  public:
-  EventTimer(event_base* base, Fire fire, void* argument)
+  EventTimer(event_base* base, Callback fire, void* argument)
       : fire_(fire),
         argument_(argument),
         event_(evtimer_new(
@@ -41,7 +41,7 @@
   void disarm() override { event_del(event_); }
 
  private:
-  Fire fire_;
+  Callback fire_;
   void* argument_;
   event* event_;
 };
@@ -62,14 +62,14 @@
 EventLoop::~EventLoop() { event_base_free(base_); }
 
 double EventLoop::now() const { return clock_seconds(CLOCK_MONOTONIC); }
-double EventLoop::wall() const { return clock_seconds(CLOCK_REALTIME); }
+double EventLoop::unix_time() const { return clock_seconds(CLOCK_REALTIME); }
 
-std::unique_ptr<Timer> EventLoop::timer(Timer::Fire fire, void* argument) {
+std::unique_ptr<Timer> EventLoop::timer(Timer::Callback fire, void* argument) {
   return std::make_unique<EventTimer>(base_, fire, argument);
 }
 
 void EventLoop::run() { event_base_loop(base_, EVLOOP_NO_EXIT_ON_EMPTY); }
 
-void EventLoop::ended() { event_base_loopbreak(base_); }
+void EventLoop::on_tasks_ended() { event_base_loopbreak(base_); }
 
 }  // namespace damsonport
--- a/src/transport/event_loop.hpp
+++ b/src/transport/event_loop.hpp
@@ -13,8 +13,8 @@
   EventLoop();
   ~EventLoop() override;
   double now() const override;
-  double wall() const override;
-  std::unique_ptr<Timer> timer(Timer::Fire fire, void* argument) override;
+  double unix_time() const override;
+  std::unique_ptr<Timer> timer(Timer::Callback fire, void* argument) override;
   /// For what runs on libevent itself.
   event_base* base() const { return base_; }
   /// Runs until stop() was called and every background task has ended.
@@ -23,7 +23,7 @@
  private:
   struct Seed;
   explicit EventLoop(Seed seed);
-  void ended() override;
+  void on_tasks_ended() override;
   event_base* base_;
 };
 
--- a/src/transport/http.hpp
+++ b/src/transport/http.hpp
@@ -30,7 +30,7 @@
   std::string body;
   /// When the last request on this connection was answered, on the loop's clock: this one was sent
   /// after that answer had come, since requests are not pipelined. 0: it is the connection's first.
-  double previous_answer_at = 0;
+  double previous_response_at = 0;
 };
 
 /// A server's response.
@@ -51,14 +51,14 @@
   /// The port that it listens on, valid after bind().
   virtual uint16_t port() const = 0;
   /// Accepts connections again where enough have closed; to be called now and then.
-  virtual void tidy() = 0;
+  virtual void resume_accepting() = 0;
   /// Open connections.
-  virtual size_t open() const = 0;
+  virtual size_t open_connections() const = 0;
 };
 
 /// What a client's request yields. Status 0: no response arrived, and whether the request was
 /// carried out is unknown.
-struct HttpReply {
+struct HttpClientResponse {
   int status = 0;
   std::string body;
   bool answered() const { return status != 0; }
@@ -69,17 +69,17 @@
   virtual ~HttpClient() = default;
   /// Sends a request and waits for the response, `timeout_s` seconds at the most. `target`: path
   /// and query. Never throws for a failure of the network.
-  virtual Task<HttpReply> request(Endpoint to, Method method, std::string target, std::string body,
-                                  double timeout_s) = 0;
+  virtual Task<HttpClientResponse> request(Endpoint to, Method method, std::string target,
+                                           std::string body, double timeout_s) = 0;
   /// Closes idle connections that were not used for `idle_s` seconds.
-  virtual void trim(double idle_s) = 0;
+  virtual void close_idle_connections(double idle_s) = 0;
   /// `most` yields how many idle connections may stay open just now; beyond that the least recently
   /// used ones are closed.
-  virtual void bound_idle(std::function<size_t()> most) = 0;
+  virtual void set_idle_limit(std::function<size_t()> most) = 0;
   /// Requests in progress.
-  virtual size_t in_use() const = 0;
+  virtual size_t requests_in_progress() const = 0;
   /// Idle connections.
-  virtual size_t idle() const = 0;
+  virtual size_t idle_connections() const = 0;
 };
 
 }  // namespace damsonport
--- a/src/transport/loop.cpp
+++ b/src/transport/loop.cpp
@@ -10,7 +10,7 @@
 
 void Loop::stop() {
   stop_.request_stop();
-  if (running_ == 0) ended();
+  if (running_ == 0) on_tasks_ended();
 }
 
 // The return type of drive(): a coroutine that starts at once and destroys its own frame.
@@ -32,7 +32,7 @@
     spdlog::error("background task {} ended: {}", name, e.what());
   }
   --loop->running_;
-  if (loop->running_ == 0 && loop->stop_.stop_requested()) loop->ended();
+  if (loop->running_ == 0 && loop->stop_.stop_requested()) loop->on_tasks_ended();
 }
 
 void Loop::spawn(std::string name, Task<void> task) {
--- a/src/transport/loop.hpp
+++ b/src/transport/loop.hpp
@@ -17,7 +17,7 @@
 /// Fires once, some time after it was armed; arming it again replaces the earlier time.
 class Timer {
  public:
-  using Fire = void (*)(void*);
+  using Callback = void (*)(void*);
   virtual ~Timer() = default;
   /// After 0 seconds it fires on the loop's next iteration, never from inside this call.
   virtual void arm(double seconds) = 0;
@@ -39,9 +39,9 @@
   /// Seconds of the steady clock; its zero has no meaning.
   virtual double now() const = 0;
   /// Seconds since 1970, only for what users see as times of day.
-  virtual double wall() const = 0;
+  virtual double unix_time() const = 0;
   /// `fire` is called with `argument`; it may destroy the timer.
-  virtual std::unique_ptr<Timer> timer(Timer::Fire fire, void* argument) = 0;
+  virtual std::unique_ptr<Timer> timer(Timer::Callback fire, void* argument) = 0;
   /// Evenly distributed between `lo` and `hi`.
   double uniform(double lo, double hi);
   uint64_t random64() { return random_(); }
@@ -55,9 +55,9 @@
 
  protected:
   /// Background tasks that have not ended.
-  int running() const { return running_; }
+  int running_tasks() const { return running_; }
   /// Called when stop() was called and the last background task has ended.
-  virtual void ended() = 0;
+  virtual void on_tasks_ended() = 0;
 
  private:
   struct Detached;
--- a/src/transport/file_limit.cpp
+++ b/src/transport/open_file_limit.cpp
@@ -1,4 +1,4 @@
-#include "transport/file_limit.hpp"
+#include "transport/open_file_limit.hpp"
 
 #include <sys/resource.h>
 
@@ -6,7 +6,7 @@
 
 namespace damsonport {
 
-size_t ensure_open_files(size_t wanted) {
+size_t ensure_open_file_limit(size_t wanted) {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return 0;
   if (limit.rlim_cur >= wanted) return limit.rlim_cur;
--- a/src/transport/file_limit.hpp
+++ b/src/transport/open_file_limit.hpp
@@ -6,6 +6,6 @@
 
 /// Raises the soft limit to `wanted`, as far as the hard limit allows. Yields the limit in force
 /// afterwards, or 0 where the system doesn't tell it.
-size_t ensure_open_files(size_t wanted);
+size_t ensure_open_file_limit(size_t wanted);
 
 }  // namespace damsonport
--- a/src/transport/warning_limiter.cpp
+++ b/src/transport/warning_limiter.cpp
@@ -5,7 +5,7 @@
 
 namespace damsonport {
 
-std::optional<uint64_t> WarningLimiter::note(const std::string& words, double now) {
+std::optional<uint64_t> WarningLimiter::record(const std::string& words, double now) {
   if (words != words_) {
     words_ = words;
     count_ = 0;
--- a/src/transport/warning_limiter.hpp
+++ b/src/transport/warning_limiter.hpp
@@ -12,7 +12,7 @@
   /// Counts a warning at `now`, in seconds. Where it is to be logged now, yields how often it has
   /// occurred since it was last logged, this time included. It is logged at once when its text
   /// changes, and then at intervals that double up to a bound.
-  std::optional<uint64_t> note(const std::string& words, double now);
+  std::optional<uint64_t> record(const std::string& words, double now);
   /// The cause is over: the next warning is logged at once.
   void clear() { words_.clear(); }
 
--- a/tests/api/request_handling_test.cpp
+++ b/tests/api/request_handling_test.cpp
@@ -23,21 +23,21 @@
   return s;
 }
 
-HttpReply submit(const std::string& body) {
+HttpClientResponse submit(const std::string& body) {
   World world(1);
   VirtualNetwork::Streams streams;
   VirtualController controller(world, streams, single_controller_settings(), std::nullopt, 1);
   controller.start();
-  HttpReply out;
+  HttpClientResponse out;
   world.at(0.5, [&] {
     world.ask("10.9.0.1", controller.host(), Method::post, "/api/jobs", body,
-              [&](const HttpReply& reply) { out = reply; });
+              [&](const HttpClientResponse& reply) { out = reply; });
   });
   world.run_until(2);
   return out;
 }
 
-std::string error_text(const HttpReply& reply) {
+std::string error_text(const HttpClientResponse& reply) {
   const auto m = decode_map(reply.body);
   return m.is_object() ? m.value("error", std::string()) : "no CBOR map";
 }
@@ -105,7 +105,7 @@
   std::vector<std::pair<double, uint64_t>> logged;
   auto warn = [&](const char* text, double from, double until) {
     for (double t = from; t < until; t += 0.5)
-      if (auto times = limiter.note(text, t)) logged.emplace_back(t, *times);
+      if (auto times = limiter.record(text, t)) logged.emplace_back(t, *times);
   };
   warn("status 0", 0, 40);
   warn("status 503", 40, 41);
@@ -113,7 +113,7 @@
       {0, 1}, {5, 10}, {15, 20}, {35, 40}, {40, 1}};
   EXPECT_EQ(logged, expected);
   limiter.clear();
-  EXPECT_EQ(limiter.note("status 503", 41), 1u);
+  EXPECT_EQ(limiter.record("status 503", 41), 1u);
 }
 
 }  // namespace
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -6,7 +6,7 @@
 #include "coordination/leadership/connection_policy.hpp"
 #include "transport/event_http.hpp"
 #include "transport/event_stream.hpp"
-#include "transport/file_limit.hpp"
+#include "transport/open_file_limit.hpp"
 
 namespace damsonport {
 namespace {
@@ -26,13 +26,13 @@
     EXPECT_TRUE(server.bind({"127.0.0.1", 0}));
     at = {"127.0.0.1", server.port()};
   }
-  HttpReply ask(Method method, std::string path, std::string body) {
-    HttpReply reply;
+  HttpClientResponse ask(Method method, std::string path, std::string body) {
+    HttpClientResponse reply;
     loop.spawn("ask", run(method, std::move(path), std::move(body), &reply));
     loop.run();
     return reply;
   }
-  Task<void> run(Method method, std::string path, std::string body, HttpReply* out) {
+  Task<void> run(Method method, std::string path, std::string body, HttpClientResponse* out) {
     *out = co_await client.request(at, method, std::move(path), std::move(body), 5.0);
     loop.stop();
   }
@@ -62,7 +62,7 @@
                         [](HttpRequest) -> Task<HttpResponse> { co_return HttpResponse{}; });
   ASSERT_TRUE(other.bind({"127.0.0.1", 0}));
   size_t most = 2;
-  f.client.bound_idle([&] { return most; });
+  f.client.set_idle_limit([&] { return most; });
   auto ask_all = [&](Endpoint first, Endpoint second) -> Task<void> {
     co_await f.client.request(first, Method::post, "/", "x", 5.0);
     co_await f.client.request(second, Method::post, "/", "x", 5.0);
@@ -70,17 +70,17 @@
   };
   f.loop.spawn("ask", ask_all(f.at, {"127.0.0.1", other.port()}));
   f.loop.run();
-  EXPECT_EQ(f.client.idle(), 2u);
-  EXPECT_EQ(f.client.in_use(), 0u);
+  EXPECT_EQ(f.client.idle_connections(), 2u);
+  EXPECT_EQ(f.client.requests_in_progress(), 0u);
   most = 1;
   f.ask(Method::post, "/", "x");
-  EXPECT_EQ(f.client.idle(), 1u);
+  EXPECT_EQ(f.client.idle_connections(), 1u);
 }
 
 TEST(Http, ResponseWithClose_ConnectionClosed) {
   Fixture f;
   f.ask(Method::post, "/last", "x");
-  EXPECT_EQ(f.server.open(), 0u);
+  EXPECT_EQ(f.server.open_connections(), 0u);
 }
 
 // How old a report may be rests on it.
@@ -88,7 +88,7 @@
   EventLoop loop;
   std::vector<double> previous, answered;
   EventHttpServer server(loop, 1000, 16, 10, [&](HttpRequest r) -> Task<HttpResponse> {
-    previous.push_back(r.previous_answer_at);
+    previous.push_back(r.previous_response_at);
     answered.push_back(loop.now());
     co_return HttpResponse{200, {}, 0, r.path == "/last"};
   });
@@ -123,7 +123,8 @@
   EventHttpServer* running = nullptr;
   EventHttpServer server(loop, 1000, connections, 60, [&](HttpRequest) -> Task<HttpResponse> {
     HttpResponse out;
-    out.close = closes_after_answer(Requester::worker, {running->open(), connections, workers});
+    out.close =
+        closes_after_answer(Requester::worker, {running->open_connections(), connections, workers});
     co_return out;
   });
   running = &server;
@@ -183,12 +184,12 @@
 }
 
 TEST(OpenFileLimit, RaisedBeyondTheHardLimit_StopsAtIt) {
-  const size_t before = ensure_open_files(0);
+  const size_t before = ensure_open_file_limit(0);
   ASSERT_GT(before, 0u);
-  EXPECT_GE(ensure_open_files(before), before);
-  const size_t most = ensure_open_files(std::numeric_limits<int>::max());
+  EXPECT_GE(ensure_open_file_limit(before), before);
+  const size_t most = ensure_open_file_limit(std::numeric_limits<int>::max());
   EXPECT_GE(most, before);
-  EXPECT_EQ(ensure_open_files(0), most);
+  EXPECT_EQ(ensure_open_file_limit(0), most);
 }
 
 TEST(Endpoint, TextIsNotIpv4AndPort_NotParsed) {
--- a/tests/leadership/cancellation_gossip_test.cpp
+++ b/tests/leadership/cancellation_gossip_test.cpp
@@ -27,7 +27,7 @@
     PeerHeartbeat b;
     b.controller = name;
     b.incarnation = incarnation;
-    b.loaded = loaded;
+    b.records_loaded = loaded;
     gossip.add_to(b, to, clock(time));
     return b;
   }
@@ -103,7 +103,7 @@
     const auto bytes = encode_peer_heartbeat(p.b.heartbeat("a", time));
     PeerHeartbeat read;
     size_t used = 0;
-    ASSERT_EQ(decode_peer_heartbeat(bytes, read, used), Framed::whole);
+    ASSERT_EQ(decode_peer_heartbeat(bytes, read, used), FrameStatus::complete);
     p.a.merge(read, time);
     p.b.merge(p.a.heartbeat("b", time), time);
   }
@@ -133,7 +133,7 @@
         PeerHeartbeat b;
         b.controller = name;
         b.incarnation = incarnation;
-        b.loaded = true;
+        b.records_loaded = true;
         return b;
       };
       loop.spawn("peers", peers.send_heartbeats(beat, loop.stop_token()));
--- a/tests/leadership/shard_lease_keeper_test.cpp
+++ b/tests/leadership/shard_lease_keeper_test.cpp
@@ -75,7 +75,7 @@
     PeerHeartbeat heartbeat;
     heartbeat.controller = "n1";
     heartbeat.incarnation = 18;
-    heartbeat.loaded = true;
+    heartbeat.records_loaded = true;
     heartbeat.fencing_token = fencing_token;
     heartbeat.misrouted_machines = misrouted_machines;
     streams_.at(settings_.peer_listen.text())(encode_peer_heartbeat(heartbeat));
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -105,29 +105,29 @@
 
 TEST(PeerHeartbeat, EncodedAndDecoded_FieldsUnchangedAndBadFramesDetected) {
   PeerHeartbeat b;
-  b.controller = "n-1", b.incarnation = 1ull << 51, b.waiting = 77, b.loaded = true,
+  b.controller = "n-1", b.incarnation = 1ull << 51, b.pending_tasks = 77, b.records_loaded = true,
   b.fencing_token = 41;
-  b.echo_ms = 300, b.last = 9, b.cancelled = {{"run-7", 1500}, {"run-8", 0}};
+  b.echo_ms = 300, b.newest_number = 9, b.cancelled = {{"run-7", 1500}, {"run-8", 0}};
   auto bytes = encode_peer_heartbeat(b);
   PeerHeartbeat back;
   size_t used = 0;
-  ASSERT_EQ(decode_peer_heartbeat(bytes, back, used), Framed::whole);
+  ASSERT_EQ(decode_peer_heartbeat(bytes, back, used), FrameStatus::complete);
   EXPECT_EQ(used, bytes.size());
   EXPECT_EQ(back.incarnation, b.incarnation);
-  EXPECT_EQ(back.waiting, 77u);
-  EXPECT_TRUE(back.loaded);
+  EXPECT_EQ(back.pending_tasks, 77u);
+  EXPECT_TRUE(back.records_loaded);
   EXPECT_EQ(back.fencing_token, 41u);
   EXPECT_EQ(back.echo_ms, 300u);
-  EXPECT_EQ(back.last, 9u);
+  EXPECT_EQ(back.newest_number, 9u);
   ASSERT_EQ(back.cancelled.size(), 2u);
   EXPECT_EQ(back.cancelled[0].job, "run-7");
   EXPECT_EQ(back.cancelled[0].age_ms, 1500u);
   for (size_t n = 0; n < bytes.size(); ++n)
-    EXPECT_EQ(decode_peer_heartbeat(bytes.substr(0, n), back, used), Framed::partial);
-  EXPECT_EQ(decode_peer_heartbeat(std::string(16, '\xff'), back, used), Framed::bad);
+    EXPECT_EQ(decode_peer_heartbeat(bytes.substr(0, n), back, used), FrameStatus::incomplete);
+  EXPECT_EQ(decode_peer_heartbeat(std::string(16, '\xff'), back, used), FrameStatus::malformed);
   std::string earlier_version = bytes;
   earlier_version[1] = 3;
-  EXPECT_EQ(decode_peer_heartbeat(earlier_version, back, used), Framed::bad);
+  EXPECT_EQ(decode_peer_heartbeat(earlier_version, back, used), FrameStatus::malformed);
   // What a later version adds at the end is passed over.
   VarintReader frame(bytes);
   std::string body;
@@ -135,7 +135,7 @@
   body[0] = 5;
   VarintWriter later;
   later.text(body + "more");
-  ASSERT_EQ(decode_peer_heartbeat(later.bytes(), back, used), Framed::whole);
+  ASSERT_EQ(decode_peer_heartbeat(later.bytes(), back, used), FrameStatus::complete);
   EXPECT_EQ(used, later.bytes().size());
   EXPECT_EQ(back.cancelled.size(), 2u);
 }
@@ -259,8 +259,8 @@
                                   {"hands", {waiting, peers, alone, strange, odd_cause}}});
   ASSERT_TRUE(report) << report.error();
   EXPECT_EQ(report->tasks[0].state, TaskState::waiting);
-  EXPECT_EQ(report->tasks[1].cause, ExitCause::peers);
-  EXPECT_EQ(report->tasks[2].cause, ExitCause::alone);
+  EXPECT_EQ(report->tasks[1].cause, ExitCause::gang_member_lost);
+  EXPECT_EQ(report->tasks[2].cause, ExitCause::gang_incomplete);
   EXPECT_EQ(report->tasks[3].state, TaskState::running);
   EXPECT_EQ(report->tasks[4].cause, ExitCause::error);
 }
--- a/tests/regions/budgets_test.cpp
+++ b/tests/regions/budgets_test.cpp
@@ -53,7 +53,7 @@
   for (uint64_t share : {1, 2, 3, 7, 999983, 1000000}) {
     regions[1].share = share;
     const auto units = initial_units(regions);
-    EXPECT_EQ(units[0] + units[1] + units[2], all_quota_units) << share;
+    EXPECT_EQ(units[0] + units[1] + units[2], total_quota_units) << share;
     EXPECT_EQ(units[2], 0u);
     const double expected = static_cast<double>(share) / static_cast<double>(share + 2);
     EXPECT_NEAR(amount_of(units[1], 1), expected, 1e-9) << share;
@@ -61,7 +61,7 @@
   regions.assign(8, {"all", 1000000, {"z"}, {}});
   uint64_t sum = 0;
   for (uint64_t units : initial_units(regions)) sum += units;
-  EXPECT_EQ(sum, all_quota_units);
+  EXPECT_EQ(sum, total_quota_units);
 }
 
 TEST(InitialUnits, GuaranteeSharesSumToTheGuarantee) {
@@ -75,20 +75,20 @@
 
 TEST(RegionMessage, RoundTrips) {
   RegionMessage message{"north", "south", "quay-0", 41, 7, {}};
-  message.teams.push_back({"t", {1, 2}, {3, 4}, {5, 6}, {7, 8}, {9, 10}, {11, all_quota_units}});
+  message.teams.push_back({"t", {1, 2}, {3, 4}, {5, 6}, {7, 8}, {9, 10}, {11, total_quota_units}});
   const auto bytes = encode_region_message(message);
   RegionMessage read;
   size_t used = 0;
   for (size_t size = 0; size < bytes.size(); ++size)
     EXPECT_EQ(decode_region_message(std::string_view(bytes).substr(0, size), read, used),
-              Framed::partial);
-  ASSERT_EQ(decode_region_message(bytes + "x", read, used), Framed::whole);
+              FrameStatus::incomplete);
+  ASSERT_EQ(decode_region_message(bytes + "x", read, used), FrameStatus::complete);
   EXPECT_EQ(used, bytes.size());
   EXPECT_EQ(read.region, "north");
   EXPECT_EQ(read.receiver, "south");
   EXPECT_EQ(read.fencing_token, 41u);
   ASSERT_EQ(read.teams.size(), 1u);
-  EXPECT_EQ(read.teams[0].request, (QuotaUnits{11, all_quota_units}));
+  EXPECT_EQ(read.teams[0].request, (QuotaUnits{11, total_quota_units}));
   EXPECT_EQ(read.teams[0].received, (QuotaUnits{3, 4}));
 }
 
@@ -96,7 +96,7 @@
   const std::string later = encode_frame(std::string("\x02whatever", 9));
   RegionMessage read;
   size_t used = 0;
-  ASSERT_EQ(decode_region_message(later, read, used), Framed::whole);
+  ASSERT_EQ(decode_region_message(later, read, used), FrameStatus::complete);
   EXPECT_EQ(used, later.size());
   EXPECT_TRUE(read.region.empty());
 }
@@ -109,7 +109,8 @@
   RegionMessage read;
   size_t used = 0;
   for (size_t size = 1; size < body.size(); ++size)
-    EXPECT_EQ(decode_region_message(encode_frame(body.substr(0, size)), read, used), Framed::bad);
+    EXPECT_EQ(decode_region_message(encode_frame(body.substr(0, size)), read, used),
+              FrameStatus::malformed);
 }
 
 TEST(QuotaRecord, RoundTrips) {
--- a/tests/regions/region_cluster.cpp
+++ b/tests/regions/region_cluster.cpp
@@ -131,7 +131,7 @@
   });
   world_.ask(user_host, regions_[region].controllers[node]->host(), Method::post, "/api/jobs",
              encode(submission_of(jobs_.at(job))),
-             [this, region, job, asked, answered, next](const HttpReply& reply) {
+             [this, region, job, asked, answered, next](const HttpClientResponse& reply) {
                if (std::exchange(*answered, true)) return;
                regions_[region].fleet->rules().on_answer(job, reply.status, "queued", asked);
                if (reply.status != 200 && reply.status != 201) next();
@@ -151,7 +151,7 @@
   });
   world_.ask(user_host, regions_[region].controllers[node]->host(), Method::post,
              "/api/jobs/" + job + "/cancel", {},
-             [done](const HttpReply& reply) { *done = reply.status == 200; });
+             [done](const HttpClientResponse& reply) { *done = reply.status == 200; });
 }
 
 int RegionCluster::running(const std::string& job) const {
@@ -282,12 +282,12 @@
   uint64_t sum = 0;
   for (auto& [region, record] : quotas_) {
     const uint64_t parts = record.available_units().gpus;
-    if (parts > all_quota_units)
+    if (parts > total_quota_units)
       broken_.push_back(fmt::format("{} has given more than it had", regions_[region].name));
     sum += parts;
   }
   if (const uint64_t moving = gpu_parts_on_the_way();
-      moving > all_quota_units || sum + moving != all_quota_units)
+      moving > total_quota_units || sum + moving != total_quota_units)
     broken_.push_back(fmt::format("at {} {} parts and {} on the way", world_.now(), sum, moving));
 }
 
--- a/tests/regions/regions_test.cpp
+++ b/tests/regions/regions_test.cpp
@@ -413,7 +413,7 @@
 // Somebody on the link claims to have sent all there is, or says what is meant for others.
 TEST(Regions, ImplausibleTransferIsNotCounted) {
   RegionCluster cluster({.regions = 3});
-  const QuotaUnits all{all_quota_units, all_quota_units};
+  const QuotaUnits all{total_quota_units, total_quota_units};
   auto claim = [&](const std::string& from, const std::string& to) {
     RegionMessage message{from, to, "r1n0", 1, 1, {}};
     message.teams.push_back({"t", all, {}, {}, {}, {}, {}});
@@ -428,14 +428,15 @@
   cluster.run_until(40);
   EXPECT_EQ(cluster.running("run-1"), 16) << "what was really sent still comes";
   for (size_t region : {1, 2})
-    EXPECT_LT(cluster.quota(0).received_from(cluster.region_name(region)).gpus, all_quota_units);
+    EXPECT_LT(cluster.quota(0).received_from(cluster.region_name(region)).gpus, total_quota_units);
   expect_no_rule_broken(cluster);
 }
 
 TEST(Regions, MessageForAnotherRegionIsNotCounted) {
   RegionCluster cluster({.regions = 3});
   RegionMessage message{cluster.region_name(2), cluster.region_name(1), "r2n0", 1000000, 1, {}};
-  message.teams.push_back({"t", {all_quota_units / 16, all_quota_units / 16}, {}, {}, {}, {}, {}});
+  message.teams.push_back(
+      {"t", {total_quota_units / 16, total_quota_units / 16}, {}, {}, {}, {}, {}});
   cluster.at(acknowledged, [&] { cluster.deliver(0, message); });
   cluster.run_until(acknowledged + 2);
   EXPECT_TRUE(cluster.quota(0).received_from(cluster.region_name(2)).none());
@@ -446,7 +447,7 @@
 TEST(Regions, StaleMessageRequestsNothing) {
   RegionCluster cluster({});
   RegionMessage message{cluster.region_name(1), cluster.region_name(0), "r1n0", 1, 1, {}};
-  message.teams.push_back({"t", {}, {}, {}, {}, {0, all_quota_units}, {0, all_quota_units}});
+  message.teams.push_back({"t", {}, {}, {}, {}, {0, total_quota_units}, {0, total_quota_units}});
   cluster.at(acknowledged, [&] { cluster.deliver(0, message); });
   cluster.run_until(acknowledged + 1);
   EXPECT_DOUBLE_EQ(cluster.budget_gpus(0), 8);
--- a/tests/scenarios/scenario_users.cpp
+++ b/tests/scenarios/scenario_users.cpp
@@ -53,7 +53,7 @@
                         const std::string& body, double patience_s, OnAnswer then) {
   const double asked_at = world_.now();
   auto answered = std::make_shared<bool>(false);
-  auto on_reply = [answered, then = std::move(then), asked_at](const HttpReply& reply) {
+  auto on_reply = [answered, then = std::move(then), asked_at](const HttpClientResponse& reply) {
     if (*answered) return;
     *answered = true;
     then(reply, asked_at);
@@ -67,7 +67,7 @@
   const JobSpec& spec = plan_.jobs.at(job);
   deployment_.fleet().rules().on_submission(spec);
   ask(controller, Method::post, "/api/jobs", encode(submission_of(spec)), submit_patience_s,
-      [this, job, controller, since, retry](const HttpReply& reply, double asked_at) {
+      [this, job, controller, since, retry](const HttpClientResponse& reply, double asked_at) {
         on_job_answer(job, reply, asked_at);
         const bool accepted = reply.status == 200 || reply.status == 201;
         const bool invalid = reply.status == 400 || reply.status == 422;
@@ -81,7 +81,7 @@
 
 void ScenarioUsers::cancel(const std::string& job, size_t controller, double since) {
   ask(controller, Method::post, "/api/jobs/" + job + "/cancel", {}, submit_patience_s,
-      [this, job, controller, since](const HttpReply& reply, double asked_at) {
+      [this, job, controller, since](const HttpClientResponse& reply, double asked_at) {
         if (reply.status == 200 || reply.status == 404) on_job_answer(job, reply, asked_at);
         if (reply.status == 200) return;
         if (world_.now() - since < retry_for_s)
@@ -93,7 +93,7 @@
 
 void ScenarioUsers::poll(const std::string& job, size_t controller) {
   ask(controller, Method::get, "/api/jobs/" + job, {}, poll_patience_s,
-      [this, job](const HttpReply& reply, double asked_at) {
+      [this, job](const HttpClientResponse& reply, double asked_at) {
         if (reply.status == 200 || reply.status == 404) on_job_answer(job, reply, asked_at);
       });
 }
@@ -101,7 +101,9 @@
 void ScenarioUsers::ask_for_status(const std::string& job, size_t controller,
                                    std::function<void(const Json& status)> then) {
   ask(controller, Method::get, "/api/jobs/" + job, {}, poll_patience_s,
-      [then = std::move(then)](const HttpReply& reply, double) { then(decode_map(reply.body)); });
+      [then = std::move(then)](const HttpClientResponse& reply, double) {
+        then(decode_map(reply.body));
+      });
 }
 
 void ScenarioUsers::send_invalid_request() {
@@ -112,7 +114,7 @@
   spec.id = "run-odd" + std::to_string(world_.random64() % 1000000);
   const auto request = make_invalid_request(spec, kind);
   ask(controller, Method::post, "/api/jobs", encode(request.submission), submit_patience_s,
-      [this, kind, expected = request.expected_status](const HttpReply& reply, double) {
+      [this, kind, expected = request.expected_status](const HttpClientResponse& reply, double) {
         // A controller that can't decide yet may ask the user to retry; it never accepts.
         if (reply.status != expected && reply.status != 503 && reply.status != 0)
           deployment_.fleet().rules().report_violation("odd request " + std::to_string(kind),
@@ -120,7 +122,8 @@
       });
 }
 
-void ScenarioUsers::on_job_answer(const std::string& job, const HttpReply& reply, double asked_at) {
+void ScenarioUsers::on_job_answer(const std::string& job, const HttpClientResponse& reply,
+                                  double asked_at) {
   const Json answer = decode_map(reply.body);
   const auto status = answer.is_object() ? answer.value("status", std::string()) : std::string();
   deployment_.fleet().rules().on_answer(job, reply.status, status, asked_at);
--- a/tests/scenarios/scenario_users.hpp
+++ b/tests/scenarios/scenario_users.hpp
@@ -32,12 +32,12 @@
   size_t pick_controller(const std::string& via);
 
  private:
-  using OnAnswer = std::function<void(const HttpReply&, double asked_at)>;
+  using OnAnswer = std::function<void(const HttpClientResponse&, double asked_at)>;
   /// After `patience_s` without an answer, `then` gets a reply with status 0.
   void ask(size_t controller, Method method, const std::string& path, const std::string& body,
            double patience_s, OnAnswer then);
   size_t next_controller(size_t controller) const;
-  void on_job_answer(const std::string& job, const HttpReply& reply, double asked_at);
+  void on_job_answer(const std::string& job, const HttpClientResponse& reply, double asked_at);
   void ask_all_controllers(const std::string& job);
   void keep_polling(const std::string& job);
 
--- a/tests/storage/mixed_versions_test.cpp
+++ b/tests/storage/mixed_versions_test.cpp
@@ -44,7 +44,7 @@
     bytes += static_cast<char>(std::stoi(hex.substr(i, 2), nullptr, 16));
   PeerHeartbeat heartbeat;
   size_t used = 0;
-  ASSERT_EQ(decode_peer_heartbeat(bytes, heartbeat, used), Framed::whole);
+  ASSERT_EQ(decode_peer_heartbeat(bytes, heartbeat, used), FrameStatus::complete);
   EXPECT_EQ(heartbeat.controller, "n0");
   EXPECT_EQ(heartbeat.fencing_token, 77u);
   ASSERT_EQ(heartbeat.cancelled.size(), 1u);
--- a/tests/storage/rate_limiter_test.cpp
+++ b/tests/storage/rate_limiter_test.cpp
@@ -39,12 +39,12 @@
    public:
     explicit Clock(std::seed_seq&& seed) : Loop(seed) {}
     double now() const override { return time; }
-    double wall() const override { return time; }
-    std::unique_ptr<Timer> timer(Timer::Fire, void*) override { return nullptr; }
+    double unix_time() const override { return time; }
+    std::unique_ptr<Timer> timer(Timer::Callback, void*) override { return nullptr; }
     double time = 100;
 
    private:
-    void ended() override {}
+    void on_tasks_ended() override {}
   };
   Clock clock(std::seed_seq{1u});
   RateLimiter limiter(clock, {{100, 50, 16, 12}, {100, 35, 2, 4}});
--- a/tests/storage/record_encoding_test.cpp
+++ b/tests/storage/record_encoding_test.cpp
@@ -6,8 +6,9 @@
 namespace {
 
 TEST(ForwardedExits, RoundTripThroughTheirEncoding) {
-  ForwardedExits forwarded{
-      7, {{"i-1", {"run-1", 3}, 2, ExitCause::done}, {"i-2", {"run-2", 0}, 1, ExitCause::peers}}};
+  ForwardedExits forwarded{7,
+                           {{"i-1", {"run-1", 3}, 2, ExitCause::done},
+                            {"i-2", {"run-2", 0}, 1, ExitCause::gang_member_lost}}};
   const auto decoded = decode_forwarded_exits(encode_forwarded_exits(forwarded));
   EXPECT_EQ(decoded.fencing_token, 7u);
   EXPECT_EQ(decoded.exits, forwarded.exits);
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -204,7 +204,7 @@
   EXPECT_EQ(cached->cancelled, expected->cancelled);
   if (!cached->cancelled) return;
   constexpr double tolerance_s = 60;  // for the run time of the test
-  const double age_s = fixture.loop.wall() - cancelled_at;
+  const double age_s = fixture.loop.unix_time() - cancelled_at;
   EXPECT_NEAR(cached->cancelled_since, fixture.loop.now() - age_s, tolerance_s);
 }
 
@@ -283,11 +283,11 @@
       {"i-100001", {"run-batch", 0}, 1, ExitCause::done},
       {"i-100002", {"run-batch", 1}, 2, ExitCause::stopped},
       {"i-100003", {"run-batch", 2}, 3, ExitCause::error},
-      {"i-100004", {"run-batch", 3}, 4, ExitCause::no_room},
-      {"i-100005", {"run-batch", 4}, 5, ExitCause::busy},
-      {"i-100006", {"run-batch", 5}, 6, ExitCause::unknown},
-      {"i-100007", {"run-batch", 6}, 7, ExitCause::peers},
-      {"i-100008", {"run-batch", 7}, 8, ExitCause::alone},
+      {"i-100004", {"run-batch", 3}, 4, ExitCause::insufficient_resources},
+      {"i-100005", {"run-batch", 4}, 5, ExitCause::other_attempt_running},
+      {"i-100006", {"run-batch", 5}, 6, ExitCause::not_found},
+      {"i-100007", {"run-batch", 6}, 7, ExitCause::gang_member_lost},
+      {"i-100008", {"run-batch", 7}, 8, ExitCause::gang_incomplete},
   };
   const ForwardedExits decoded = decode_forwarded_exits(Json::parse(line.value));
   EXPECT_EQ(line.name, keys::forwarded_exits("quay-0"));
@@ -335,7 +335,7 @@
 }
 
 void check_quota(const Line& line) {
-  const QuotaRecord expected{{all_quota_units, all_quota_units / 2},
+  const QuotaRecord expected{{total_quota_units, total_quota_units / 2},
                              {{"south", {1, 2}}},
                              {{"south", {3, 4}}, {"west", {5, 6}}}};
   const QuotaRecord decoded = decode_quota(Json::parse(line.value));
@@ -350,18 +350,18 @@
   heartbeat.controller = "quay-0";
   heartbeat.incarnation = incarnation;
   heartbeat.state_age_ms = 120;
-  heartbeat.waiting = 7;
-  heartbeat.loaded = true;
+  heartbeat.pending_tasks = 7;
+  heartbeat.records_loaded = true;
   heartbeat.misrouted_machines = 3;
-  heartbeat.writes = 200;
+  heartbeat.writes_per_s = 200;
   heartbeat.fencing_token = 77;
   heartbeat.sent_ms = 1000123;
   heartbeat.echo_incarnation = 4503599627370400;
   heartbeat.echo_ms = 2000456;
-  heartbeat.have = 11;
-  heartbeat.from = 12;
-  heartbeat.upto = 14;
-  heartbeat.last = 15;
+  heartbeat.received_upto = 11;
+  heartbeat.listed_after = 12;
+  heartbeat.listed_upto = 14;
+  heartbeat.newest_number = 15;
   heartbeat.cancelled = {{"run-8", 1500}, {"run-9", 0}};
   return heartbeat;
 }
@@ -370,7 +370,7 @@
   const std::string bytes = from_hex(line.value);
   PeerHeartbeat decoded;
   size_t used = 0;
-  ASSERT_EQ(decode_peer_heartbeat(bytes, decoded, used), Framed::whole);
+  ASSERT_EQ(decode_peer_heartbeat(bytes, decoded, used), FrameStatus::complete);
   EXPECT_EQ(used, bytes.size());
   EXPECT_EQ(to_hex(encode_peer_heartbeat(decoded)), line.value);
   EXPECT_EQ(to_hex(encode_peer_heartbeat(expected_peer_heartbeat())), line.value);
@@ -379,12 +379,12 @@
 void check_region_message(const Line& line) {
   RegionMessage expected{"north", "south", "quay-0", 77, 8, {}};
   expected.teams.push_back(
-      {"team", {1, 2}, {3, 4}, {5, 6}, {7, 8}, {9, 10}, {11, all_quota_units}});
+      {"team", {1, 2}, {3, 4}, {5, 6}, {7, 8}, {9, 10}, {11, total_quota_units}});
   expected.teams.push_back({"idle", {}, {}, {}, {}, {}, {}});
   const std::string bytes = from_hex(line.value);
   RegionMessage decoded;
   size_t used = 0;
-  ASSERT_EQ(decode_region_message(bytes, decoded, used), Framed::whole);
+  ASSERT_EQ(decode_region_message(bytes, decoded, used), FrameStatus::complete);
   EXPECT_EQ(used, bytes.size());
   EXPECT_EQ(to_hex(encode_region_message(decoded)), line.value);
   EXPECT_EQ(to_hex(encode_region_message(expected)), line.value);
@@ -435,7 +435,7 @@
 }
 
 void check_machine_return(const Line& line) {
-  EXPECT_EQ(to_hex(encode_return({"i-100001", "i-100002"})), line.value);
+  EXPECT_EQ(to_hex(encode_return_request({"i-100001", "i-100002"})), line.value);
 }
 
 // Messages that controllers only decode.
@@ -448,12 +448,18 @@
 
 // The states of the reported tasks, by index; the task with index n is in attempt n + 1.
 constexpr ExpectedTask expected_tasks[] = {
-    {TaskState::fetching, ExitCause::none, false}, {TaskState::running, ExitCause::none, false},
-    {TaskState::saving, ExitCause::none, false},   {TaskState::waiting, ExitCause::none, false},
-    {TaskState::exited, ExitCause::done, false},   {TaskState::exited, ExitCause::stopped, false},
-    {TaskState::exited, ExitCause::error, false},  {TaskState::exited, ExitCause::no_room, false},
-    {TaskState::exited, ExitCause::busy, false},   {TaskState::exited, ExitCause::unknown, false},
-    {TaskState::exited, ExitCause::peers, false},  {TaskState::exited, ExitCause::alone, false},
+    {TaskState::fetching, ExitCause::none, false},
+    {TaskState::running, ExitCause::none, false},
+    {TaskState::saving, ExitCause::none, false},
+    {TaskState::waiting, ExitCause::none, false},
+    {TaskState::exited, ExitCause::done, false},
+    {TaskState::exited, ExitCause::stopped, false},
+    {TaskState::exited, ExitCause::error, false},
+    {TaskState::exited, ExitCause::insufficient_resources, false},
+    {TaskState::exited, ExitCause::other_attempt_running, false},
+    {TaskState::exited, ExitCause::not_found, false},
+    {TaskState::exited, ExitCause::gang_member_lost, false},
+    {TaskState::exited, ExitCause::gang_incomplete, false},
     {TaskState::exited, ExitCause::stopped, true},
 };
 
--- a/tools/loadtest/main.cpp
+++ b/tools/loadtest/main.cpp
@@ -11,7 +11,7 @@
 #include <limits>
 
 #include "experiment_run.hpp"
-#include "transport/file_limit.hpp"
+#include "transport/open_file_limit.hpp"
 
 namespace {
 
@@ -66,7 +66,7 @@
     std::cerr << "--controller: there is no " << program << "\n";
     return exit_bad_plan;
   }
-  damsonport::ensure_open_files(std::numeric_limits<int>::max());
+  damsonport::ensure_open_file_limit(std::numeric_limits<int>::max());
   directory = make_directory(directory);
   std::cout << plan->title << ": settings and logs in " << directory << std::endl;
   signal(SIGPIPE, SIG_IGN);
--- a/tools/loadtest/real_time_world.cpp
+++ b/tools/loadtest/real_time_world.cpp
@@ -33,7 +33,7 @@
 // The answer of a handler that may come later.
 struct RealTimeWorld::Reply {
   std::coroutine_handle<> waiter;
-  HttpReply value;
+  HttpClientResponse value;
   bool done = false;
 };
 
@@ -104,7 +104,7 @@
       reply->value.status = 503;
       return;
     }
-    it->second("", request.method, target, request.body, [reply](const HttpReply& value) {
+    it->second("", request.method, target, request.body, [reply](const HttpClientResponse& value) {
       if (reply->done) return;
       reply->done = true;
       reply->value = value;
--- a/tools/loadtest/results.cpp
+++ b/tools/loadtest/results.cpp
@@ -88,9 +88,9 @@
     }
   uint64_t whole = 0, more = 0;
   for (auto& [team, sum] : parts) {
-    whole += (sum.first == 0 || sum.first == all_quota_units) &&
-             (sum.second == 0 || sum.second == all_quota_units);
-    more += sum.first > all_quota_units || sum.second > all_quota_units;
+    whole += (sum.first == 0 || sum.first == total_quota_units) &&
+             (sum.second == 0 || sum.second == total_quota_units);
+    more += sum.first > total_quota_units || sum.second > total_quota_units;
   }
   return {{"teams", parts.size()},
           {"teams_whole_at_the_end", whole},
--- a/tools/loadtest/users.cpp
+++ b/tools/loadtest/users.cpp
@@ -76,7 +76,7 @@
   const double asked = world_.now();
   world_.ask(user_host, node_host(node), Method::post, "/api/jobs",
              encode(simulation::submission_of(*fleet_.rules().spec(id))),
-             [this, id, node, since, asked](const HttpReply& reply) {
+             [this, id, node, since, asked](const HttpClientResponse& reply) {
                ++answers_[fmt::format("submission {}", reply.status)];
                fleet_.rules().on_answer(id, reply.status, "queued", asked);
                auto& job = jobs_.at(id);
@@ -102,7 +102,7 @@
   jobs_.at(id).cancelled = true;
   const double asked = world_.now();
   world_.ask(user_host, node_host(node), Method::post, "/api/jobs/" + id + "/cancel", {},
-             [this, id, node, asked](const HttpReply& reply) {
+             [this, id, node, asked](const HttpClientResponse& reply) {
                if (reply.status == 200) {
                  auto m = decode_map(reply.body);
                  fleet_.rules().on_answer(id, 200, m.value("status", std::string()), asked);
@@ -131,7 +131,7 @@
   const size_t node = world_.random64() % plan_.controllers[region_];
   const double asked = world_.now();
   world_.ask(user_host, node_host(node), Method::get, "/api/jobs/" + id, {},
-             [this, id, asked](const HttpReply& reply) {
+             [this, id, asked](const HttpClientResponse& reply) {
                ++answers_[fmt::format("poll {}", reply.status)];
                if (reply.status != 200 && reply.status != 404) return;
                auto m = decode_map(reply.body);
