--- a/src/protocol/cloud_messages.cpp
+++ b/src/protocol/cloud_messages.cpp
@@ -37,8 +37,8 @@
 }
 
 // The entries, or nullptr where the message has no such list.
-const Json* find_list(const Json& m, const char* name) {
-  const auto* list = m.is_object() ? cbor::find(m, name) : nullptr;
+const Json* find_list(const Json& map, const char* name) {
+  const auto* list = map.is_object() ? cbor::find(map, name) : nullptr;
   return list && list->is_array() ? list : nullptr;
 }
 
@@ -47,37 +47,37 @@
 }
 
 // The wire name of the first field that is missing or invalid; nullptr where there is none.
-const char* decode_machine_type(const Json& m, MachineType& out) {
-  if (!m.is_object() || !cbor::read(m, wire::type_name, out.name)) return wire::type_name;
-  if (!cbor::read(m, wire::cpus, out.cpus)) return wire::cpus;
-  if (!cbor::read(m, wire::memory_gb, out.memory_gb)) return wire::memory_gb;
-  cbor::read_optional(m, wire::gpus, out.gpus);
-  cbor::read_optional(m, wire::cache_gb, out.cache_gb);
-  cbor::read_optional(m, wire::fetch_gb_per_s, out.fetch_gb_per_s);
-  cbor::read_optional(m, wire::price, out.price);
-  cbor::read_optional(m, wire::spot_price, out.spot_price);
-  cbor::read_optional(m, wire::boot_s, out.boot_s);
-  cbor::read_optional(m, wire::zones, out.zones);
+const char* decode_machine_type(const Json& map, MachineType& out) {
+  if (!map.is_object() || !cbor::read(map, wire::type_name, out.name)) return wire::type_name;
+  if (!cbor::read(map, wire::cpus, out.cpus)) return wire::cpus;
+  if (!cbor::read(map, wire::memory_gb, out.memory_gb)) return wire::memory_gb;
+  cbor::read_optional(map, wire::gpus, out.gpus);
+  cbor::read_optional(map, wire::cache_gb, out.cache_gb);
+  cbor::read_optional(map, wire::fetch_gb_per_s, out.fetch_gb_per_s);
+  cbor::read_optional(map, wire::price, out.price);
+  cbor::read_optional(map, wire::spot_price, out.spot_price);
+  cbor::read_optional(map, wire::boot_s, out.boot_s);
+  cbor::read_optional(map, wire::zones, out.zones);
   return nullptr;
 }
 
 // As decode_machine_type().
-const char* decode_listed_machine(const Json& m, ListedMachine& out) {
-  if (!m.is_object() || !cbor::read(m, wire::machine_id, out.id)) return wire::machine_id;
-  cbor::read_optional(m, wire::address, out.address);
-  cbor::read_optional(m, wire::type, out.type);
-  cbor::read_optional(m, wire::zone, out.zone);
-  cbor::read_optional(m, wire::state, out.state);
-  cbor::read_optional(m, wire::spot, out.spot);
-  cbor::read_optional(m, wire::age_s, out.age_s);
+const char* decode_listed_machine(const Json& map, ListedMachine& out) {
+  if (!map.is_object() || !cbor::read(map, wire::machine_id, out.id)) return wire::machine_id;
+  cbor::read_optional(map, wire::address, out.address);
+  cbor::read_optional(map, wire::type, out.type);
+  cbor::read_optional(map, wire::zone, out.zone);
+  cbor::read_optional(map, wire::state, out.state);
+  cbor::read_optional(map, wire::spot, out.spot);
+  cbor::read_optional(map, wire::age_s, out.age_s);
   return nullptr;
 }
 
 }  // namespace
 
-Result<std::vector<MachineType>> decode_catalog(const Json& m) {
+Result<std::vector<MachineType>> decode_catalog(const Json& map) {
   constexpr const char* message = "machine type catalogue";
-  const auto* list = find_list(m, wire::machine_types);
+  const auto* list = find_list(map, wire::machine_types);
   if (!list) return missing_list(message, wire::machine_types);
   std::vector<MachineType> out;
   for (const auto& entry : *list) {
@@ -87,12 +87,12 @@
   return out;
 }
 
-Result<MachineList> decode_machine_list(const Json& m) {
+Result<MachineList> decode_machine_list(const Json& map) {
   constexpr const char* message = "machine list";
-  const auto* list = find_list(m, wire::machines);
+  const auto* list = find_list(map, wire::machines);
   if (!list) return missing_list(message, wire::machines);
   MachineList out;
-  cbor::read_optional(m, wire::more, out.more);
+  cbor::read_optional(map, wire::more, out.more);
   for (const auto& entry : *list) {
     if (const char* field = decode_listed_machine(entry, out.machines.emplace_back()))
       return invalid_field(message, wire::machines, out.machines.size() - 1, field);
@@ -108,9 +108,9 @@
                  {wire::count, request.count}});
 }
 
-std::vector<std::string> decode_created_machines(const Json& m) {
+std::vector<std::string> decode_created_machines(const Json& map) {
   std::vector<std::string> machines;
-  if (m.is_object()) cbor::read_optional(m, wire::machines, machines);
+  if (map.is_object()) cbor::read_optional(map, wire::machines, machines);
   return machines;
 }
 
--- a/src/protocol/cloud_messages.hpp
+++ b/src/protocol/cloud_messages.hpp
@@ -23,7 +23,7 @@
   std::vector<std::string> zones;  ///< "docks"
 };
 /// The error says which field of which entry is missing or invalid.
-Result<std::vector<MachineType>> decode_catalog(const Json& m);
+Result<std::vector<MachineType>> decode_catalog(const Json& map);
 
 /// One machine as the cloud lists it; the list lags behind.
 struct ListedMachine {
@@ -41,7 +41,7 @@
   bool more = false;                    ///< "more": another page follows
 };
 /// The error says which field of which entry is missing or invalid.
-Result<MachineList> decode_machine_list(const Json& m);
+Result<MachineList> decode_machine_list(const Json& map);
 
 /// A request for machines; repeated with the same id it has the same result.
 struct ScaleOutRequest {
@@ -53,7 +53,7 @@
 };
 std::string encode_scale_out_request(const ScaleOutRequest& request);
 /// The ids ("vessels") of the machines that a scale-out request created; empty where malformed.
-std::vector<std::string> decode_created_machines(const Json& m);
+std::vector<std::string> decode_created_machines(const Json& map);
 /// The request that deletes these machines ("vessels").
 std::string encode_return_request(const std::vector<std::string>& machines);
 
--- a/src/protocol/frame.cpp
+++ b/src/protocol/frame.cpp
@@ -12,15 +12,15 @@
 
 FrameStatus decode_frame(std::string_view in, uint64_t max_body, std::string_view& body,
                          size_t& used) {
-  constexpr size_t longest_head = 10;  // of a 64-bit varint
-  VarintReader head(in);
+  constexpr size_t max_header_bytes = 10;  // of a 64-bit varint
+  VarintReader header(in);
   uint64_t size = 0;
-  if (!head.number(size))
-    return in.size() >= longest_head ? FrameStatus::malformed : FrameStatus::incomplete;
+  if (!header.number(size))
+    return in.size() >= max_header_bytes ? FrameStatus::malformed : FrameStatus::incomplete;
   if (size > max_body) return FrameStatus::malformed;
-  if (in.size() - head.used() < size) return FrameStatus::incomplete;
-  body = in.substr(head.used(), size);
-  used = head.used() + size;
+  if (in.size() - header.used() < size) return FrameStatus::incomplete;
+  body = in.substr(header.used(), size);
+  used = header.used() + size;
   return FrameStatus::complete;
 }
 
--- a/src/protocol/peer_heartbeat.cpp
+++ b/src/protocol/peer_heartbeat.cpp
@@ -29,9 +29,9 @@
   body.number(heartbeat.listed_upto);
   body.number(heartbeat.newest_number);
   body.number(heartbeat.cancelled.size());
-  for (auto& c : heartbeat.cancelled) {
-    body.text(c.job);
-    body.number(c.age_ms);
+  for (auto& cancellation : heartbeat.cancelled) {
+    body.text(cancellation.job);
+    body.number(cancellation.age_ms);
   }
   return encode_frame(body.bytes());
 }
@@ -68,8 +68,8 @@
 
 FrameStatus decode_peer_heartbeat(std::string_view in, PeerHeartbeat& out, size_t& used) {
   std::string_view content;
-  const FrameStatus framed = decode_frame(in, max_body_bytes, content, used);
-  if (framed != FrameStatus::complete) return framed;
+  const FrameStatus status = decode_frame(in, max_body_bytes, content, used);
+  if (status != FrameStatus::complete) return status;
   VarintReader body(content);
   out = {};
   const bool decoded = decode_fields(body, out) && decode_cancellations(body, out.cancelled);
--- a/src/protocol/quota_units.hpp
+++ b/src/protocol/quota_units.hpp
@@ -15,14 +15,14 @@
 
   bool operator==(const QuotaUnits&) const = default;
   bool none() const { return cpus == 0 && gpus == 0; }
-  QuotaUnits& operator+=(const QuotaUnits& o) {
-    cpus += o.cpus;
-    gpus += o.gpus;
+  QuotaUnits& operator+=(const QuotaUnits& other) {
+    cpus += other.cpus;
+    gpus += other.gpus;
     return *this;
   }
-  QuotaUnits& operator-=(const QuotaUnits& o) {
-    cpus -= o.cpus;
-    gpus -= o.gpus;
+  QuotaUnits& operator-=(const QuotaUnits& other) {
+    cpus -= other.cpus;
+    gpus -= other.gpus;
     return *this;
   }
 };
--- a/src/protocol/region_message.cpp
+++ b/src/protocol/region_message.cpp
@@ -68,8 +68,8 @@
 
 FrameStatus decode_region_message(std::string_view in, RegionMessage& out, size_t& used) {
   std::string_view body;
-  if (auto framed = decode_frame(in, max_body_bytes, body, used); framed != FrameStatus::complete)
-    return framed;
+  if (auto status = decode_frame(in, max_body_bytes, body, used); status != FrameStatus::complete)
+    return status;
   out = {};
   return decode_body(body, out) ? FrameStatus::complete : FrameStatus::malformed;
 }
--- a/src/protocol/user_messages.cpp
+++ b/src/protocol/user_messages.cpp
@@ -50,82 +50,82 @@
 /// The wire name of the first field that is missing or invalid; nothing where all are valid.
 using InvalidField = std::optional<const char*>;
 
-bool read_text(const Json& m, const char* name, std::string& out) {
-  return cbor::read(m, name, out) && !out.empty() && out.size() <= max_text_bytes;
+bool read_text(const Json& map, const char* name, std::string& out) {
+  return cbor::read(map, name, out) && !out.empty() && out.size() <= max_text_bytes;
 }
 
 bool is_amount(double value) { return value >= 0 && value < max_amount; }
 
-bool read_amount(const Json& m, const char* name, double& out) {
-  return cbor::read(m, name, out) && is_amount(out);
+bool read_amount(const Json& map, const char* name, double& out) {
+  return cbor::read(map, name, out) && is_amount(out);
 }
 
-bool read_optional_amount(const Json& m, const char* name, double& out) {
-  return cbor::read_optional(m, name, out) && is_amount(out);
+bool read_optional_amount(const Json& map, const char* name, double& out) {
+  return cbor::read_optional(map, name, out) && is_amount(out);
 }
 
-bool read_types(const Json& m, std::vector<std::string>& types) {
-  if (!cbor::read_optional(m, wire::types, types) || types.size() > max_types) return false;
-  if (cbor::find(m, wire::types) && types.empty()) return false;
+bool read_types(const Json& map, std::vector<std::string>& types) {
+  if (!cbor::read_optional(map, wire::types, types) || types.size() > max_types) return false;
+  if (cbor::find(map, wire::types) && types.empty()) return false;
   return std::all_of(types.begin(), types.end(), [](const std::string& type) {
     return !type.empty() && type.size() <= max_text_bytes;
   });
 }
 
-bool read_deadline(const Json& m, std::optional<double>& out) {
-  if (!cbor::find(m, wire::deadline_s)) return true;
+bool read_deadline(const Json& map, std::optional<double>& out) {
+  if (!cbor::find(map, wire::deadline_s)) return true;
   double deadline_s = 0;
-  if (!cbor::read(m, wire::deadline_s, deadline_s) || deadline_s < 0) return false;
+  if (!cbor::read(map, wire::deadline_s, deadline_s) || deadline_s < 0) return false;
   out = deadline_s;
   return true;
 }
 
-InvalidField decode_identity(const Json& m, JobSpec& spec) {
-  if (!cbor::read(m, wire::id, spec.id) || !valid_job_id(spec.id)) return wire::id;
-  if (!read_text(m, wire::job_class, spec.job_class)) return wire::job_class;
-  if (!read_text(m, wire::team, spec.team)) return wire::team;
-  if (!cbor::read_enum(m, wire::kind, wire::kinds, spec.kind)) return wire::kind;
-  if (!cbor::read_enum(m, wire::priority, wire::priorities, spec.priority)) return wire::priority;
+InvalidField decode_identity(const Json& map, JobSpec& spec) {
+  if (!cbor::read(map, wire::id, spec.id) || !valid_job_id(spec.id)) return wire::id;
+  if (!read_text(map, wire::job_class, spec.job_class)) return wire::job_class;
+  if (!read_text(map, wire::team, spec.team)) return wire::team;
+  if (!cbor::read_enum(map, wire::kind, wire::kinds, spec.kind)) return wire::kind;
+  if (!cbor::read_enum(map, wire::priority, wire::priorities, spec.priority)) return wire::priority;
   return {};
 }
 
-InvalidField decode_resources(const Json& m, JobSpec& spec) {
+InvalidField decode_resources(const Json& map, JobSpec& spec) {
   uint64_t tasks = 0;
-  if (!cbor::read(m, wire::tasks, tasks) || tasks < 1 || tasks > max_tasks) return wire::tasks;
+  if (!cbor::read(map, wire::tasks, tasks) || tasks < 1 || tasks > max_tasks) return wire::tasks;
   spec.tasks = static_cast<uint32_t>(tasks);
-  if (!read_amount(m, wire::cpus, spec.cpus)) return wire::cpus;
-  if (!read_optional_amount(m, wire::gpus, spec.gpus)) return wire::gpus;
-  if (!read_amount(m, wire::memory_gb, spec.memory_gb)) return wire::memory_gb;
-  if (!read_text(m, wire::image, spec.image)) return wire::image;
-  if (!read_amount(m, wire::image_gb, spec.image_gb)) return wire::image_gb;
+  if (!read_amount(map, wire::cpus, spec.cpus)) return wire::cpus;
+  if (!read_optional_amount(map, wire::gpus, spec.gpus)) return wire::gpus;
+  if (!read_amount(map, wire::memory_gb, spec.memory_gb)) return wire::memory_gb;
+  if (!read_text(map, wire::image, spec.image)) return wire::image;
+  if (!read_amount(map, wire::image_gb, spec.image_gb)) return wire::image_gb;
   return {};
 }
 
-InvalidField decode_constraints(const Json& m, JobSpec& spec) {
-  if (!read_types(m, spec.types)) return wire::types;
-  if (!cbor::read_optional(m, wire::zone, spec.zone) || spec.zone.size() > max_text_bytes)
+InvalidField decode_constraints(const Json& map, JobSpec& spec) {
+  if (!read_types(map, spec.types)) return wire::types;
+  if (!cbor::read_optional(map, wire::zone, spec.zone) || spec.zone.size() > max_text_bytes)
     return wire::zone;
-  if (!cbor::read_optional(m, wire::one_zone, spec.one_zone)) return wire::one_zone;
-  if (!cbor::read_optional(m, wire::spread, spec.spread)) return wire::spread;
-  if (!cbor::read_optional(m, wire::spot, spec.spot)) return wire::spot;
+  if (!cbor::read_optional(map, wire::one_zone, spec.one_zone)) return wire::one_zone;
+  if (!cbor::read_optional(map, wire::spread, spec.spread)) return wire::spread;
+  if (!cbor::read_optional(map, wire::spot, spec.spot)) return wire::spot;
   return {};
 }
 
-InvalidField decode_times(const Json& m, JobSpec& spec) {
-  if (!read_optional_amount(m, wire::estimate_s, spec.estimate_s)) return wire::estimate_s;
-  if (!read_optional_amount(m, wire::checkpoint_s, spec.checkpoint_s)) return wire::checkpoint_s;
-  if (!read_optional_amount(m, wire::save_s, spec.save_s)) return wire::save_s;
-  if (!read_deadline(m, spec.deadline_s)) return wire::deadline_s;
+InvalidField decode_times(const Json& map, JobSpec& spec) {
+  if (!read_optional_amount(map, wire::estimate_s, spec.estimate_s)) return wire::estimate_s;
+  if (!read_optional_amount(map, wire::checkpoint_s, spec.checkpoint_s)) return wire::checkpoint_s;
+  if (!read_optional_amount(map, wire::save_s, spec.save_s)) return wire::save_s;
+  if (!read_deadline(map, spec.deadline_s)) return wire::deadline_s;
   return {};
 }
 
 // Fields of records only; an invalid one counts as left out.
-void decode_recorded_fields(const Json& m, JobSpec& spec) {
-  cbor::read_optional(m, wire::accepted_at, spec.accepted_at);
+void decode_recorded_fields(const Json& map, JobSpec& spec) {
+  cbor::read_optional(map, wire::accepted_at, spec.accepted_at);
   uint64_t parts = 1;
-  if (cbor::read_optional(m, wire::parts, parts) && parts > 1 && parts <= spec.tasks)
+  if (cbor::read_optional(map, wire::parts, parts) && parts > 1 && parts <= spec.tasks)
     spec.parts = static_cast<uint32_t>(parts);
-  cbor::read_optional(m, wire::distinct_machines, spec.distinct_machines);
+  cbor::read_optional(map, wire::distinct_machines, spec.distinct_machines);
 }
 
 Error missing_or_invalid(const char* field) {
@@ -145,19 +145,19 @@
   });
 }
 
-Result<JobSpec> decode_job(const Json& m) {
+Result<JobSpec> decode_job(const Json& map) {
   JobSpec spec;
   for (auto* decode : {decode_identity, decode_resources, decode_constraints, decode_times})
-    if (const InvalidField field = decode(m, spec)) return missing_or_invalid(*field);
-  decode_recorded_fields(m, spec);
+    if (const InvalidField field = decode(map, spec)) return missing_or_invalid(*field);
+  decode_recorded_fields(map, spec);
   return spec;
 }
 
-Result<JobSpec> decode_submission(const Json& m) {
+Result<JobSpec> decode_submission(const Json& map) {
   for (const char* field : {wire::gpus, wire::one_zone, wire::spread, wire::spot, wire::estimate_s,
                             wire::checkpoint_s, wire::save_s})
-    if (!cbor::find(m, field)) return missing_or_invalid(field);
-  auto spec = decode_job(m);
+    if (!cbor::find(map, field)) return missing_or_invalid(field);
+  auto spec = decode_job(map);
   if (spec) {
     const JobSpec defaults;
     spec->accepted_at = defaults.accepted_at;
@@ -168,30 +168,30 @@
 }
 
 Json encode_job(const JobSpec& spec) {
-  Json m = {{wire::id, spec.id},
-            {wire::job_class, spec.job_class},
-            {wire::team, spec.team},
-            {wire::kind, wire::kinds[static_cast<size_t>(spec.kind)]},
-            {wire::priority, wire::priorities[static_cast<size_t>(spec.priority)]},
-            {wire::tasks, spec.tasks},
-            {wire::cpus, spec.cpus},
-            {wire::gpus, spec.gpus},
-            {wire::memory_gb, spec.memory_gb},
-            {wire::image, spec.image},
-            {wire::image_gb, spec.image_gb},
-            {wire::accepted_at, spec.accepted_at}};
-  if (!spec.types.empty()) m[wire::types] = spec.types;
-  if (!spec.zone.empty()) m[wire::zone] = spec.zone;
-  if (spec.one_zone) m[wire::one_zone] = true;
-  if (spec.spread) m[wire::spread] = true;
-  if (spec.spot) m[wire::spot] = true;
-  if (spec.estimate_s > 0) m[wire::estimate_s] = spec.estimate_s;
-  if (spec.checkpoint_s > 0) m[wire::checkpoint_s] = spec.checkpoint_s;
-  if (spec.save_s > 0) m[wire::save_s] = spec.save_s;
-  if (spec.deadline_s) m[wire::deadline_s] = *spec.deadline_s;
-  if (spec.parts > 1) m[wire::parts] = spec.parts;
-  if (spec.distinct_machines) m[wire::distinct_machines] = true;
-  return m;
+  Json map = {{wire::id, spec.id},
+              {wire::job_class, spec.job_class},
+              {wire::team, spec.team},
+              {wire::kind, wire::kinds[static_cast<size_t>(spec.kind)]},
+              {wire::priority, wire::priorities[static_cast<size_t>(spec.priority)]},
+              {wire::tasks, spec.tasks},
+              {wire::cpus, spec.cpus},
+              {wire::gpus, spec.gpus},
+              {wire::memory_gb, spec.memory_gb},
+              {wire::image, spec.image},
+              {wire::image_gb, spec.image_gb},
+              {wire::accepted_at, spec.accepted_at}};
+  if (!spec.types.empty()) map[wire::types] = spec.types;
+  if (!spec.zone.empty()) map[wire::zone] = spec.zone;
+  if (spec.one_zone) map[wire::one_zone] = true;
+  if (spec.spread) map[wire::spread] = true;
+  if (spec.spot) map[wire::spot] = true;
+  if (spec.estimate_s > 0) map[wire::estimate_s] = spec.estimate_s;
+  if (spec.checkpoint_s > 0) map[wire::checkpoint_s] = spec.checkpoint_s;
+  if (spec.save_s > 0) map[wire::save_s] = spec.save_s;
+  if (spec.deadline_s) map[wire::deadline_s] = *spec.deadline_s;
+  if (spec.parts > 1) map[wire::parts] = spec.parts;
+  if (spec.distinct_machines) map[wire::distinct_machines] = true;
+  return map;
 }
 
 std::string encode_job_status(const std::string& id, std::string_view status) {
--- a/src/protocol/user_messages.hpp
+++ b/src/protocol/user_messages.hpp
@@ -62,10 +62,10 @@
 
 /// Decodes a job's record, which leaves out the fields that have their default. The error names the
 /// first field that is missing or invalid.
-Result<JobSpec> decode_job(const Json& m);
+Result<JobSpec> decode_job(const Json& map);
 /// Decodes a user's message, in which only hulls, dock and due_s may be null or left out. The
 /// fields of records only are ignored. The error goes to the user.
-Result<JobSpec> decode_submission(const Json& m);
+Result<JobSpec> decode_submission(const Json& map);
 /// The job's record.
 Json encode_job(const JobSpec& spec);
 
--- a/src/protocol/varint.hpp
+++ b/src/protocol/varint.hpp
@@ -10,8 +10,8 @@
 /// Appends values to a buffer.
 class VarintWriter {
  public:
-  void number(uint64_t v);
-  void text(std::string_view s);
+  void number(uint64_t value);
+  void text(std::string_view text);
   const std::string& bytes() const { return out_; }
 
  private:
@@ -25,9 +25,9 @@
   explicit VarintReader(std::string_view in) : in_(in) {}
 
   /// False at the end of the input, or for a number of more than 64 bits.
-  [[nodiscard]] bool number(uint64_t& v);
+  [[nodiscard]] bool number(uint64_t& value);
   /// False where the input ends within the text.
-  [[nodiscard]] bool text(std::string& s);
+  [[nodiscard]] bool text(std::string& text);
   /// Bytes read so far.
   size_t used() const { return used_; }
 
--- a/src/protocol/worker_messages.cpp
+++ b/src/protocol/worker_messages.cpp
@@ -36,45 +36,45 @@
 constexpr size_t max_machine_name_bytes = 200;
 
 // False where a field is missing.
-bool decode_task_status(const Json& m, TaskStatus& out) {
+bool decode_task_status(const Json& map, TaskStatus& out) {
   std::string task;
   std::string state;
-  if (!m.is_object() || !cbor::read(m, wire::task, task) || !parse_task_id(task, out.task) ||
-      !cbor::read(m, wire::attempt, out.attempt) || !cbor::read(m, wire::state, state))
+  if (!map.is_object() || !cbor::read(map, wire::task, task) || !parse_task_id(task, out.task) ||
+      !cbor::read(map, wire::attempt, out.attempt) || !cbor::read(map, wire::state, state))
     return false;
   // A task in an unknown state still takes resources of the machine: it counts as running.
   if (!cbor::parse_enum(wire::states, state, out.state)) out.state = TaskState::running;
-  if (out.state == TaskState::exited && !cbor::read_enum(m, wire::cause, wire::causes, out.cause))
+  if (out.state == TaskState::exited && !cbor::read_enum(map, wire::cause, wire::causes, out.cause))
     out.cause = ExitCause::error;
-  cbor::read_optional(m, wire::saved, out.saved);
+  cbor::read_optional(map, wire::saved, out.saved);
   return true;
 }
 
 Json encode_command(const Command& command) {
-  Json m = {{wire::task, command.task.text()},
-            {wire::attempt, command.attempt},
-            {wire::op, wire::ops[static_cast<size_t>(command.op)]}};
-  if (command.op == Command::Op::stop) m[wire::grace_s] = command.grace_s;
-  return m;
+  Json map = {{wire::task, command.task.text()},
+              {wire::attempt, command.attempt},
+              {wire::op, wire::ops[static_cast<size_t>(command.op)]}};
+  if (command.op == Command::Op::stop) map[wire::grace_s] = command.grace_s;
+  return map;
 }
 
 }  // namespace
 
-Result<Heartbeat> decode_heartbeat(const Json& m) {
+Result<Heartbeat> decode_heartbeat(const Json& map) {
   Heartbeat out;
-  if (!cbor::read(m, wire::machine, out.machine) || out.machine.empty() ||
+  if (!cbor::read(map, wire::machine, out.machine) || out.machine.empty() ||
       out.machine.size() > max_machine_name_bytes)
     return Error{wire::machine};
-  if (!cbor::read(m, wire::address, out.address) || !cbor::read(m, wire::type, out.type) ||
-      !cbor::read(m, wire::zone, out.zone) || !cbor::read_optional(m, wire::spot, out.spot) ||
-      !cbor::read(m, wire::agent_epoch, out.agent_epoch) ||
-      !cbor::read(m, wire::sequence, out.sequence))
+  if (!cbor::read(map, wire::address, out.address) || !cbor::read(map, wire::type, out.type) ||
+      !cbor::read(map, wire::zone, out.zone) || !cbor::read_optional(map, wire::spot, out.spot) ||
+      !cbor::read(map, wire::agent_epoch, out.agent_epoch) ||
+      !cbor::read(map, wire::sequence, out.sequence))
     return Error{"report of " + out.machine + " lacks a field"};
-  if (!cbor::read_optional(m, wire::fencing_token, out.fencing_token))
+  if (!cbor::read_optional(map, wire::fencing_token, out.fencing_token))
     return Error{wire::fencing_token};
   double notice_s = 0;
-  if (cbor::read(m, wire::notice_s, notice_s)) out.notice_s = notice_s;
-  const auto* tasks = cbor::find(m, wire::tasks);
+  if (cbor::read(map, wire::notice_s, notice_s)) out.notice_s = notice_s;
+  const auto* tasks = cbor::find(map, wire::tasks);
   if (!tasks) return out;
   if (!tasks->is_array()) return Error{wire::tasks};
   out.tasks.reserve(tasks->size());
@@ -110,9 +110,9 @@
 }
 
 std::string encode_redirect(const std::string& controller) {
-  Json m = Json::object();
-  if (!controller.empty()) m[wire::controller] = controller;
-  return encode(m);
+  Json map = Json::object();
+  if (!controller.empty()) map[wire::controller] = controller;
+  return encode(map);
 }
 
 }  // namespace damsonport
--- a/src/protocol/worker_messages.hpp
+++ b/src/protocol/worker_messages.hpp
@@ -63,7 +63,7 @@
 };
 
 /// The error goes to the worker.
-Result<Heartbeat> decode_heartbeat(const Json& m);
+Result<Heartbeat> decode_heartbeat(const Json& map);
 /// The name of the field that holds Heartbeat::sequence, as CBOR encodes it.
 std::string_view encoded_sequence_key();
 
--- a/src/transport/event_http.hpp
+++ b/src/transport/event_http.hpp
@@ -37,15 +37,15 @@
   struct Exchange;
   struct Connection {
     std::shared_ptr<Exchange> exchange;  // null between requests
-    double answered_at = 0;              // the last request
+    double responded_at = 0;             // the last request
   };
-  static HttpRequest read_request(evhttp_request* from);
+  static HttpRequest read_request(evhttp_request* http_request);
   static void on_close(evhttp_connection* connection, void* server);
-  void on_request(evhttp_request* from);
+  void on_request(evhttp_request* http_request);
   void on_accept();
   void track_connection(evhttp_connection* connection);
   void pause_or_resume_accepting();
-  Task<void> answer(std::shared_ptr<Exchange> exchange, HttpRequest request);
+  Task<void> respond(std::shared_ptr<Exchange> exchange, HttpRequest request);
 
   EventLoop& loop_;
   size_t max_connections_;
@@ -71,30 +71,30 @@
   Task<HttpClientResponse> request(Endpoint to, Method method, std::string target, std::string body,
                                    double timeout_s) override;
   void close_idle_connections(double idle_s) override;
-  void set_idle_limit(std::function<size_t()> most) override { max_idle_ = std::move(most); }
-  size_t requests_in_progress() const override { return in_use_; }
-  size_t idle_connections() const override { return by_age_.size(); }
+  void set_idle_limit(std::function<size_t()> limit) override { idle_limit_ = std::move(limit); }
+  size_t requests_in_progress() const override { return requests_in_progress_; }
+  size_t idle_connections() const override { return idle_by_age_.size(); }
 
  private:
-  struct Call;
-  struct Idle {
+  struct PendingRequest;
+  struct IdleConnection {
     std::string to;
     evhttp_connection* connection;
     double since;
   };
-  using IdleList = std::list<Idle>;
+  using IdleList = std::list<IdleConnection>;
 
   evhttp_connection* take_connection(const Endpoint& to);
   void keep_connection(const std::string& to, evhttp_connection* connection);
   void discard_connection(evhttp_connection* connection);
-  void close_oldest();
+  void close_least_recently_used();
 
   EventLoop& loop_;
-  std::function<size_t()> max_idle_;
-  size_t in_use_ = 0;
-  IdleList by_age_;  // the oldest first
+  std::function<size_t()> idle_limit_;
+  size_t requests_in_progress_ = 0;
+  IdleList idle_by_age_;  // the oldest first
   // The same by endpoint, in the same order.
-  std::unordered_map<std::string, std::deque<IdleList::iterator>> by_endpoint_;
+  std::unordered_map<std::string, std::deque<IdleList::iterator>> idle_by_endpoint_;
 };
 
 }  // namespace damsonport
--- a/src/transport/event_http_client.cpp
+++ b/src/transport/event_http_client.cpp
@@ -37,21 +37,21 @@
 
 // One request in progress, as an awaitable that lives in the frame of request(). The timer bounds
 // its time, and also resumes the waiting coroutine once the response is complete.
-struct EventHttpClient::Call {
+struct EventHttpClient::PendingRequest {
   EventHttpClient& client;
   Endpoint to;
   Method method;
   std::string target;
   std::string body;
   double timeout_s;
-  HttpClientResponse reply;
+  HttpClientResponse response;
   std::coroutine_handle<> waiter;
   evhttp_connection* connection = nullptr;
   evhttp_request* request = nullptr;
   event* timer = nullptr;
   bool done = false;
 
-  ~Call() {
+  ~PendingRequest() {
     if (timer) event_free(timer);
   }
   bool await_ready() const { return false; }
@@ -59,13 +59,14 @@
     waiter = h;
     start();
   }
-  HttpClientResponse await_resume() { return std::move(reply); }
+  HttpClientResponse await_resume() { return std::move(response); }
 
   void start() {
     connection = client.take_connection(to);
     timer = evtimer_new(
         client.loop_.base(),
-        [](evutil_socket_t, short, void* self) { static_cast<Call*>(self)->finish(); }, this);
+        [](evutil_socket_t, short, void* self) { static_cast<PendingRequest*>(self)->finish(); },
+        this);
     const timeval timeout = to_timeval(timeout_s);
     event_add(timer, &timeout);
     // Without a connection the timer reports it: never resumed from inside await_suspend.
@@ -74,7 +75,8 @@
 
   void send() {
     request = evhttp_request_new(
-        [](evhttp_request* r, void* self) { static_cast<Call*>(self)->complete(r); }, this);
+        [](evhttp_request* r, void* self) { static_cast<PendingRequest*>(self)->complete(r); },
+        this);
     auto* headers = evhttp_request_get_output_headers(request);
     evhttp_add_header(headers, "Host", to.text().c_str());
     if (!body.empty()) {
@@ -90,11 +92,11 @@
   void complete(evhttp_request* r) {
     if (done) return;
     if (r) {
-      reply.status = evhttp_request_get_response_code(r);
+      response.status = evhttp_request_get_response_code(r);
       evbuffer* input = evhttp_request_get_input_buffer(r);
-      if (reply.status != 0) {
-        reply.body.resize(evbuffer_get_length(input));
-        evbuffer_remove(input, reply.body.data(), reply.body.size());
+      if (response.status != 0) {
+        response.body.resize(evbuffer_get_length(input));
+        evbuffer_remove(input, response.body.data(), response.body.size());
       }
     }
     request = nullptr;
@@ -115,8 +117,8 @@
   }
 
   void release_connection() {
-    --client.in_use_;
-    if (connection && reply.answered()) {
+    --client.requests_in_progress_;
+    if (connection && response.answered()) {
       client.keep_connection(to.text(), connection);
     } else if (connection) {
       client.discard_connection(connection);
@@ -126,17 +128,17 @@
 };
 
 EventHttpClient::~EventHttpClient() {
-  for (auto& idle : by_age_) evhttp_connection_free(idle.connection);
+  for (auto& idle : idle_by_age_) evhttp_connection_free(idle.connection);
 }
 
 evhttp_connection* EventHttpClient::take_connection(const Endpoint& to) {
-  ++in_use_;
-  if (auto it = by_endpoint_.find(to.text()); it != by_endpoint_.end()) {
+  ++requests_in_progress_;
+  if (auto it = idle_by_endpoint_.find(to.text()); it != idle_by_endpoint_.end()) {
     auto newest = it->second.back();
     auto* connection = newest->connection;
     it->second.pop_back();
-    if (it->second.empty()) by_endpoint_.erase(it);
-    by_age_.erase(newest);
+    if (it->second.empty()) idle_by_endpoint_.erase(it);
+    idle_by_age_.erase(newest);
     return connection;
   }
   auto* connection = evhttp_connection_base_new(loop_.base(), nullptr, to.host.c_str(), to.port);
@@ -145,35 +147,36 @@
 }
 
 void EventHttpClient::keep_connection(const std::string& to, evhttp_connection* connection) {
-  by_age_.push_back({to, connection, loop_.now()});
-  by_endpoint_[to].push_back(std::prev(by_age_.end()));
-  if (!max_idle_) return;
-  const size_t most = max_idle_();
-  while (by_age_.size() > most) close_oldest();
+  idle_by_age_.push_back({to, connection, loop_.now()});
+  idle_by_endpoint_[to].push_back(std::prev(idle_by_age_.end()));
+  if (!idle_limit_) return;
+  const size_t limit = idle_limit_();
+  while (idle_by_age_.size() > limit) close_least_recently_used();
 }
 
 void EventHttpClient::discard_connection(evhttp_connection* connection) {
   evhttp_connection_free(connection);
 }
 
-void EventHttpClient::close_oldest() {
-  auto& oldest = by_age_.front();
-  auto it = by_endpoint_.find(oldest.to);
+void EventHttpClient::close_least_recently_used() {
+  auto& oldest = idle_by_age_.front();
+  auto it = idle_by_endpoint_.find(oldest.to);
   it->second.pop_front();
-  if (it->second.empty()) by_endpoint_.erase(it);
+  if (it->second.empty()) idle_by_endpoint_.erase(it);
   evhttp_connection_free(oldest.connection);
-  by_age_.pop_front();
+  idle_by_age_.pop_front();
 }
 
 void EventHttpClient::close_idle_connections(double idle_s) {
   const double before = loop_.now() - idle_s;
-  while (!by_age_.empty() && by_age_.front().since < before) close_oldest();
+  while (!idle_by_age_.empty() && idle_by_age_.front().since < before) close_least_recently_used();
 }
 
 Task<HttpClientResponse> EventHttpClient::request(Endpoint to, Method method, std::string target,
                                                   std::string body, double timeout_s) {
-  Call call{*this, std::move(to), method, std::move(target), std::move(body), timeout_s, {}, {}};
-  co_return co_await call;
+  PendingRequest pending{*this,           std::move(to), method, std::move(target),
+                         std::move(body), timeout_s,     {},     {}};
+  co_return co_await pending;
 }
 
 }  // namespace damsonport
--- a/src/transport/event_http_server.cpp
+++ b/src/transport/event_http_server.cpp
@@ -136,14 +136,14 @@
 
 bool EventHttpServer::bind(const Endpoint& at) {
   // Bound here and not by evhttp, which would look the address up.
-  sockaddr_in a{};
-  a.sin_family = AF_INET;
-  a.sin_port = htons(at.port);
-  evutil_inet_pton(AF_INET, at.host.c_str(), &a.sin_addr);
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_port = htons(at.port);
+  evutil_inet_pton(AF_INET, at.host.c_str(), &address.sin_addr);
   auto* listener = evconnlistener_new_bind(
       loop_.base(), nullptr, nullptr, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE,
       // A whole fleet may come at once.
-      static_cast<int>(max_connections_), reinterpret_cast<sockaddr*>(&a), sizeof a);
+      static_cast<int>(max_connections_), reinterpret_cast<sockaddr*>(&address), sizeof address);
   if (!listener) return false;
   socket_ = evhttp_bind_listener(http_, listener);
   return socket_ != nullptr;
@@ -156,31 +156,31 @@
   return ntohs(address.sin_port);
 }
 
-HttpRequest EventHttpServer::read_request(evhttp_request* from) {
+HttpRequest EventHttpServer::read_request(evhttp_request* http_request) {
   HttpRequest request;
-  request.method = method_of(evhttp_request_get_command(from));
-  const std::string_view uri = evhttp_request_get_uri(from);
+  request.method = method_of(evhttp_request_get_command(http_request));
+  const std::string_view uri = evhttp_request_get_uri(http_request);
   const auto question_mark = uri.find('?');
   request.path = std::string(uri.substr(0, question_mark));
   if (question_mark != std::string_view::npos)
     request.query = std::string(uri.substr(question_mark + 1));
-  evbuffer* input = evhttp_request_get_input_buffer(from);
+  evbuffer* input = evhttp_request_get_input_buffer(http_request);
   request.body.resize(evbuffer_get_length(input));
   evbuffer_remove(input, request.body.data(), request.body.size());
   return request;
 }
 
-void EventHttpServer::on_request(evhttp_request* from) {
-  HttpRequest request = read_request(from);
-  track_connection(evhttp_request_get_connection(from));
-  auto exchange = std::make_shared<Exchange>(Exchange{from});
-  Connection& connection = connections_[evhttp_request_get_connection(from)];
+void EventHttpServer::on_request(evhttp_request* http_request) {
+  HttpRequest request = read_request(http_request);
+  track_connection(evhttp_request_get_connection(http_request));
+  auto exchange = std::make_shared<Exchange>(Exchange{http_request});
+  Connection& connection = connections_[evhttp_request_get_connection(http_request)];
   connection.exchange = exchange;
-  request.previous_response_at = connection.answered_at;
-  loop_.spawn("request", answer(std::move(exchange), std::move(request)));
+  request.previous_response_at = connection.responded_at;
+  loop_.spawn("request", respond(std::move(exchange), std::move(request)));
 }
 
-Task<void> EventHttpServer::answer(std::shared_ptr<Exchange> exchange, HttpRequest request) {
+Task<void> EventHttpServer::respond(std::shared_ptr<Exchange> exchange, HttpRequest request) {
   HttpResponse response;
   try {
     response = co_await handler_(std::move(request));
--- a/src/transport/event_loop.cpp
+++ b/src/transport/event_loop.cpp
@@ -23,14 +23,14 @@
 
 class EventTimer : public Timer {
  public:
-  EventTimer(event_base* base, Callback fire, void* argument)
-      : fire_(fire),
+  EventTimer(event_base* base, Callback callback, void* argument)
+      : callback_(callback),
         argument_(argument),
         event_(evtimer_new(
             base,
             [](evutil_socket_t, short, void* self) {
               auto* t = static_cast<EventTimer*>(self);
-              t->fire_(t->argument_);  // may destroy the timer
+              t->callback_(t->argument_);  // may destroy the timer
             },
             this)) {}
   ~EventTimer() override { event_free(event_); }
@@ -41,7 +41,7 @@
   void disarm() override { event_del(event_); }
 
  private:
-  Callback fire_;
+  Callback callback_;
   void* argument_;
   event* event_;
 };
@@ -64,8 +64,8 @@
 double EventLoop::now() const { return clock_seconds(CLOCK_MONOTONIC); }
 double EventLoop::unix_time() const { return clock_seconds(CLOCK_REALTIME); }
 
-std::unique_ptr<Timer> EventLoop::timer(Timer::Callback fire, void* argument) {
-  return std::make_unique<EventTimer>(base_, fire, argument);
+std::unique_ptr<Timer> EventLoop::timer(Timer::Callback callback, void* argument) {
+  return std::make_unique<EventTimer>(base_, callback, argument);
 }
 
 void EventLoop::run() { event_base_loop(base_, EVLOOP_NO_EXIT_ON_EMPTY); }
--- a/src/transport/event_loop.hpp
+++ b/src/transport/event_loop.hpp
@@ -14,7 +14,7 @@
   ~EventLoop() override;
   double now() const override;
   double unix_time() const override;
-  std::unique_ptr<Timer> timer(Timer::Callback fire, void* argument) override;
+  std::unique_ptr<Timer> timer(Timer::Callback callback, void* argument) override;
   /// For what runs on libevent itself.
   event_base* base() const { return base_; }
   /// Runs until stop() was called and every background task has ended.
--- a/src/transport/event_stream.cpp
+++ b/src/transport/event_stream.cpp
@@ -13,12 +13,12 @@
 constexpr timeval idle_timeout{10, 0};
 constexpr int accept_backlog = 16;
 
-sockaddr_in address_of(const Endpoint& e) {
-  sockaddr_in a{};
-  a.sin_family = AF_INET;
-  a.sin_port = htons(e.port);
-  evutil_inet_pton(AF_INET, e.host.c_str(), &a.sin_addr);
-  return a;
+sockaddr_in address_of(const Endpoint& endpoint) {
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_port = htons(endpoint.port);
+  evutil_inet_pton(AF_INET, endpoint.host.c_str(), &address.sin_addr);
+  return address;
 }
 }  // namespace
 
@@ -35,9 +35,9 @@
     if (!stream_) return;
     bufferevent_setcb(
         stream_, nullptr, nullptr,
-        [](bufferevent*, short what, void* arg) {
+        [](bufferevent*, short events, void* arg) {
           auto* self = static_cast<EventStreamLink*>(arg);
-          if (what & BEV_EVENT_CONNECTED) {
+          if (events & BEV_EVENT_CONNECTED) {
             self->connected_ = true;
           } else {
             self->close();
@@ -47,8 +47,9 @@
     // A link that takes nothing for a while is partitioned or dead: connect anew.
     bufferevent_set_timeouts(stream_, nullptr, &idle_timeout);
     bufferevent_enable(stream_, EV_READ | EV_WRITE);
-    auto a = address_of(to_);
-    if (bufferevent_socket_connect(stream_, reinterpret_cast<sockaddr*>(&a), sizeof a) != 0) {
+    auto address = address_of(to_);
+    if (bufferevent_socket_connect(stream_, reinterpret_cast<sockaddr*>(&address),
+                                   sizeof address) != 0) {
       close();
       return;
     }
@@ -60,11 +61,11 @@
   bufferevent_write(stream_, bytes.data(), bytes.size());
 }
 
-struct EventStreamListener::Incoming {
+struct EventStreamListener::IncomingStream {
   EventStreamListener* owner;
   bufferevent* stream;
-  ~Incoming() {
-    --owner->open_;
+  ~IncomingStream() {
+    --owner->open_streams_;
     bufferevent_free(stream);
   }
   void read() {
@@ -83,12 +84,12 @@
 EventStreamListener::EventStreamListener(EventLoop& loop, const Endpoint& at, size_t max_streams,
                                          OnBytes on_bytes)
     : loop_(loop), max_streams_(max_streams), on_bytes_(std::move(on_bytes)) {
-  auto a = address_of(at);
+  auto address = address_of(at);
   listener_ = evconnlistener_new_bind(
       loop.base(),
       [](evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* arg) {
         auto* self = static_cast<EventStreamListener*>(arg);
-        if (self->open_ >= self->max_streams_) {
+        if (self->open_streams_ >= self->max_streams_) {
           evutil_closesocket(fd);
           return;
         }
@@ -97,16 +98,16 @@
           evutil_closesocket(fd);
           return;
         }
-        ++self->open_;
-        auto* incoming = new Incoming{self, stream};
+        ++self->open_streams_;
+        auto* incoming = new IncomingStream{self, stream};
         bufferevent_setcb(
-            stream, [](bufferevent*, void* i) { static_cast<Incoming*>(i)->read(); }, nullptr,
-            [](bufferevent*, short, void* i) { delete static_cast<Incoming*>(i); }, incoming);
+            stream, [](bufferevent*, void* i) { static_cast<IncomingStream*>(i)->read(); }, nullptr,
+            [](bufferevent*, short, void* i) { delete static_cast<IncomingStream*>(i); }, incoming);
         bufferevent_set_timeouts(stream, &idle_timeout, &idle_timeout);
         bufferevent_enable(stream, EV_READ);
       },
       this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, accept_backlog,
-      reinterpret_cast<sockaddr*>(&a), sizeof a);
+      reinterpret_cast<sockaddr*>(&address), sizeof address);
 }
 
 EventStreamListener::~EventStreamListener() {
--- a/src/transport/event_stream.hpp
+++ b/src/transport/event_stream.hpp
@@ -36,10 +36,10 @@
   bool listening() const override { return listener_ != nullptr; }
 
  private:
-  struct Incoming;
+  struct IncomingStream;
   EventLoop& loop_;
   size_t max_streams_;
-  size_t open_ = 0;
+  size_t open_streams_ = 0;
   OnBytes on_bytes_;
   evconnlistener* listener_ = nullptr;
 };
--- a/src/transport/http.hpp
+++ b/src/transport/http.hpp
@@ -75,7 +75,7 @@
   virtual void close_idle_connections(double idle_s) = 0;
   /// `most` yields how many idle connections may stay open just now; beyond that the least recently
   /// used ones are closed.
-  virtual void set_idle_limit(std::function<size_t()> most) = 0;
+  virtual void set_idle_limit(std::function<size_t()> limit) = 0;
   /// Requests in progress.
   virtual size_t requests_in_progress() const = 0;
   /// Idle connections.
--- a/src/transport/loop.cpp
+++ b/src/transport/loop.cpp
@@ -10,10 +10,10 @@
 
 void Loop::stop() {
   stop_.request_stop();
-  if (running_ == 0) on_tasks_ended();
+  if (running_tasks_ == 0) on_tasks_ended();
 }
 
-// The return type of drive(): a coroutine that starts at once and destroys its own frame.
+// The return type of run_detached(): a coroutine that starts at once and destroys its own frame.
 struct Loop::Detached {
   struct promise_type {
     Detached get_return_object() const noexcept { return {}; }
@@ -24,19 +24,19 @@
   };
 };
 
-Loop::Detached Loop::drive(Loop* loop, std::string name, Task<void> task) {
-  ++loop->running_;
+Loop::Detached Loop::run_detached(Loop* loop, std::string name, Task<void> task) {
+  ++loop->running_tasks_;
   try {
     co_await task;
   } catch (const std::exception& e) {
     spdlog::error("background task {} ended: {}", name, e.what());
   }
-  --loop->running_;
-  if (loop->running_ == 0 && loop->stop_.stop_requested()) loop->on_tasks_ended();
+  --loop->running_tasks_;
+  if (loop->running_tasks_ == 0 && loop->stop_.stop_requested()) loop->on_tasks_ended();
 }
 
 void Loop::spawn(std::string name, Task<void> task) {
-  drive(this, std::move(name), std::move(task));
+  run_detached(this, std::move(name), std::move(task));
 }
 
 void Sleep::await_suspend(std::coroutine_handle<> h) {
@@ -60,13 +60,13 @@
 }
 
 void Notification::notify() {
-  if (set_) return;
-  set_ = true;
+  if (notified_) return;
+  notified_ = true;
   if (waiter_) arm(0);
 }
 
 bool Notification::Waiter::await_ready() const {
-  return notification.set_ || stop_token.stop_requested();
+  return notification.notified_ || stop_token.stop_requested();
 }
 
 void Notification::Waiter::await_suspend(std::coroutine_handle<> h) {
@@ -79,7 +79,7 @@
 bool Notification::Waiter::await_resume() {
   notification.on_stop_.reset();
   if (notification.timer_) notification.timer_->disarm();
-  notification.set_ = false;
+  notification.notified_ = false;
   return !stop_token.stop_requested();
 }
 
--- a/src/transport/loop.hpp
+++ b/src/transport/loop.hpp
@@ -40,8 +40,8 @@
   virtual double now() const = 0;
   /// Seconds since 1970, only for what users see as times of day.
   virtual double unix_time() const = 0;
-  /// `fire` is called with `argument`; it may destroy the timer.
-  virtual std::unique_ptr<Timer> timer(Timer::Callback fire, void* argument) = 0;
+  /// `callback` is called with `argument`; it may destroy the timer.
+  virtual std::unique_ptr<Timer> timer(Timer::Callback callback, void* argument) = 0;
   /// Evenly distributed between `lo` and `hi`.
   double uniform(double lo, double hi);
   uint64_t random64() { return random_(); }
@@ -55,16 +55,16 @@
 
  protected:
   /// Background tasks that have not ended.
-  int running_tasks() const { return running_; }
+  int running_tasks() const { return running_tasks_; }
   /// Called when stop() was called and the last background task has ended.
   virtual void on_tasks_ended() = 0;
 
  private:
   struct Detached;
-  static Detached drive(Loop* loop, std::string name, Task<void> task);
+  static Detached run_detached(Loop* loop, std::string name, Task<void> task);
   std::mt19937_64 random_;
   std::stop_source stop_;
-  int running_ = 0;
+  int running_tasks_ = 0;
 };
 
 /// Awaitable: resumes after `seconds`, or soon after the token is stopped. Yields false when
@@ -112,7 +112,7 @@
  private:
   void arm(double seconds);
   Loop& loop_;
-  bool set_ = false;
+  bool notified_ = false;
   std::coroutine_handle<> waiter_;
   std::unique_ptr<Timer> timer_;
   std::unique_ptr<std::stop_callback<std::function<void()>>> on_stop_;
--- a/src/transport/open_file_limit.hpp
+++ b/src/transport/open_file_limit.hpp
@@ -4,8 +4,8 @@
 
 namespace damsonport {
 
-/// Raises the soft limit to `wanted`, as far as the hard limit allows. Yields the limit in force
-/// afterwards, or 0 where the system doesn't tell it.
-size_t ensure_open_file_limit(size_t wanted);
+/// Raises the soft limit to `wanted_files`, as far as the hard limit allows. Yields the limit in
+/// force afterwards, or 0 where the system doesn't tell it.
+size_t ensure_open_file_limit(size_t wanted_files);
 
 }  // namespace damsonport
--- a/src/transport/task.hpp
+++ b/src/transport/task.hpp
@@ -37,7 +37,7 @@
   std::optional<T> value;
   Task<T> get_return_object();
   void return_value(T v) { value.emplace(std::move(v)); }
-  T take() {
+  T result() {
     if (error) std::rethrow_exception(error);
     return std::move(*value);
   }
@@ -47,7 +47,7 @@
 struct Promise<void> : PromiseBase {
   Task<void> get_return_object();
   void return_void() const noexcept {}
-  void take() const {
+  void result() const {
     if (error) std::rethrow_exception(error);
   }
 };
@@ -74,7 +74,7 @@
     handle_.promise().continuation = caller;
     return handle_;
   }
-  T await_resume() { return handle_.promise().take(); }
+  T await_resume() { return handle_.promise().result(); }
 
  private:
   Handle handle_;
--- a/src/transport/warning_limiter.hpp
+++ b/src/transport/warning_limiter.hpp
@@ -12,15 +12,15 @@
   /// Counts a warning at `now`, in seconds. Where it is to be logged now, yields how often it has
   /// occurred since it was last logged, this time included. It is logged at once when its text
   /// changes, and then at intervals that double up to a bound.
-  std::optional<uint64_t> record(const std::string& words, double now);
+  std::optional<uint64_t> record(const std::string& text, double now);
   /// The cause is over: the next warning is logged at once.
-  void clear() { words_.clear(); }
+  void clear() { text_.clear(); }
 
  private:
   static constexpr double first_interval_s = 5, longest_interval_s = 320;
-  std::string words_;
-  double interval_s_ = 0, next_ = 0;
-  uint64_t count_ = 0;  // since it was last logged
+  std::string text_;
+  double interval_s_ = 0, next_log_at_ = 0;
+  uint64_t unlogged_count_ = 0;  // since it was last logged
 };
 
 }  // namespace damsonport
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -11,12 +11,12 @@
 namespace damsonport {
 namespace {
 
-struct Fixture {
+struct HttpFixture {
   EventLoop loop;
   EventHttpClient client{loop};
   EventHttpServer server;
-  Endpoint at;
-  Fixture()
+  Endpoint endpoint;
+  HttpFixture()
       : server(loop, 1000, 16, 10, [](HttpRequest r) -> Task<HttpResponse> {
           HttpResponse out{r.method == Method::post ? 200 : 405, r.body, 0};
           out.close = r.path == "/last";
@@ -24,67 +24,67 @@
           co_return out;
         }) {
     EXPECT_TRUE(server.bind({"127.0.0.1", 0}));
-    at = {"127.0.0.1", server.port()};
+    endpoint = {"127.0.0.1", server.port()};
   }
-  HttpClientResponse ask(Method method, std::string path, std::string body) {
-    HttpClientResponse reply;
-    loop.spawn("ask", run(method, std::move(path), std::move(body), &reply));
+  HttpClientResponse send(Method method, std::string path, std::string body) {
+    HttpClientResponse response;
+    loop.spawn("request", run(method, std::move(path), std::move(body), &response));
     loop.run();
-    return reply;
+    return response;
   }
   Task<void> run(Method method, std::string path, std::string body, HttpClientResponse* out) {
-    *out = co_await client.request(at, method, std::move(path), std::move(body), 5.0);
+    *out = co_await client.request(endpoint, method, std::move(path), std::move(body), 5.0);
     loop.stop();
   }
 };
 
-TEST(Http, BodySent_ReturnedByTheHandler) {
-  Fixture f;
-  auto reply = f.ask(Method::post, "/x?y=1", "hello");
-  EXPECT_EQ(reply.status, 200);
-  EXPECT_EQ(reply.body, "hello");
+TEST(Http, BodySent_EchoedByTheHandler) {
+  HttpFixture f;
+  auto response = f.send(Method::post, "/x?y=1", "hello");
+  EXPECT_EQ(response.status, 200);
+  EXPECT_EQ(response.body, "hello");
 }
 
 TEST(Http, MethodNotServed_ReachesTheHandler) {
-  Fixture f;
-  EXPECT_EQ(f.ask(Method::get, "/x", "").status, 405);
+  HttpFixture f;
+  EXPECT_EQ(f.send(Method::get, "/x", "").status, 405);
 }
 
 TEST(Http, BodyOverTheLimit_NotHandled) {
-  Fixture f;
-  EXPECT_NE(f.ask(Method::post, "/x", std::string(5000, 'a')).status, 200);
+  HttpFixture f;
+  EXPECT_NE(f.send(Method::post, "/x", std::string(5000, 'a')).status, 200);
 }
 
 // What is kept open is bounded by what others leave, and the least used goes first.
-TEST(Http, IdleConnectionsOverTheBound_OldestClosed) {
-  Fixture f;
-  EventHttpServer other(f.loop, 1000, 16, 10,
-                        [](HttpRequest) -> Task<HttpResponse> { co_return HttpResponse{}; });
-  ASSERT_TRUE(other.bind({"127.0.0.1", 0}));
-  size_t most = 2;
-  f.client.set_idle_limit([&] { return most; });
-  auto ask_all = [&](Endpoint first, Endpoint second) -> Task<void> {
+TEST(Http, IdleConnectionsOverTheLimit_OldestClosed) {
+  HttpFixture f;
+  EventHttpServer other_server(f.loop, 1000, 16, 10,
+                               [](HttpRequest) -> Task<HttpResponse> { co_return HttpResponse{}; });
+  ASSERT_TRUE(other_server.bind({"127.0.0.1", 0}));
+  size_t limit = 2;
+  f.client.set_idle_limit([&] { return limit; });
+  auto send_both = [&](Endpoint first, Endpoint second) -> Task<void> {
     co_await f.client.request(first, Method::post, "/", "x", 5.0);
     co_await f.client.request(second, Method::post, "/", "x", 5.0);
     f.loop.stop();
   };
-  f.loop.spawn("ask", ask_all(f.at, {"127.0.0.1", other.port()}));
+  f.loop.spawn("request", send_both(f.endpoint, {"127.0.0.1", other_server.port()}));
   f.loop.run();
   EXPECT_EQ(f.client.idle_connections(), 2u);
   EXPECT_EQ(f.client.requests_in_progress(), 0u);
-  most = 1;
-  f.ask(Method::post, "/", "x");
+  limit = 1;
+  f.send(Method::post, "/", "x");
   EXPECT_EQ(f.client.idle_connections(), 1u);
 }
 
 TEST(Http, ResponseWithClose_ConnectionClosed) {
-  Fixture f;
-  f.ask(Method::post, "/last", "x");
+  HttpFixture f;
+  f.send(Method::post, "/last", "x");
   EXPECT_EQ(f.server.open_connections(), 0u);
 }
 
 // How old a report may be rests on it.
-TEST(Http, ConnectionReused_RequestCarriesThePreviousAnswerTime) {
+TEST(Http, ConnectionReused_RequestCarriesThePreviousResponseTime) {
   EventLoop loop;
   std::vector<double> previous, answered;
   EventHttpServer server(loop, 1000, 16, 10, [&](HttpRequest r) -> Task<HttpResponse> {
@@ -94,14 +94,14 @@
   });
   ASSERT_TRUE(server.bind({"127.0.0.1", 0}));
   EventHttpClient client(loop);
-  const Endpoint at{"127.0.0.1", server.port()};
-  auto ask_thrice = [&]() -> Task<void> {
-    co_await client.request(at, Method::post, "/", "x", 5.0);
-    co_await client.request(at, Method::post, "/last", "x", 5.0);
-    co_await client.request(at, Method::post, "/", "x", 5.0);
+  const Endpoint endpoint{"127.0.0.1", server.port()};
+  auto send_three = [&]() -> Task<void> {
+    co_await client.request(endpoint, Method::post, "/", "x", 5.0);
+    co_await client.request(endpoint, Method::post, "/last", "x", 5.0);
+    co_await client.request(endpoint, Method::post, "/", "x", 5.0);
     loop.stop();
   };
-  loop.spawn("ask", ask_thrice());
+  loop.spawn("request", send_three());
   loop.run();
   ASSERT_EQ(previous.size(), 3u);
   EXPECT_EQ(previous[0], 0);
@@ -110,14 +110,14 @@
   EXPECT_EQ(previous[2], 0) << "on a connection of its own";
 }
 
-TEST(Http, NobodyListens_NoAnswer) {
-  Fixture f;
-  f.at.port = 1;
-  EXPECT_FALSE(f.ask(Method::post, "/x", "hello").answered());
+TEST(Http, EndpointNotListening_NoResponse) {
+  HttpFixture f;
+  f.endpoint.port = 1;
+  EXPECT_FALSE(f.send(Method::post, "/x", "hello").answered());
 }
 
 // More workers than connections: each is closed after its report, so all are answered.
-TEST(Http, MoreWorkersThanConnections_AllAnswered) {
+TEST(Http, MoreWorkersThanConnections_AllReceiveResponses) {
   constexpr size_t connections = 4, workers = 24;
   EventLoop loop;
   EventHttpServer* running = nullptr;
@@ -129,12 +129,12 @@
   });
   running = &server;
   ASSERT_TRUE(server.bind({"127.0.0.1", 0}));
-  const Endpoint at{"127.0.0.1", server.port()};
+  const Endpoint endpoint{"127.0.0.1", server.port()};
   // A worker of its own each, which keeps its connection open when it may.
   std::vector<std::unique_ptr<EventHttpClient>> clients;
   size_t answered = 0, ended = 0;
   auto report = [&](EventHttpClient& client) -> Task<void> {
-    answered += (co_await client.request(at, Method::post, "/hello", "x", 4.0)).status == 200;
+    answered += (co_await client.request(endpoint, Method::post, "/hello", "x", 4.0)).status == 200;
     if (++ended == workers) loop.stop();
   };
   for (size_t i = 0; i < workers; ++i) {
@@ -154,42 +154,42 @@
 }
 
 // Longer than what may queue up: the teams of all regions in one message.
-TEST(Streams, LongMessageOnAnIdleLink_Delivered) {
+TEST(Stream, LongMessageOnAnIdleLink_Delivered) {
   EventLoop loop;
   constexpr size_t length = 200000;
-  size_t seen = 0;
-  auto take = [&](std::string_view bytes) -> long {
+  size_t received_bytes = 0;
+  auto receive = [&](std::string_view bytes) -> long {
     if (bytes.size() < length) return 0;
-    seen = bytes.size();
+    received_bytes = bytes.size();
     loop.stop();
     return static_cast<long>(bytes.size());
   };
   // The first port that is free.
-  Endpoint at{"127.0.0.1", 47391};
+  Endpoint endpoint{"127.0.0.1", 47391};
   std::unique_ptr<EventStreamListener> listener;
   for (int tries = 0; tries < 100 && (!listener || !listener->listening()); ++tries) {
-    ++at.port;
-    listener = std::make_unique<EventStreamListener>(loop, at, 2, take);
+    ++endpoint.port;
+    listener = std::make_unique<EventStreamListener>(loop, endpoint, 2, receive);
   }
   ASSERT_TRUE(listener->listening());
   EventStreamLink link(loop, at);
-  auto give_up = [&]() -> Task<void> {
+  auto stop_after_timeout = [&]() -> Task<void> {
     co_await Sleep(loop, 20, loop.stop_token());
     loop.stop();
   };
-  loop.spawn("give up", give_up());
+  loop.spawn("timeout", stop_after_timeout());
   link.send(std::string(length, 'x'));
   loop.run();
-  EXPECT_EQ(seen, length);
+  EXPECT_EQ(received_bytes, length);
 }
 
-TEST(OpenFileLimit, RaisedBeyondTheHardLimit_StopsAtIt) {
+TEST(OpenFileLimit, RaisedBeyondTheHardLimit_SetToTheHardLimit) {
   const size_t before = ensure_open_file_limit(0);
   ASSERT_GT(before, 0u);
   EXPECT_GE(ensure_open_file_limit(before), before);
-  const size_t most = ensure_open_file_limit(std::numeric_limits<int>::max());
-  EXPECT_GE(most, before);
-  EXPECT_EQ(ensure_open_file_limit(0), most);
+  const size_t limit = ensure_open_file_limit(std::numeric_limits<int>::max());
+  EXPECT_GE(limit, before);
+  EXPECT_EQ(ensure_open_file_limit(0), limit);
 }
 
 TEST(Endpoint, TextIsNotIpv4AndPort_NotParsed) {
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -20,13 +20,13 @@
 TEST(Job, EncodedAndDecoded_FieldsUnchanged) {
   auto spec = decode_job(job_message());
   ASSERT_TRUE(spec);
-  auto back = decode_job(encode_job(*spec));
-  ASSERT_TRUE(back);
-  EXPECT_EQ(back->priority, Priority::high);
-  EXPECT_EQ(back->tasks, 4u);
-  EXPECT_TRUE(back->spot);
-  EXPECT_EQ(back->checkpoint_s, 10.0);
-  EXPECT_FALSE(back->deadline_s);
+  auto decoded = decode_job(encode_job(*spec));
+  ASSERT_TRUE(decoded);
+  EXPECT_EQ(decoded->priority, Priority::high);
+  EXPECT_EQ(decoded->tasks, 4u);
+  EXPECT_TRUE(decoded->spot);
+  EXPECT_EQ(decoded->checkpoint_s, 10.0);
+  EXPECT_FALSE(decoded->deadline_s);
 }
 
 TEST(Job, FieldMissingOrInvalid_ErrorNamesIt) {
@@ -44,90 +44,93 @@
     ASSERT_FALSE(spec) << field;
     EXPECT_NE(spec.error().find(field), std::string::npos);
   }
-  auto bad = [](const char* key, Json value) {
+  auto is_rejected = [](const char* key, Json value) {
     auto m = job_message();
     m[key] = std::move(value);
     return !decode_submission(m);
   };
-  EXPECT_TRUE(bad("hands", 0));
-  EXPECT_TRUE(bad("hands", 100001));
-  EXPECT_TRUE(bad("hands", 2.5));
-  EXPECT_TRUE(bad("cores", -1.0));
-  EXPECT_TRUE(bad("cores", "4"));
-  EXPECT_TRUE(bad("rank", "urgent"));
-  EXPECT_TRUE(bad("ref", "job 1"));
-  EXPECT_TRUE(bad("tender", 1));
-  EXPECT_TRUE(bad("hulls", Json::array({1})));
+  EXPECT_TRUE(is_rejected("hands", 0));
+  EXPECT_TRUE(is_rejected("hands", 100001));
+  EXPECT_TRUE(is_rejected("hands", 2.5));
+  EXPECT_TRUE(is_rejected("cores", -1.0));
+  EXPECT_TRUE(is_rejected("cores", "4"));
+  EXPECT_TRUE(is_rejected("rank", "urgent"));
+  EXPECT_TRUE(is_rejected("ref", "job 1"));
+  EXPECT_TRUE(is_rejected("tender", 1));
+  EXPECT_TRUE(is_rejected("hulls", Json::array({1})));
 }
 
 // A type that the cloud doesn't have takes no room in the record.
-TEST(Judgement, TypesNotInTheCatalogue_Dropped) {
-  MachineType g;
-  g.name = "g";
+TEST(AdmissionCheck, TypesNotInTheCatalog_Dropped) {
+  MachineType machine_type;
+  machine_type.name = "g";
   auto spec = *decode_job(job_message());
   spec.types = {"gone", "g", "g"};
-  drop_unknown_machine_types(spec, {g});
+  drop_unknown_machine_types(spec, {machine_type});
   EXPECT_EQ(spec.types, std::vector<std::string>{"g"});
 }
 
-TEST(Body, NotOneWholeMap_Null) {
+TEST(CborMap, NotOneCompleteMap_DecodedAsNull) {
   EXPECT_TRUE(decode_map("").is_null());
   EXPECT_TRUE(decode_map(std::string("\xff\x00", 2)).is_null());
   EXPECT_TRUE(decode_map(encode(Json::array({1}))).is_null());
   EXPECT_TRUE(decode_map(encode(job_message()).substr(0, 20)).is_null());
 }
 
-TEST(Judgement, TeamTypesAndLimits_DecideTheVerdict) {
-  Settings s;
-  s.teams.push_back({"t", 0, 0, 4, 8});
-  MachineType g;
-  g.name = "g", g.cpus = 48, g.gpus = 8, g.memory_gb = 100, g.zones = {"a"};
+TEST(AdmissionCheck, TeamTypesAndLimits_DecideTheResult) {
+  Settings settings;
+  settings.teams.push_back({"t", 0, 0, 4, 8});
+  MachineType machine_type;
+  machine_type.name = "g", machine_type.cpus = 48, machine_type.gpus = 8,
+  machine_type.memory_gb = 100, machine_type.zones = {"a"};
   auto spec = *decode_job(job_message());
-  EXPECT_EQ(check_admission(spec, s, {g}), AdmissionResult::admitted);
+  EXPECT_EQ(check_admission(spec, settings, {machine_type}), AdmissionResult::admitted);
   auto other = spec;
   other.team = "nobody";
-  EXPECT_EQ(check_admission(other, s, {g}), AdmissionResult::unknown_team);
+  EXPECT_EQ(check_admission(other, settings, {machine_type}), AdmissionResult::unknown_team);
   other = spec;
   other.zone = "b";
-  EXPECT_EQ(check_admission(other, s, {g}), AdmissionResult::no_fitting_machine_type);
+  EXPECT_EQ(check_admission(other, settings, {machine_type}),
+            AdmissionResult::no_fitting_machine_type);
   other = spec;
   other.tasks = 9;
-  EXPECT_EQ(check_admission(other, s, {g}), AdmissionResult::admitted)
+  EXPECT_EQ(check_admission(other, settings, {machine_type}), AdmissionResult::admitted)
       << "of an array one task has to fit";
   other.kind = JobKind::service;
-  EXPECT_EQ(check_admission(other, s, {g}), AdmissionResult::over_quota_limit);
+  EXPECT_EQ(check_admission(other, settings, {machine_type}), AdmissionResult::over_quota_limit);
   other.kind = JobKind::gang;
-  EXPECT_EQ(check_admission(other, s, {g}), AdmissionResult::over_quota_limit)
+  EXPECT_EQ(check_admission(other, settings, {machine_type}), AdmissionResult::over_quota_limit)
       << "a gang runs whole or not at all";
   other.tasks = 8;
-  EXPECT_EQ(check_admission(other, s, {g}), AdmissionResult::admitted);
+  EXPECT_EQ(check_admission(other, settings, {machine_type}), AdmissionResult::admitted);
 }
 
-TEST(PeerHeartbeat, EncodedAndDecoded_FieldsUnchangedAndBadFramesDetected) {
-  PeerHeartbeat b;
-  b.controller = "n-1", b.incarnation = 1ull << 51, b.pending_tasks = 77, b.records_loaded = true,
-  b.fencing_token = 41;
-  b.echo_ms = 300, b.newest_number = 9, b.cancelled = {{"run-7", 1500}, {"run-8", 0}};
-  auto bytes = encode_peer_heartbeat(b);
-  PeerHeartbeat back;
+TEST(PeerHeartbeat, EncodedAndDecoded_FieldsUnchangedAndMalformedFramesDetected) {
+  PeerHeartbeat heartbeat;
+  heartbeat.controller = "n-1", heartbeat.incarnation = 1ull << 51, heartbeat.pending_tasks = 77,
+  heartbeat.records_loaded = true, heartbeat.fencing_token = 41;
+  heartbeat.echo_ms = 300, heartbeat.newest_number = 9,
+  heartbeat.cancelled = {{"run-7", 1500}, {"run-8", 0}};
+  auto bytes = encode_peer_heartbeat(heartbeat);
+  PeerHeartbeat decoded;
   size_t used = 0;
-  ASSERT_EQ(decode_peer_heartbeat(bytes, back, used), FrameStatus::complete);
+  ASSERT_EQ(decode_peer_heartbeat(bytes, decoded, used), FrameStatus::complete);
   EXPECT_EQ(used, bytes.size());
-  EXPECT_EQ(back.incarnation, b.incarnation);
-  EXPECT_EQ(back.pending_tasks, 77u);
-  EXPECT_TRUE(back.records_loaded);
-  EXPECT_EQ(back.fencing_token, 41u);
-  EXPECT_EQ(back.echo_ms, 300u);
-  EXPECT_EQ(back.newest_number, 9u);
-  ASSERT_EQ(back.cancelled.size(), 2u);
-  EXPECT_EQ(back.cancelled[0].job, "run-7");
-  EXPECT_EQ(back.cancelled[0].age_ms, 1500u);
+  EXPECT_EQ(decoded.incarnation, heartbeat.incarnation);
+  EXPECT_EQ(decoded.pending_tasks, 77u);
+  EXPECT_TRUE(decoded.records_loaded);
+  EXPECT_EQ(decoded.fencing_token, 41u);
+  EXPECT_EQ(decoded.echo_ms, 300u);
+  EXPECT_EQ(decoded.newest_number, 9u);
+  ASSERT_EQ(decoded.cancelled.size(), 2u);
+  EXPECT_EQ(decoded.cancelled[0].job, "run-7");
+  EXPECT_EQ(decoded.cancelled[0].age_ms, 1500u);
   for (size_t n = 0; n < bytes.size(); ++n)
-    EXPECT_EQ(decode_peer_heartbeat(bytes.substr(0, n), back, used), FrameStatus::incomplete);
-  EXPECT_EQ(decode_peer_heartbeat(std::string(16, '\xff'), back, used), FrameStatus::malformed);
+    EXPECT_EQ(decode_peer_heartbeat(bytes.substr(0, n), decoded, used), FrameStatus::incomplete);
+  EXPECT_EQ(decode_peer_heartbeat(std::string(16, '\xff'), decoded, used), FrameStatus::malformed);
   std::string earlier_version = bytes;
   earlier_version[1] = 3;
-  EXPECT_EQ(decode_peer_heartbeat(earlier_version, back, used), FrameStatus::malformed);
+  EXPECT_EQ(decode_peer_heartbeat(earlier_version, decoded, used), FrameStatus::malformed);
   // What a later version adds at the end is passed over.
   VarintReader frame(bytes);
   std::string body;
@@ -135,9 +138,9 @@
   body[0] = 5;
   VarintWriter later;
   later.text(body + "more");
-  ASSERT_EQ(decode_peer_heartbeat(later.bytes(), back, used), FrameStatus::complete);
+  ASSERT_EQ(decode_peer_heartbeat(later.bytes(), decoded, used), FrameStatus::complete);
   EXPECT_EQ(used, later.bytes().size());
-  EXPECT_EQ(back.cancelled.size(), 2u);
+  EXPECT_EQ(decoded.cancelled.size(), 2u);
 }
 
 std::string settings_with(const std::string& announced) {
@@ -192,14 +195,14 @@
 }
 
 TEST(Settings, LimitsAnnounced_SmallerOnesApply) {
-  auto s = parse_settings(
+  auto settings = parse_settings(
       settings_with("[deployment.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nfuture = 1\n"));
-  ASSERT_TRUE(s) << s.error();
-  EXPECT_EQ(s->gang_wait_s, 40);
-  EXPECT_EQ(s->state_limits.present().value_kb, 16);
-  EXPECT_EQ(s->state_limits.always().value_kb, 2);
-  EXPECT_EQ(s->state_limits.always().txn_writes, 4);
-  EXPECT_EQ(s->state_limits.always().writes_per_s, 50) << "what is not announced stays";
+  ASSERT_TRUE(settings) << settings.error();
+  EXPECT_EQ(settings->gang_wait_s, 40);
+  EXPECT_EQ(settings->state_limits.present().value_kb, 16);
+  EXPECT_EQ(settings->state_limits.always().value_kb, 2);
+  EXPECT_EQ(settings->state_limits.always().txn_writes, 4);
+  EXPECT_EQ(settings->state_limits.always().writes_per_s, 50) << "what is not announced stays";
   // Limits that are raised don't help before they are.
   auto raised = parse_settings(settings_with("[deployment.state.next]\nvalue_kb = 64.0\n"));
   ASSERT_TRUE(raised);
@@ -210,16 +213,16 @@
 }
 
 TEST(Settings, AnnouncedLimitsInvalid_ErrorNamesThem) {
-  const auto bad = [](const std::string& announced, const std::string& field) {
+  const auto expect_rejected = [](const std::string& announced, const std::string& field) {
     auto s = parse_settings(settings_with(announced));
     ASSERT_FALSE(s) << announced;
     EXPECT_NE(s.error().find("deployment.state.next" + field), std::string::npos) << s.error();
   };
-  bad("next = 3\n", "");
+  expect_rejected("next = 3\n", "");
   for (const char* value : {"0", "-1.0", "\"4\"", "nan"})
     for (const char* field : {"value_kb", "txn_ops", "write_rps", "rps"})
-      bad(std::string("[deployment.state.next]\n") + field + " = " + value + "\n",
-          std::string(".") + field);
+      expect_rejected(std::string("[deployment.state.next]\n") + field + " = " + value + "\n",
+                      std::string(".") + field);
 }
 
 TEST(Catalog, FieldMissing_ErrorNamesTheEntryAndTheField) {
@@ -241,35 +244,36 @@
   EXPECT_EQ(list.error(), "machine list: vessels[1].ref is missing or invalid");
 }
 
-TEST(Heartbeat, StatesAndCausesOfGangs_Decoded) {
+TEST(WorkerHeartbeat, GangStatesAndExitCauses_Decoded) {
   const Json task = {{"hand", "run-1/0"}, {"launch", 2}};
-  Json waiting = task, peers = task, alone = task, strange = task, odd_cause = task;
+  Json waiting = task, peers = task, alone = task, unknown_state = task, unknown_cause = task;
   waiting["status"] = "waiting";
-  peers["status"] = alone["status"] = odd_cause["status"] = "exited";
+  peers["status"] = alone["status"] = unknown_cause["status"] = "exited";
   peers["cause"] = "peers";
   alone["cause"] = "alone";
-  odd_cause["cause"] = "something new";
-  strange["status"] = "something new";
-  auto report = decode_heartbeat({{"vessel", "i-1"},
-                                  {"address", "10.1.0.1:9000"},
-                                  {"hull", "g"},
-                                  {"dock", "a"},
-                                  {"watch", 1},
-                                  {"tally", 1},
-                                  {"hands", {waiting, peers, alone, strange, odd_cause}}});
-  ASSERT_TRUE(report) << report.error();
-  EXPECT_EQ(report->tasks[0].state, TaskState::waiting);
-  EXPECT_EQ(report->tasks[1].cause, ExitCause::gang_member_lost);
-  EXPECT_EQ(report->tasks[2].cause, ExitCause::gang_incomplete);
-  EXPECT_EQ(report->tasks[3].state, TaskState::running);
-  EXPECT_EQ(report->tasks[4].cause, ExitCause::error);
+  unknown_cause["cause"] = "something new";
+  unknown_state["status"] = "something new";
+  auto heartbeat =
+      decode_heartbeat({{"vessel", "i-1"},
+                        {"address", "10.1.0.1:9000"},
+                        {"hull", "g"},
+                        {"dock", "a"},
+                        {"watch", 1},
+                        {"tally", 1},
+                        {"hands", {waiting, peers, alone, unknown_state, unknown_cause}}});
+  ASSERT_TRUE(heartbeat) << heartbeat.error();
+  EXPECT_EQ(heartbeat->tasks[0].state, TaskState::waiting);
+  EXPECT_EQ(heartbeat->tasks[1].cause, ExitCause::gang_member_lost);
+  EXPECT_EQ(heartbeat->tasks[2].cause, ExitCause::gang_incomplete);
+  EXPECT_EQ(heartbeat->tasks[3].state, TaskState::running);
+  EXPECT_EQ(heartbeat->tasks[4].cause, ExitCause::error);
 }
 
 TEST(Tuning, EntriesInvalid_ErrorsNameTheirLines) {
-  auto t = parse_tuning("; ours\n(damsonport (straggler-bar 0.7)\n (grant-s 20))");
-  ASSERT_TRUE(t);
-  EXPECT_EQ(t->straggler_bar, 0.7);
-  EXPECT_EQ(t->shard_lease_s, 20);
+  auto tuning = parse_tuning("; ours\n(damsonport (straggler-bar 0.7)\n (grant-s 20))");
+  ASSERT_TRUE(tuning);
+  EXPECT_EQ(tuning->straggler_bar, 0.7);
+  EXPECT_EQ(tuning->shard_lease_s, 20);
   for (const char* text : {"(damsonport\n (nonsense 1))", "(damsonport\n (grant-s x))",
                            "(damsonport\n (grant-s 0))", "(damsonport\n (grant-s 1)"}) {
     auto bad = parse_tuning(text);
