--- a/src/protocol/cbor.hpp
+++ b/src/protocol/cbor.hpp
@@ -1,5 +1,5 @@
-/// CBOR maps on the wire, and the reading of their fields. The wire's names of the fields are
-/// constants of the modules that decode the messages.
+/// Encoding and decoding of CBOR maps, and typed reading of their fields. The field names of a
+/// message are constants of the module that decodes this message.
 #pragma once
 #include <nlohmann/json.hpp>
 #include <optional>
@@ -11,31 +11,34 @@
 
 using Json = nlohmann::json;
 
-/// The map that the bytes encode; null where they are not exactly one CBOR map.
+/// Decodes a CBOR map. Returns null if `body` is not exactly one complete CBOR map.
 Json decode_map(const std::string& body);
-/// The value in CBOR.
+/// Encodes a value as CBOR.
 std::string encode(const Json& value);
 
 namespace cbor {
 
-/// The field's value; nullptr where it is absent or null, which mean the same.
+/// Returns the value of a field, or nullptr if the field is absent or null. Messages don't
+/// distinguish absent from null fields.
 const Json* find(const Json& map, const char* name);
 
-/// Reads a field that has to be there. False where it is absent or of another type; numbers have
-/// to be finite, and integers must not be negative.
+/// Reads a required field. Returns false if the field is absent or has another type, if a
+/// floating-point number is not finite, or if an integer is negative.
 [[nodiscard]] bool read(const Json& map, const char* name, std::string& out);
 [[nodiscard]] bool read(const Json& map, const char* name, double& out);
 [[nodiscard]] bool read(const Json& map, const char* name, bool& out);
 [[nodiscard]] bool read(const Json& map, const char* name, uint64_t& out);
 [[nodiscard]] bool read(const Json& map, const char* name, std::vector<std::string>& out);
 
-/// Reads a field that may be absent: then `out` keeps its value. False where the type is wrong.
+/// Reads an optional field; `out` keeps its value if the field is absent. Returns false if the
+/// field is present but invalid, see read().
 template <class T>
 bool read_optional(const Json& map, const char* name, T& out) {
   return !find(map, name) || read(map, name, out);
 }
 
-/// Finds `text` among the `names`, which stand in the order of E's enumerators.
+/// Converts `text` to the enumerator with the same index as `text` in `names`, whose elements are
+/// in the order of the enumerators of E. Returns false if `names` doesn't contain `text`.
 template <class E, size_t N>
 [[nodiscard]] bool parse_enum(const std::string_view (&names)[N], std::string_view text, E& out) {
   for (size_t i = 0; i < N; ++i) {
@@ -46,7 +49,7 @@
   return false;
 }
 
-/// Reads a field that has to be one of the `names`.
+/// Reads a required text field with parse_enum().
 template <class E, size_t N>
 [[nodiscard]] bool read_enum(const Json& map, const char* name, const std::string_view (&names)[N],
                              E& out) {
--- a/src/protocol/cloud_messages.cpp
+++ b/src/protocol/cloud_messages.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Names on the wire.
+/// Field names in the messages of the cloud.
 namespace wire {
 constexpr const char* machine_types = "hulls";
 constexpr const char* type_name = "name";
@@ -30,13 +30,13 @@
 constexpr const char* count = "count";
 }  // namespace wire
 
-// "MESSAGE: LIST[3].FIELD is missing or invalid".
+// Returns the error "MESSAGE: LIST[INDEX].FIELD is missing or invalid".
 Error invalid_field(const char* message, const char* list, size_t index, const char* field) {
   return Error{std::string(message) + ": " + list + "[" + std::to_string(index) + "]." + field +
                " is missing or invalid"};
 }
 
-// The entries, or nullptr where the message has no such list.
+// Returns the list in the field `name`, or nullptr if the message has no such list.
 const Json* find_list(const Json& map, const char* name) {
   const auto* list = map.is_object() ? cbor::find(map, name) : nullptr;
   return list && list->is_array() ? list : nullptr;
@@ -46,7 +46,8 @@
   return Error{std::string(message) + ": " + list + " is missing or no list"};
 }
 
-// The wire name of the first field that is missing or invalid; nullptr where there is none.
+// Returns the wire name of the first required field that is missing or invalid, or nullptr if all
+// required fields are valid. An invalid optional field counts as absent.
 const char* decode_machine_type(const Json& map, MachineType& out) {
   if (!map.is_object() || !cbor::read(map, wire::type_name, out.name)) return wire::type_name;
   if (!cbor::read(map, wire::cpus, out.cpus)) return wire::cpus;
@@ -61,7 +62,7 @@
   return nullptr;
 }
 
-// As decode_machine_type().
+// Returns the same as decode_machine_type().
 const char* decode_listed_machine(const Json& map, ListedMachine& out) {
   if (!map.is_object() || !cbor::read(map, wire::machine_id, out.id)) return wire::machine_id;
   cbor::read_optional(map, wire::address, out.address);
--- a/src/protocol/frame.cpp
+++ b/src/protocol/frame.cpp
@@ -12,7 +12,7 @@
 
 FrameStatus decode_frame(std::string_view in, uint64_t max_body, std::string_view& body,
                          size_t& used) {
-  constexpr size_t max_header_bytes = 10;  // of a 64-bit varint
+  constexpr size_t max_header_bytes = 10;  // longest 64-bit varint
   VarintReader header(in);
   uint64_t size = 0;
   if (!header.number(size))
--- a/src/protocol/frame.hpp
+++ b/src/protocol/frame.hpp
@@ -1,4 +1,5 @@
-/// Frames on the streams between controllers: the length of the body as a varint, then the body.
+/// Frames on the byte streams between controllers. A frame consists of the length of the body in
+/// bytes as a varint, and the body.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -6,18 +7,19 @@
 
 namespace damsonport {
 
-/// What stands at the front of a stream's buffered bytes.
+/// State of the frame at the front of the buffered bytes of a stream.
 enum class FrameStatus : uint8_t {
-  partial,  ///< the beginning of a frame: more bytes are needed
-  whole,    ///< a whole frame
-  bad,      ///< no frame: the stream has to be closed
+  partial,  ///< more bytes are needed
+  whole,    ///< all bytes of the frame are buffered
+  bad,      ///< the bytes are not a valid frame, and the stream must be closed
 };
 
-/// The body with its length in front.
+/// Returns the frame with this body.
 std::string encode_frame(std::string_view body);
 
-/// Decodes the frame at the front of `in`. When whole, `body` refers into `in`, and `used` bytes
-/// were consumed. A frame whose body is longer than `max_body` bytes is bad.
+/// Decodes the frame at the front of `in`. If the frame is complete, sets `body` to a view into
+/// `in` and `used` to the number of bytes of the frame. A frame whose body is longer than
+/// `max_body` bytes is malformed.
 FrameStatus decode_frame(std::string_view in, uint64_t max_body, std::string_view& body,
                          size_t& used);
 
--- a/src/protocol/peer_heartbeat.hpp
+++ b/src/protocol/peer_heartbeat.hpp
@@ -1,5 +1,5 @@
-/// The heartbeat between the controllers of a region. All of it is a hint, except what orders and
-/// acknowledges the cancellations.
+/// The heartbeat between the controllers of a region. Its contents are hints, except for the fields
+/// that order and acknowledge cancellations.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -10,38 +10,43 @@
 
 namespace damsonport {
 
+/// Heartbeat from one controller to one peer.
 struct PeerHeartbeat {
-  std::string controller;           ///< name of the sender
-  uint64_t incarnation = 0;         ///< of the sender: another one after each start
-  uint64_t state_age_ms = 0;        ///< since its last contact with the key-value store
-  uint64_t pending_tasks = 0;       ///< pending tasks, for the sizes of the shards
-  bool records_loaded = false;      ///< it has read all records
-  uint64_t misrouted_machines = 0;  ///< machines of other shard leaders that report to it
-  uint64_t writes_per_s = 0;        ///< wanted of the key-value store per second
-  uint64_t fencing_token = 0;       ///< of the lease that it holds; 0: none
+  std::string controller;       ///< name of the sender
+  uint64_t incarnation = 0;     ///< random id of the sender's process; changes with each start
+  uint64_t state_age_ms = 0;    ///< time since the sender's last contact with the key-value store
+  uint64_t pending_tasks = 0;   ///< pending tasks of the sender's shard, used to size the shards
+  bool records_loaded = false;  ///< whether the sender has loaded all records
+  uint64_t misrouted_machines = 0;  ///< machines of other shards whose workers contact the sender
+  uint64_t writes_per_s = 0;        ///< write rate that the sender needs from the key-value store
+  uint64_t fencing_token = 0;       ///< token of the shard lease that the sender holds; 0: none
 
-  // For one receiver, so that it knows on its own clock as of when it was sent everything.
-  uint64_t sent_ms = 0;           ///< the sender's steady clock
-  uint64_t echo_incarnation = 0;  ///< the receiver's incarnation, as the sender knows it, and
-  uint64_t echo_ms = 0;           ///< the newest sent_ms of it that the sender has
-  uint64_t received_upto = 0;     ///< the sender has the receiver's cancellations up to this serial
+  // Echo of the receiver's own clock. From it, the receiver determines a time on its own clock
+  // before which every cancellation that was sent to it has arrived.
+  uint64_t sent_ms = 0;           ///< time of sending on the sender's steady clock
+  uint64_t echo_incarnation = 0;  ///< incarnation of the receiver to which `echo_ms` belongs
+  uint64_t echo_ms = 0;           ///< newest `sent_ms` that the sender got from the receiver
+  uint64_t received_upto = 0;     ///< acknowledges the receiver's cancellations up to this number
 
-  // Cancellations that the sender knows of and whose tasks may still exist: those after `from` up
-  // to `upto` are in this heartbeat.
+  // Cancellations that the sender knows and whose tasks may still exist. Each sender numbers its
+  // cancellations. `cancelled` lists those with numbers greater than `listed_after` and up to
+  // `listed_upto`.
   uint64_t listed_after = 0;
   uint64_t listed_upto = 0;
-  uint64_t newest_number = 0;  ///< serial of the newest cancellation of all
+  uint64_t newest_number = 0;  ///< number of the sender's newest cancellation
+  /// Cancellation of one job.
   struct Cancellation {
     std::string job;
-    uint64_t age_ms = 0;  ///< since the cancellation, or more
+    uint64_t age_ms = 0;  ///< upper bound of the time since the cancellation
   };
   std::vector<Cancellation> cancelled;
 };
 
-/// The framed heartbeat.
+/// Encodes the heartbeat as a frame.
 std::string encode_peer_heartbeat(const PeerHeartbeat& heartbeat);
-/// Takes one framed heartbeat off the front of `in`; `used` bytes were consumed when whole. What a
-/// later version adds at the end is ignored.
+/// Decodes the framed heartbeat at the front of `in`. If the frame is complete, sets `used` to the
+/// number of its bytes. Fields that a later version appends are ignored; a heartbeat of an earlier
+/// version is malformed.
 FrameStatus decode_peer_heartbeat(std::string_view in, PeerHeartbeat& out, size_t& used);
 
 }  // namespace damsonport
--- a/src/protocol/quota_units.cpp
+++ b/src/protocol/quota_units.cpp
@@ -7,7 +7,7 @@
 
 uint64_t units_covering(double amount, double limit) {
   if (limit <= 0 || amount <= 0) return 0;
-  // A rounding error must not add a unit.
+  // Keeps a rounding error from adding a unit.
   constexpr double rounding_tolerance = 1e-3;
   const double units =
       std::ceil(amount / limit * static_cast<double>(total_quota_units) - rounding_tolerance);
--- a/src/protocol/region_message.cpp
+++ b/src/protocol/region_message.cpp
@@ -26,7 +26,7 @@
   return body.bytes();
 }
 
-// What a later version adds at the end of an entry is ignored.
+// Ignores fields that a later version appends to an entry.
 bool decode_exchange(std::string_view in, TeamExchange& out) {
   VarintReader body(in);
   if (!body.text(out.team)) return false;
--- a/src/protocol/region_message.hpp
+++ b/src/protocol/region_message.hpp
@@ -1,8 +1,8 @@
-/// The message in which a region's leader tells the controllers of another region of the teams'
-/// quotas.
+/// The message with which a region's leader exchanges the teams' quotas with the controllers of
+/// another region.
 ///
-/// `sent` and `received` are totals since the beginning and only grow, so a message that arrives
-/// late, twice or out of order states nothing false. Everything else is a hint.
+/// `sent` and `received` are running totals that only grow, so a message that is delayed,
+/// duplicated or reordered is still correct. All other figures are hints.
 #pragma once
 #include <string>
 #include <string_view>
@@ -13,32 +13,33 @@
 
 namespace damsonport {
 
-/// What one region states of one team towards another region.
+/// Quota exchange of one team between the sender's region and the receiver's region.
 struct TeamExchange {
   std::string team;
-  QuotaUnits sent;      ///< transferred by the sender's region to the receiver's, as committed
-  QuotaUnits received;  ///< by the sender's region from the receiver's, as committed
-  /// What the sender could transfer, and what it requests of the receiver. The urgent amounts are
-  /// for work of an urgent priority, the others for any.
-  QuotaUnits urgent_surplus;
-  QuotaUnits surplus;
-  QuotaUnits urgent_request;
-  QuotaUnits request;
+  QuotaUnits sent;            ///< committed total of transfers to the receiver's region
+  QuotaUnits received;        ///< committed total of transfers from the receiver's region
+  QuotaUnits urgent_surplus;  ///< available for transfer to work of urgent priority
+  QuotaUnits surplus;         ///< available for transfer to work of any priority
+  QuotaUnits urgent_request;  ///< requested from the receiver for work of urgent priority
+  QuotaUnits request;         ///< requested from the receiver for work of any priority
 };
 
+/// Message from one region's leader to one controller of another region.
 struct RegionMessage {
   std::string region;          ///< name of the sender's region
   std::string receiver;        ///< name of the receiver's region
-  std::string controller;      ///< the controller that speaks for `region`
-  uint64_t fencing_token = 0;  ///< of the region's leader: orders the messages of one region, with
-  uint64_t sequence_number = 0;  ///< a number that grows within one token
+  std::string controller;      ///< name of the sending controller, the leader of `region`
+  uint64_t fencing_token = 0;  ///< token of the region's leader
+  uint64_t sequence_number =
+      0;  ///< grows within one token; together they order a region's messages
   std::vector<TeamExchange> teams;
 };
 
-/// The framed message.
+/// Encodes the message as a frame.
 std::string encode_region_message(const RegionMessage& message);
-/// Takes one framed message off the front of `in`; `used` bytes were consumed when whole. A message
-/// of another version is whole, with an empty `region`.
+/// Decodes the framed message at the front of `in`. If the frame is complete, sets `used` to the
+/// number of its bytes. A message of another version decodes to a complete message with an empty
+/// `region`.
 FrameStatus decode_region_message(std::string_view in, RegionMessage& out, size_t& used);
 
 }  // namespace damsonport
--- a/src/protocol/result.hpp
+++ b/src/protocol/result.hpp
@@ -1,5 +1,5 @@
-/// A value or the reason why there is none, for the paths where failure is ordinary. Modelled on
-/// std::expected, which this language standard lacks.
+/// Return type for operations that are expected to fail sometimes: a value or an error. Modelled on
+/// std::expected, which C++20 lacks.
 #pragma once
 #include <string>
 #include <utility>
@@ -7,17 +7,17 @@
 
 namespace damsonport {
 
-/// One or more problems, one a line.
+/// Text of one or more problems, one per line.
 struct Error {
   std::string text;
 
   bool empty() const { return text.empty(); }
-  /// Appends a problem, or several with one a line.
+  /// Appends one problem, or several problems separated by line breaks.
   void add(const std::string& problem) {
     if (!text.empty()) text += '\n';
     text += problem;
   }
-  /// The same with "FILE: " in front of each problem.
+  /// Returns a copy with the prefix "FILE: " before each problem.
   Error in(const std::string& file) const {
     Error out;
     size_t from = 0;
@@ -29,14 +29,14 @@
   }
 };
 
-/// Holds either a T or an Error. Reading the one that it doesn't hold throws
+/// Holds either a T or an Error. Access to the alternative that is not held throws
 /// std::bad_variant_access.
 template <class T>
 class [[nodiscard]] Result {
  public:
-  // NOLINTNEXTLINE(google-explicit-constructor): a value is returned as it is
+  // NOLINTNEXTLINE(google-explicit-constructor): lets functions return a value
   Result(T value) : state_(std::move(value)) {}
-  // NOLINTNEXTLINE(google-explicit-constructor): so is an error
+  // NOLINTNEXTLINE(google-explicit-constructor): lets functions return an error
   Result(Error error) : state_(std::move(error)) {}
 
   bool has_value() const { return std::holds_alternative<T>(state_); }
@@ -49,9 +49,9 @@
   T* operator->() { return &value(); }
   const T* operator->() const { return &value(); }
 
-  /// The problems, one a line.
+  /// Returns the problems, one per line.
   const std::string& error() const { return std::get<Error>(state_).text; }
-  /// The problems, each with the name of the file that it was found in.
+  /// Returns the problems, each with the name of the file as a prefix; see Error::in().
   Error error_in(const std::string& file) const { return std::get<Error>(state_).in(file); }
 
  private:
--- a/src/protocol/user_messages.cpp
+++ b/src/protocol/user_messages.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Names on the wire and in the stored records.
+/// Field names in the messages of users and in the stored records.
 namespace wire {
 constexpr const char* id = "ref";
 constexpr const char* job_class = "berth";
@@ -35,19 +35,19 @@
 constexpr const char* done = "done";
 constexpr const char* running = "running";
 
-/// In the order of the enumerators.
+/// Names of the enumerators, in the order of their values.
 constexpr std::string_view kinds[] = {"batch", "service", "ensemble"};
 constexpr std::string_view priorities[] = {"idle", "normal", "high", "production"};
 }  // namespace wire
 
-// Limits of the protocol.
+// Limits of the user protocol.
 constexpr uint64_t max_tasks = 100000;
 constexpr size_t max_text_bytes = 200;
 constexpr size_t max_types = 64;
 constexpr size_t max_id_bytes = 64;
 constexpr double max_amount = 1e9;  // exclusive
 
-/// The wire name of the first field that is missing or invalid; nothing where all are valid.
+/// Wire name of the first field that is missing or invalid; empty if all fields are valid.
 using InvalidField = std::optional<const char*>;
 
 bool read_text(const Json& map, const char* name, std::string& out) {
@@ -119,7 +119,7 @@
   return {};
 }
 
-// Fields of records only; an invalid one counts as left out.
+// Decodes the fields that only records have. An invalid field counts as absent.
 void decode_recorded_fields(const Json& map, JobSpec& spec) {
   cbor::read_optional(map, wire::accepted_at, spec.accepted_at);
   uint64_t parts = 1;
--- a/src/protocol/varint.cpp
+++ b/src/protocol/varint.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 constexpr int bits_per_byte = 7;
-constexpr uint64_t continuation_bit = 0x80;  // set in every byte but the last
+constexpr uint64_t continuation_bit = 0x80;  // set in all bytes except the last
 constexpr unsigned char value_mask = 0x7f;
-/// Of the tenth byte of a 64-bit number only one bit is left.
+/// Shift of the tenth byte, which holds only the last bit of a 64-bit number.
 constexpr int last_shift = 63;
 }  // namespace
 
--- a/src/protocol/varint.hpp
+++ b/src/protocol/varint.hpp
@@ -1,5 +1,5 @@
-/// The codec of the messages between controllers: numbers as base-128 varints, the lowest seven
-/// bits first; texts with their length in front.
+/// Encoding of the messages between controllers. Numbers are base-128 varints with the lowest seven
+/// bits first. A text is preceded by its length in bytes as a varint.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -18,17 +18,17 @@
   std::string out_;
 };
 
-/// Reads values from the front of a buffer, which has to outlive the reader. After a read that
-/// failed the reader can't be used any more.
+/// Reads values from the front of a buffer. The buffer must outlive the reader. After a failed read
+/// the reader must not be used any more.
 class VarintReader {
  public:
   explicit VarintReader(std::string_view in) : in_(in) {}
 
-  /// False at the end of the input, or for a number of more than 64 bits.
+  /// Returns false at the end of the input, or if the number has more than 64 bits.
   [[nodiscard]] bool number(uint64_t& value);
-  /// False where the input ends within the text.
+  /// Returns false if the input ends before the end of the text.
   [[nodiscard]] bool text(std::string& text);
-  /// Bytes read so far.
+  /// Number of bytes read so far.
   size_t used() const { return used_; }
 
  private:
--- a/src/protocol/worker_messages.cpp
+++ b/src/protocol/worker_messages.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Names on the wire.
+/// Field names in the messages of workers.
 namespace wire {
 constexpr const char* machine = "vessel";
 constexpr const char* address = "address";
@@ -26,7 +26,7 @@
 constexpr const char* grace_s = "slack_s";
 constexpr const char* controller = "harbour";
 
-/// In the order of the enumerators.
+/// Names of the enumerators, in the order of their values.
 constexpr std::string_view states[] = {"fetching", "running", "flushing", "exited", "waiting"};
 constexpr std::string_view causes[] = {"",     "done",    "stopped", "error", "no_room",
                                        "busy", "no_such", "peers",   "alone"};
@@ -35,14 +35,14 @@
 
 constexpr size_t max_machine_name_bytes = 200;
 
-// False where a field is missing.
+// Returns false if a required field is missing or invalid.
 bool decode_task_status(const Json& map, TaskStatus& out) {
   std::string task;
   std::string state;
   if (!map.is_object() || !cbor::read(map, wire::task, task) || !parse_task_id(task, out.task) ||
       !cbor::read(map, wire::attempt, out.attempt) || !cbor::read(map, wire::state, state))
     return false;
-  // A task in an unknown state still takes resources of the machine: it counts as running.
+  // A task in an unknown state still uses resources of the machine, so it counts as running.
   if (!cbor::parse_enum(wire::states, state, out.state)) out.state = TaskState::running;
   if (out.state == TaskState::exited && !cbor::read_enum(map, wire::cause, wire::causes, out.cause))
     out.cause = ExitCause::error;
