--- a/src/transport/event_http.hpp
+++ b/src/transport/event_http.hpp
@@ -1,4 +1,4 @@
-/// HTTP over libevent's evhttp: the server, and a client that pools its connections.
+/// HTTP server, and HTTP client with a connection pool, on evhttp of libevent.
 #pragma once
 #include <deque>
 #include <list>
@@ -15,10 +15,11 @@
 
 namespace damsonport {
 
-/// Handles each request in a background task of its own.
+/// HTTP server that handles each request in a separate background task.
 ///
-/// The number of connections is bounded by not accepting: those beyond wait in the backlog of the
-/// listening socket. The server owns evhttp and, through it, the connections.
+/// While the number of connections is at its limit, the server doesn't accept new connections: they
+/// wait in the backlog of the listening socket. The server owns the evhttp object, which owns the
+/// connections.
 class EventHttpServer : public HttpServer {
  public:
   EventHttpServer(EventLoop& loop, size_t max_body, size_t max_connections, double idle_s,
@@ -37,7 +38,7 @@
   struct Exchange;
   struct Connection {
     std::shared_ptr<Exchange> exchange;  // null between requests
-    double responded_at = 0;             // the last request
+    double responded_at = 0;             // time of the last response, 0: none
   };
   static HttpRequest read_request(evhttp_request* http_request);
   static void on_close(evhttp_connection* connection, void* server);
@@ -53,15 +54,16 @@
   Handler handler_;
   evhttp* http_;
   evhttp_bound_socket* socket_ = nullptr;
-  // When the connections were accepted on which no request has come yet. evhttp tells of a
-  // connection only with its first request.
+  // Times at which the connections without any request so far were accepted. evhttp makes a
+  // connection accessible only with its first request.
   std::deque<double> awaiting_first_request_;
   std::unordered_map<evhttp_connection*, Connection> connections_;
 };
 
-/// Keeps connections open after a response, for the next request to the same endpoint.
+/// HTTP client that keeps a connection open after a response, for the next request to the same
+/// endpoint.
 ///
-/// Must outlive the requests in progress: each of them is a coroutine that refers to it.
+/// The client must outlive its requests in progress, whose coroutines refer to the client.
 class EventHttpClient : public HttpClient {
  public:
   explicit EventHttpClient(EventLoop& loop) : loop_(loop) {}
@@ -92,8 +94,8 @@
   EventLoop& loop_;
   std::function<size_t()> idle_limit_;
   size_t requests_in_progress_ = 0;
-  IdleList idle_by_age_;  // the oldest first
-  // The same by endpoint, in the same order.
+  IdleList idle_by_age_;  // least recently used first
+  // Iterators into `idle_by_age_`, by endpoint and in the same order.
   std::unordered_map<std::string, std::deque<IdleList::iterator>> idle_by_endpoint_;
 };
 
--- a/src/transport/event_http_client.cpp
+++ b/src/transport/event_http_client.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// evhttp's own, longer than that of any request.
+// Timeout of evhttp, longer than the timeout of any request, which PendingRequest's timer enforces.
 constexpr int connection_timeout_s = 120;
 
 evhttp_cmd_type command_of(Method method) {
@@ -35,8 +35,9 @@
 
 }  // namespace
 
-// One request in progress, as an awaitable that lives in the frame of request(). The timer bounds
-// its time, and also resumes the waiting coroutine once the response is complete.
+// Awaitable for one request in progress, which lives in the coroutine frame of request(). The timer
+// limits the duration of the request. It also resumes the waiting coroutine once the response is
+// complete.
 struct EventHttpClient::PendingRequest {
   EventHttpClient& client;
   Endpoint to;
@@ -69,7 +70,8 @@
         this);
     const timeval timeout = to_timeval(timeout_s);
     event_add(timer, &timeout);
-    // Without a connection the timer reports it: never resumed from inside await_suspend.
+    // Without a connection, the request fails when the timer fires, because the coroutine must not
+    // be resumed from inside await_suspend().
     if (connection) send();
   }
 
@@ -83,12 +85,12 @@
       evhttp_add_header(headers, "Content-Type", "application/cbor");
       evbuffer_add(evhttp_request_get_output_buffer(request), body.data(), body.size());
     }
-    // On failure evhttp has freed the request and may not have called back.
+    // If evhttp_make_request() fails, it frees the request and may not call the callback.
     if (evhttp_make_request(connection, request, command_of(method), target.c_str()) != 0)
       request = nullptr;
   }
 
-  // The response has arrived, or there will be none.
+  // Called by evhttp when the response has arrived, or when the request has failed.
   void complete(evhttp_request* r) {
     if (done) return;
     if (r) {
@@ -101,11 +103,12 @@
     }
     request = nullptr;
     done = true;
-    // Resumed from the loop, not from evhttp's stack, which still uses the connection.
+    // The event loop resumes the coroutine. It must not be resumed from the callback of evhttp,
+    // which still uses the connection.
     event_active(timer, EV_TIMEOUT, 0);
   }
 
-  // The request is complete, or its time is over.
+  // Called by the timer, when the request is complete or has timed out.
   void finish() {
     if (!done) {
       done = true;
--- a/src/transport/event_http_server.cpp
+++ b/src/transport/event_http_server.cpp
@@ -19,7 +19,7 @@
 namespace {
 
 constexpr int max_header_bytes = 8192;
-// A connection that evhttp closes at its idle time is counted as open for so much longer.
+// Time for which a connection without a request still counts as open after evhttp's idle timeout.
 constexpr double close_grace_s = 1;
 
 Method method_of(evhttp_cmd_type command) {
@@ -60,7 +60,8 @@
   return true;
 }
 
-// A request being answered; `request` is cleared when its connection goes away first.
+// A request that is being handled. `request` is set to null if its connection closes before the
+// response is sent.
 struct EventHttpServer::Exchange {
   evhttp_request* request;
 };
@@ -76,7 +77,8 @@
   evhttp_set_max_body_size(http_, static_cast<ev_ssize_t>(max_body));
   evhttp_set_max_headers_size(http_, max_header_bytes);
   evhttp_set_timeout(http_, std::max(1, static_cast<int>(idle_s)));
-  // All methods reach the handler, so that a wrong one gets 405 and not evhttp's 501.
+  // All methods are passed to the handler, so that an unsupported method gets the status 405 and
+  // not evhttp's 501.
   evhttp_set_allowed_methods(http_, EVHTTP_REQ_GET | EVHTTP_REQ_POST | EVHTTP_REQ_HEAD |
                                         EVHTTP_REQ_PUT | EVHTTP_REQ_DELETE | EVHTTP_REQ_OPTIONS |
                                         EVHTTP_REQ_TRACE | EVHTTP_REQ_CONNECT | EVHTTP_REQ_PATCH);
@@ -84,7 +86,7 @@
       http_,
       [](evhttp_request* r, void* self) { static_cast<EventHttpServer*>(self)->on_request(r); },
       this);
-  // Called for every accepted connection.
+  // evhttp calls this callback for every accepted connection.
   evhttp_set_bevcb(
       http_,
       [](event_base* base, void* self) {
@@ -94,7 +96,7 @@
       this);
 }
 
-// A connection without a request is closed by evhttp after the idle time.
+// evhttp closes a connection on which no request arrives within the idle timeout.
 void EventHttpServer::on_accept() {
   awaiting_first_request_.push_back(loop_.now());
   pause_or_resume_accepting();
@@ -129,20 +131,21 @@
 }
 
 EventHttpServer::~EventHttpServer() {
-  // Freed with the rest, and connections closing meanwhile must not touch it.
+  // evhttp_free() frees the socket and calls on_close() for the open connections, which must not
+  // use the socket any more.
   socket_ = nullptr;
   evhttp_free(http_);
 }
 
 bool EventHttpServer::bind(const Endpoint& at) {
-  // Bound here and not by evhttp, which would look the address up.
+  // The listener is created here because evhttp would resolve the address by a name lookup.
   sockaddr_in address{};
   address.sin_family = AF_INET;
   address.sin_port = htons(at.port);
   evutil_inet_pton(AF_INET, at.host.c_str(), &address.sin_addr);
   auto* listener = evconnlistener_new_bind(
       loop_.base(), nullptr, nullptr, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE,
-      // A whole fleet may come at once.
+      // The workers of the whole fleet may connect at the same time.
       static_cast<int>(max_connections_), reinterpret_cast<sockaddr*>(&address), sizeof address);
   if (!listener) return false;
   socket_ = evhttp_bind_listener(http_, listener);
--- a/src/transport/event_loop.cpp
+++ b/src/transport/event_loop.cpp
@@ -47,7 +47,8 @@
 };
 }  // namespace
 
-// Two calls: with one seed of 32 bits the incarnations of many restarts would collide.
+// Two calls of random_device, because with one 32-bit seed the incarnations of many restarts would
+// collide.
 struct EventLoop::Seed {
   std::seed_seq sequence{std::random_device{}(), std::random_device{}(),
                          static_cast<unsigned>(clock_seconds(CLOCK_REALTIME) * 1e3)};
--- a/src/transport/event_loop.hpp
+++ b/src/transport/event_loop.hpp
@@ -1,4 +1,4 @@
-/// The program's event loop: libevent's, with the system's clocks.
+/// Event loop of the `damsonport` program, on libevent and the clocks of the system.
 #pragma once
 #include "transport/loop.hpp"
 
@@ -6,18 +6,18 @@
 
 namespace damsonport {
 
-/// Draws its random numbers from a seed of the system's.
+/// Event loop on libevent. The seed of its random numbers comes from the system.
 class EventLoop : public Loop {
  public:
-  /// Throws std::runtime_error where libevent can't be set up.
+  /// Throws std::runtime_error if libevent can't be initialized.
   EventLoop();
   ~EventLoop() override;
   double now() const override;
   double unix_time() const override;
   std::unique_ptr<Timer> timer(Timer::Callback callback, void* argument) override;
-  /// For what runs on libevent itself.
+  /// The libevent object, owned by the loop, for code that uses libevent directly.
   event_base* base() const { return base_; }
-  /// Runs until stop() was called and every background task has ended.
+  /// Runs the loop until stop() has been called and every background task has ended.
   void run();
 
  private:
--- a/src/transport/event_network.hpp
+++ b/src/transport/event_network.hpp
@@ -1,11 +1,12 @@
-/// The program's network: TCP on libevent.
+/// Network of the `damsonport` program: TCP on libevent.
 #pragma once
 #include "transport/event_loop.hpp"
 #include "transport/network.hpp"
 
 namespace damsonport {
 
-/// Everything that it makes runs on the given loop, which has to outlive it.
+/// Creates clients, servers and streams that run on the given loop. The loop must outlive all of
+/// them.
 class EventNetwork : public Network {
  public:
   explicit EventNetwork(EventLoop& loop) : loop_(loop) {}
--- a/src/transport/event_stream.cpp
+++ b/src/transport/event_stream.cpp
@@ -8,7 +8,8 @@
 namespace damsonport {
 
 namespace {
-// Bytes of messages that queue up behind others; one alone may be as long as its receiver takes.
+// Limit of the unsent bytes in the output buffer. It doesn't apply to a message that finds the
+// buffer empty: such a message may have any length that its receiver accepts.
 constexpr size_t max_unsent_bytes = size_t{32} * 1024;
 constexpr timeval idle_timeout{10, 0};
 constexpr int accept_backlog = 16;
@@ -44,7 +45,8 @@
           }
         },
         this);
-    // A link that takes nothing for a while is partitioned or dead: connect anew.
+    // If a write makes no progress within the timeout, the peer is dead or partitioned. The stream
+    // is closed, and the next message opens a new connection.
     bufferevent_set_timeouts(stream_, nullptr, &idle_timeout);
     bufferevent_enable(stream_, EV_READ | EV_WRITE);
     auto address = address_of(to_);
--- a/src/transport/event_stream.hpp
+++ b/src/transport/event_stream.hpp
@@ -1,4 +1,4 @@
-/// Byte streams over TCP, on libevent.
+/// Byte streams over TCP on libevent.
 #pragma once
 #include "transport/event_loop.hpp"
 #include "transport/http.hpp"
@@ -9,7 +9,8 @@
 
 namespace damsonport {
 
-/// Closes and connects anew where the peer takes nothing for some seconds.
+/// Outgoing TCP stream. It closes if a write makes no progress for 10 seconds, and reconnects with
+/// the next message.
 class EventStreamLink : public StreamLink {
  public:
   EventStreamLink(EventLoop& loop, Endpoint to) : loop_(loop), to_(std::move(to)) {}
@@ -26,7 +27,7 @@
   bool connected_ = false;
 };
 
-/// Closes a stream on which nothing arrives for some seconds.
+/// Listener for TCP streams. It closes a stream on which no bytes arrive for 10 seconds.
 class EventStreamListener : public StreamListener {
  public:
   EventStreamListener(EventLoop& loop, const Endpoint& at, size_t max_streams, OnBytes on_bytes);
--- a/src/transport/loop.cpp
+++ b/src/transport/loop.cpp
@@ -13,7 +13,8 @@
   if (running_tasks_ == 0) on_tasks_ended();
 }
 
-// The return type of run_detached(): a coroutine that starts at once and destroys its own frame.
+// Return type of run_detached(). Its coroutine starts at once and destroys its own frame at the
+// end.
 struct Loop::Detached {
   struct promise_type {
     Detached get_return_object() const noexcept { return {}; }
@@ -43,7 +44,8 @@
   handle_ = h;
   timer_ = loop_.timer([](void* self) { static_cast<Sleep*>(self)->handle_.resume(); }, this);
   timer_->arm(seconds_);
-  // Not resumed from inside the callback: the stop may come from any depth of the stack.
+  // The callback doesn't resume the coroutine itself, because the stop may be requested at any
+  // depth of the call stack.
   on_stop_ = std::make_unique<std::stop_callback<std::function<void()>>>(
       token_, [this] { timer_->arm(0); });
 }
--- a/src/transport/loop.hpp
+++ b/src/transport/loop.hpp
@@ -1,6 +1,5 @@
-/// Time, timers, sleeping, notifications and background tasks. The event loop that drives them is
-/// behind an interface: the program's is libevent's (EventLoop), and simulations bring a virtual
-/// clock.
+/// Interface of the event loop, with clocks, timers and background tasks, and awaitables for delays
+/// and notifications. The program uses EventLoop; simulations use a loop with a virtual clock.
 #pragma once
 #include <coroutine>
 #include <cstdint>
@@ -14,49 +13,51 @@
 
 namespace damsonport {
 
-/// Fires once, some time after it was armed; arming it again replaces the earlier time.
+/// One-shot timer. It belongs to a loop and calls its callback once after it was armed.
 class Timer {
  public:
   using Callback = void (*)(void*);
   virtual ~Timer() = default;
-  /// After 0 seconds it fires on the loop's next iteration, never from inside this call.
+  /// Sets the timer to fire after `seconds`, and replaces any earlier setting. With 0 seconds, the
+  /// timer fires in the next iteration of the loop, never from inside this call.
   virtual void arm(double seconds) = 0;
   virtual void disarm() = 0;
 };
 
-/// The event loop: clock, timers, random numbers and background tasks of one controller.
+/// Event loop of one controller: clocks, timers, random numbers and background tasks.
 ///
-/// A background task is a coroutine that nobody awaits, started by spawn(). Coroutines run on the
-/// loop's thread only, one at a time, and give way to others only where they `co_await`.
+/// A background task is a coroutine that is started by spawn() and not awaited. All coroutines run
+/// on the thread of the loop, one at a time. A coroutine can be suspended only at a `co_await`.
 class Loop {
  public:
-  /// `seed`: of the random numbers; the same seed yields the same run of a simulation.
+  /// `seed` initializes the random numbers. A simulation with the same seed has the same course.
   explicit Loop(std::seed_seq& seed) : random_(seed) {}
   virtual ~Loop() = default;
   Loop(const Loop&) = delete;
   Loop& operator=(const Loop&) = delete;
 
-  /// Seconds of the steady clock; its zero has no meaning.
+  /// Time of the steady clock in seconds since an unspecified start.
   virtual double now() const = 0;
-  /// Seconds since 1970, only for what users see as times of day.
+  /// Unix time in seconds. Only for times of day, which are stored or shown to users.
   virtual double unix_time() const = 0;
-  /// `callback` is called with `argument`; it may destroy the timer.
+  /// Creates a timer that calls `callback` with `argument`. The callback may destroy the timer.
   virtual std::unique_ptr<Timer> timer(Timer::Callback callback, void* argument) = 0;
-  /// Evenly distributed between `lo` and `hi`.
+  /// Returns a uniformly distributed random number from `lo` to `hi`.
   double uniform(double lo, double hi);
+  /// Returns a random number of 64 bits.
   uint64_t random64() { return random_(); }
 
-  /// Asks every background task to end, by the stop token.
+  /// Requests every background task to end, by the stop token.
   void stop();
   std::stop_token stop_token() const { return stop_.get_token(); }
-  /// Starts a background task, which runs up to its first suspension at once. An exception that
-  /// leaves it ends it, and is logged under `name`.
+  /// Starts a background task, which runs at once up to its first suspension. An exception that the
+  /// task doesn't catch ends the task and is logged with `name`.
   void spawn(std::string name, Task<void> task);
 
  protected:
-  /// Background tasks that have not ended.
+  /// Number of background tasks that have not ended.
   int running_tasks() const { return running_tasks_; }
-  /// Called when stop() was called and the last background task has ended.
+  /// Called once stop() has been called and all background tasks have ended.
   virtual void on_tasks_ended() = 0;
 
  private:
@@ -67,8 +68,9 @@
   int running_tasks_ = 0;
 };
 
-/// Awaitable: resumes after `seconds`, or soon after the token is stopped. Yields false when
-/// stopped. Must be awaited where it is created, and stays in place until it resumes.
+/// Awaitable delay: resumes after `seconds`, or soon after a stop is requested by the token.
+/// Returns false if a stop was requested. Must be awaited where it is created, because it must not
+/// be moved before the coroutine resumes.
 class Sleep {
  public:
   Sleep(Loop& loop, double seconds, std::stop_token stop_token)
@@ -86,17 +88,17 @@
   std::unique_ptr<std::stop_callback<std::function<void()>>> on_stop_;
 };
 
-/// Wakes one waiting coroutine. It remembers one wake-up: notify() without a waiter makes the next
-/// wait() return at once, and several count as one. At most one coroutine may wait at a time.
+/// Wakes one waiting coroutine. A notification without a waiter is kept, so that the next wait()
+/// returns at once; several of them count as one. At most one coroutine may wait at a time.
 class Notification {
  public:
   explicit Notification(Loop& loop) : loop_(loop) {}
 
-  /// The waiter resumes on the loop's next iteration, never from inside this call.
+  /// Wakes the waiter in the next iteration of the loop, never from inside this call.
   void notify();
 
-  /// Awaitable: resumes after notify(), after `seconds`, or soon after the token is stopped. Takes
-  /// the remembered wake-up. Yields false when stopped.
+  /// Awaitable of wait(): resumes after notify(), after `seconds`, or soon after a stop is
+  /// requested by the token. Resets the notification. Returns false if a stop was requested.
   struct Waiter {
     Notification& notification;
     double seconds;
@@ -105,6 +107,7 @@
     void await_suspend(std::coroutine_handle<> h);
     bool await_resume();
   };
+  /// Returns an awaitable for the next notification.
   Waiter wait(double seconds, std::stop_token stop_token) {
     return {*this, seconds, std::move(stop_token)};
   }
--- a/src/transport/network.hpp
+++ b/src/transport/network.hpp
@@ -1,5 +1,5 @@
-/// The network as a controller sees it: what it sends with and listens on. The program's is TCP on
-/// libevent (EventNetwork); tests and simulations have their own.
+/// Interface through which a controller uses the network. The program uses EventNetwork, which is
+/// TCP on libevent; simulations have their own implementation.
 #pragma once
 #include <memory>
 
@@ -8,19 +8,21 @@
 
 namespace damsonport {
 
-/// Makes clients, servers and streams. What it makes must not outlive it.
+/// Creates HTTP clients and servers, and streams. The created objects must not outlive the network.
 class Network {
  public:
   virtual ~Network() = default;
+  /// Creates an HTTP client.
   virtual std::unique_ptr<HttpClient> client() = 0;
-  /// Requests with a body over `max_body` bytes don't reach the handler; connections beyond
-  /// `max_connections` are not accepted until others close; those idle for `idle_s` seconds are
-  /// closed. The server doesn't listen before HttpServer::bind().
+  /// Creates an HTTP server, which doesn't listen before HttpServer::bind(). Requests with a body
+  /// of more than `max_body` bytes are not passed to the handler. Connections beyond
+  /// `max_connections` are not accepted until other connections close. Connections that are idle
+  /// for `idle_s` seconds are closed.
   virtual std::unique_ptr<HttpServer> server(size_t max_body, size_t max_connections, double idle_s,
                                              HttpServer::Handler handler) = 0;
-  /// A stream to another controller; connects with the first message.
+  /// Creates an outgoing stream to another controller. It connects with the first message.
   virtual std::unique_ptr<StreamLink> link(const Endpoint& to) = 0;
-  /// Listens at once; streams beyond `max_streams` are closed.
+  /// Creates a listener, which listens at once. Incoming streams beyond `max_streams` are closed.
   virtual std::unique_ptr<StreamListener> listener(const Endpoint& at, size_t max_streams,
                                                    StreamListener::OnBytes on_bytes) = 0;
 };
--- a/src/transport/stream.hpp
+++ b/src/transport/stream.hpp
@@ -1,4 +1,5 @@
-/// Byte streams between controllers: one listener, and one outgoing link per peer.
+/// Interfaces of byte streams between controllers: one listener, and one outgoing link per
+/// receiver.
 #pragma once
 #include <functional>
 #include <string>
@@ -6,23 +7,24 @@
 
 namespace damsonport {
 
-/// An outgoing stream. It connects by itself when something is to be sent while it is closed.
+/// Outgoing stream. If the stream is closed, send() opens a connection.
 class StreamLink {
  public:
   virtual ~StreamLink() = default;
-  /// Sends a whole message, or drops it: where the link is not connected yet or too much is unsent.
-  /// Only hints are sent, which need no queue. With nothing else unsent a message of any length is
-  /// taken.
+  /// Sends a whole message, or drops the message if another message waits for the connection or too
+  /// many bytes are unsent. Dropping is safe because messages only carry hints or are repeated. If
+  /// no bytes are unsent, a message of any length is accepted.
   virtual void send(const std::string& bytes) = 0;
 };
 
-/// Accepts streams and passes on what arrives on them.
+/// Accepts incoming streams and passes their bytes to a callback.
 class StreamListener {
  public:
-  /// Gets the bytes buffered of a stream; yields how many it consumed, or -1 to close the stream.
+  /// Callback that gets the buffered bytes of a stream. Returns the number of bytes that it
+  /// consumed, or -1 to close the stream.
   using OnBytes = std::function<long(std::string_view)>;
   virtual ~StreamListener() = default;
-  /// False where the address can't be listened on.
+  /// Whether the listener was able to listen on its address.
   virtual bool listening() const = 0;
 };
 
--- a/src/transport/task.hpp
+++ b/src/transport/task.hpp
@@ -1,5 +1,5 @@
-/// Task<T>, the coroutine type of the project. Everything runs on the one thread of the event loop,
-/// so there is no locking anywhere.
+/// Task<T>, the coroutine type of the project. All coroutines run on the single thread of the event
+/// loop, so no locks are needed.
 #pragma once
 #include <coroutine>
 #include <exception>
@@ -13,7 +13,7 @@
 
 namespace detail {
 
-/// Resumes the coroutine that awaits the finished one.
+/// Resumes the coroutine that awaits the finished coroutine, if there is one.
 struct FinalAwaiter {
   bool await_ready() const noexcept { return false; }
   template <class Promise>
@@ -24,6 +24,7 @@
   void await_resume() const noexcept {}
 };
 
+/// State of a coroutine that is independent of its result type.
 struct PromiseBase {
   std::coroutine_handle<> continuation;
   std::exception_ptr error;
@@ -32,6 +33,7 @@
   void unhandled_exception() noexcept { error = std::current_exception(); }
 };
 
+/// State of a coroutine with a result of type T.
 template <class T>
 struct Promise : PromiseBase {
   std::optional<T> value;
@@ -43,6 +45,7 @@
   }
 };
 
+/// State of a coroutine without a result.
 template <>
 struct Promise<void> : PromiseBase {
   Task<void> get_return_object();
@@ -53,11 +56,13 @@
 };
 }  // namespace detail
 
-/// A coroutine that starts when it is awaited, and yields a T or throws what it threw.
+/// A coroutine that starts when it is awaited. Awaiting it returns a T, or rethrows the exception
+/// that ended the coroutine.
 ///
-/// The Task owns the coroutine's frame: destroying the Task destroys the frame with all its locals.
-/// It may be awaited once. Parameters of a coroutine should be values, since references may not
-/// outlive its suspensions. To run one that nobody awaits, see Loop::spawn().
+/// The Task owns the coroutine frame: its destructor destroys the frame with all local variables. A
+/// Task may be awaited only once. Parameters of a coroutine should be passed by value, because a
+/// referenced object may be destroyed while the coroutine is suspended. Loop::spawn() runs a Task
+/// that is not awaited.
 template <class T>
 class [[nodiscard]] Task {
  public:
