--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -1,4 +1,4 @@
-// The server and the client over real loopback sockets on a free port.
+// HTTP server and client, and streams, over real loopback sockets on a free port.
 #include <gtest/gtest.h>
 
 #include <limits>
@@ -55,7 +55,8 @@
   EXPECT_NE(f.send(Method::post, "/x", std::string(5000, 'a')).status, 200);
 }
 
-// What is kept open is bounded by what others leave, and the least used goes first.
+// The limit of idle connections changes with the sockets that other connections use. Beyond the
+// limit, the least recently used connection must be closed first.
 TEST(Http, IdleConnectionsOverTheLimit_OldestClosed) {
   HttpFixture f;
   EventHttpServer other_server(f.loop, 1000, 16, 10,
@@ -83,7 +84,7 @@
   EXPECT_EQ(f.server.open_connections(), 0u);
 }
 
-// How old a report may be rests on it.
+// The time of the previous response bounds the age of a heartbeat on the same connection.
 TEST(Http, ConnectionReused_RequestCarriesThePreviousResponseTime) {
   EventLoop loop;
   std::vector<double> previous, answered;
@@ -107,7 +108,7 @@
   EXPECT_EQ(previous[0], 0);
   EXPECT_GE(previous[1], answered[0]);
   EXPECT_LE(previous[1], answered[1]);
-  EXPECT_EQ(previous[2], 0) << "on a connection of its own";
+  EXPECT_EQ(previous[2], 0) << "the third request is on a new connection";
 }
 
 TEST(Http, EndpointNotListening_NoResponse) {
@@ -116,30 +117,31 @@
   EXPECT_FALSE(f.send(Method::post, "/x", "hello").answered());
 }
 
-// More workers than connections: each is closed after its report, so all are answered.
+// With more workers than connections, the server closes each connection after its heartbeat, so
+// that all workers get a response.
 TEST(Http, MoreWorkersThanConnections_AllReceiveResponses) {
   constexpr size_t connections = 4, workers = 24;
   EventLoop loop;
-  EventHttpServer* running = nullptr;
+  EventHttpServer* running_server = nullptr;
   EventHttpServer server(loop, 1000, connections, 60, [&](HttpRequest) -> Task<HttpResponse> {
     HttpResponse out;
-    out.close =
-        closes_after_answer(Requester::worker, {running->open_connections(), connections, workers});
+    out.close = closes_after_answer(Requester::worker,
+                                    {running_server->open_connections(), connections, workers});
     co_return out;
   });
-  running = &server;
+  running_server = &server;
   ASSERT_TRUE(server.bind({"127.0.0.1", 0}));
   const Endpoint endpoint{"127.0.0.1", server.port()};
-  // A worker of its own each, which keeps its connection open when it may.
+  // Each client stands for one worker, which keeps its connection open if the server allows it.
   std::vector<std::unique_ptr<EventHttpClient>> clients;
   size_t answered = 0, ended = 0;
-  auto report = [&](EventHttpClient& client) -> Task<void> {
+  auto send_heartbeat = [&](EventHttpClient& client) -> Task<void> {
     answered += (co_await client.request(endpoint, Method::post, "/hello", "x", 4.0)).status == 200;
     if (++ended == workers) loop.stop();
   };
   for (size_t i = 0; i < workers; ++i) {
     clients.push_back(std::make_unique<EventHttpClient>(loop));
-    loop.spawn("report", report(*clients.back()));
+    loop.spawn("heartbeat", send_heartbeat(*clients.back()));
   }
   loop.run();
   EXPECT_EQ(answered, workers);
@@ -153,7 +155,7 @@
   EXPECT_FALSE(closes_after_answer(Requester::user, {400, 600, 64}));
 }
 
-// Longer than what may queue up: the teams of all regions in one message.
+// A message with the teams of all regions may be longer than the limit of unsent bytes.
 TEST(Stream, LongMessageOnAnIdleLink_Delivered) {
   EventLoop loop;
   constexpr size_t length = 200000;
@@ -164,7 +166,7 @@
     loop.stop();
     return static_cast<long>(bytes.size());
   };
-  // The first port that is free.
+  // Finds the first free port.
   Endpoint endpoint{"127.0.0.1", 47391};
   std::unique_ptr<EventStreamListener> listener;
   for (int tries = 0; tries < 100 && (!listener || !listener->listening()); ++tries) {
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -1,3 +1,4 @@
+// Decoding and encoding of messages, admission checks of jobs, and parsing of settings and tuning.
 #include <gtest/gtest.h>
 
 #include "config/settings.hpp"
@@ -60,7 +61,7 @@
   EXPECT_TRUE(is_rejected("hulls", Json::array({1})));
 }
 
-// A type that the cloud doesn't have takes no room in the record.
+// Machine types that the cloud doesn't offer must not use space in the job's record.
 TEST(AdmissionCheck, TypesNotInTheCatalog_Dropped) {
   MachineType machine_type;
   machine_type.name = "g";
@@ -95,12 +96,12 @@
   other = spec;
   other.tasks = 9;
   EXPECT_EQ(check_admission(other, settings, {machine_type}), AdmissionResult::admitted)
-      << "of an array one task has to fit";
+      << "only one task of a batch job must be within the limit";
   other.kind = JobKind::service;
   EXPECT_EQ(check_admission(other, settings, {machine_type}), AdmissionResult::over_quota_limit);
   other.kind = JobKind::gang;
   EXPECT_EQ(check_admission(other, settings, {machine_type}), AdmissionResult::over_quota_limit)
-      << "a gang runs whole or not at all";
+      << "all tasks of a gang must be within the limit";
   other.tasks = 8;
   EXPECT_EQ(check_admission(other, settings, {machine_type}), AdmissionResult::admitted);
 }
@@ -131,7 +132,7 @@
   std::string earlier_version = bytes;
   earlier_version[1] = 3;
   EXPECT_EQ(decode_peer_heartbeat(earlier_version, decoded, used), FrameStatus::malformed);
-  // What a later version adds at the end is passed over.
+  // Fields that a later version appends are ignored.
   VarintReader frame(bytes);
   std::string body;
   ASSERT_TRUE(frame.text(body));
@@ -178,7 +179,7 @@
   auto r = parse_settings("node_name = \"a\"\n");
   ASSERT_FALSE(r);
   EXPECT_NE(r.error().find("location"), std::string::npos);
-  // All of them, each on a line of its own with where it is.
+  // The error lists all problems, each on a separate line with its location.
   auto many = parse_settings(settings_with(
       "[deployment.state.next]\nrps = 0\nvalue_kb = \"4\"\n[[known]]\nlocation = 3\n"));
   ASSERT_FALSE(many);
@@ -202,8 +203,9 @@
   EXPECT_EQ(settings->state_limits.present().value_kb, 16);
   EXPECT_EQ(settings->state_limits.always().value_kb, 2);
   EXPECT_EQ(settings->state_limits.always().txn_writes, 4);
-  EXPECT_EQ(settings->state_limits.always().writes_per_s, 50) << "what is not announced stays";
-  // Limits that are raised don't help before they are.
+  EXPECT_EQ(settings->state_limits.always().writes_per_s, 50)
+      << "a limit that is not announced stays";
+  // An announced higher limit must not apply before it is in force.
   auto raised = parse_settings(settings_with("[deployment.state.next]\nvalue_kb = 64.0\n"));
   ASSERT_TRUE(raised);
   EXPECT_EQ(raised->state_limits.always().value_kb, 16);
