--- a/src/coordination/quotas/initial_units.cpp
+++ b/src/coordination/quotas/initial_units.cpp
@@ -23,8 +23,8 @@
   // The units are differences of rounded cumulative sums, so their sum is exactly all units. The
   // quotient and the remainder are multiplied separately, since the product of all units and a sum
   // of shares may exceed 64 bits.
-  const uint64_t quotient = all_quota_units / shares;
-  const uint64_t remainder = all_quota_units % shares;
+  const uint64_t quotient = total_quota_units / shares;
+  const uint64_t remainder = total_quota_units % shares;
   std::vector<uint64_t> units;
   uint64_t sum = 0;
   uint64_t before = 0;
--- a/src/coordination/quotas/region_network.cpp
+++ b/src/coordination/quotas/region_network.cpp
@@ -47,8 +47,8 @@
     size_t used = 0;
     const auto status =
         decode_region_message(bytes.substr(static_cast<size_t>(consumed)), message, used);
-    if (status == Framed::bad) return -1;
-    if (status == Framed::partial) break;
+    if (status == FrameStatus::malformed) return -1;
+    if (status == FrameStatus::incomplete) break;
     consumed += static_cast<long>(used);
     records_due |= quotas_.receive_message(message, loop_.now());
   }
--- a/src/coordination/quotas/team_quotas.cpp
+++ b/src/coordination/quotas/team_quotas.cpp
@@ -128,8 +128,8 @@
 bool TeamQuotas::is_plausible(const QuotaRecord& record, const std::string& region,
                               const QuotaUnits& sent) {
   const auto units = record.available_units(), counted = record.received_from(region);
-  return units.cpus + excess(sent.cpus, counted.cpus) <= all_quota_units &&
-         units.gpus + excess(sent.gpus, counted.gpus) <= all_quota_units;
+  return units.cpus + saturating_difference(sent.cpus, counted.cpus) <= total_quota_units &&
+         units.gpus + saturating_difference(sent.gpus, counted.gpus) <= total_quota_units;
 }
 
 // Adds the transfers to this region that the messages of other regions state.
@@ -139,7 +139,7 @@
     const auto& region = regions_->regions[i].name;
     if (!exchange || !is_plausible(record, region, exchange->sent)) continue;
     const auto before = record.received_from(region);
-    const auto total = larger(before, exchange->sent);
+    const auto total = elementwise_max(before, exchange->sent);
     if (total == before) continue;
     record.received[region] = total;
   }
@@ -154,7 +154,7 @@
     for (const auto& r : quota_resources) {
       const QuotaRequest request{exchange->urgent_request.*r.units, exchange->request.*r.units};
       const uint64_t sent = record.sent_to(region).*r.units;
-      const uint64_t unacknowledged = excess(sent, exchange->received.*r.units);
+      const uint64_t unacknowledged = saturating_difference(sent, exchange->received.*r.units);
       const auto available = surplus(quota_state(team, record, r), defers_to(i));
       const uint64_t transfer = decide_transfer(available, request, unacknowledged);
       if (transfer == 0) continue;
@@ -227,7 +227,7 @@
   message.receiver = regions_->regions[region].name;
   message.controller = settings_.controller_name;
   message.fencing_token = fencing_token;
-  message.number = next_number_++;
+  message.sequence_number = next_number_++;
   for (auto& team : settings_.teams) {
     auto known = cache_.quotas().find(team.name);
     if (!has_limit(team) || known == cache_.quotas().end()) continue;
@@ -247,7 +247,7 @@
   const auto region = regions_->index_of(message.region);
   if (!region || *region == regions_->own_index) return false;
   auto& received = received_[message.region];
-  const MessageOrder order{message.fencing_token, message.number};
+  const MessageOrder order{message.fencing_token, message.sequence_number};
   const bool newer = order > received.order;
   if (newer) {
     received.order = order;
@@ -265,7 +265,7 @@
     auto& known = received.teams[exchange.team];
     // Totals only grow, so the largest one received is the current one, in whatever order the
     // messages arrive.
-    const auto sent = larger(known.sent, exchange.sent);
+    const auto sent = elementwise_max(known.sent, exchange.sent);
     records_due |= !(sent == known.sent);
     if (newer) {
       records_due |= !exchange.request.none();
--- a/src/coordination/scheduling/gang_tracker.cpp
+++ b/src/coordination/scheduling/gang_tracker.cpp
@@ -47,7 +47,8 @@
   AttemptState& state = attempt_state(job, gang);
   if (state.attempt != attempt) return;
   if (cause == ExitCause::error) ++state.failures;
-  const bool stopped_by_gang = cause == ExitCause::peers || cause == ExitCause::alone;
+  const bool stopped_by_gang =
+      cause == ExitCause::gang_member_lost || cause == ExitCause::gang_incomplete;
   const bool too_many_failures = job.spec.replicated() && state.failures > max_failures_per_attempt;
   if (state.has_run || stopped || stopped_by_gang || too_many_failures) state.broken = true;
 }
--- a/src/coordination/shard_leader/shard_leader.cpp
+++ b/src/coordination/shard_leader/shard_leader.cpp
@@ -313,7 +313,7 @@
   const double now = loop_.now();
   m.sequence = repeat->sequence;
   m.last_heartbeat_at = m.last_repeated_heartbeat_at = now;
-  m.tasks_as_of = std::max(m.tasks_as_of, request.previous_answer_at);
+  m.tasks_as_of = std::max(m.tasks_as_of, request.previous_response_at);
   if (!m.tasks.empty()) m.idle_since = now;
   m.starts_in_response.clear();
   return HttpResponse{200, encode_heartbeat_response(lease_.fencing_token(), {}), 0};
@@ -331,7 +331,7 @@
     // A worker has one heartbeat in flight at a time, so the response to the previous one was
     // either received or dropped.
     m.starts_in_response.clear();
-    if (process_heartbeat(m, heartbeat, false, request.previous_answer_at, commands))
+    if (process_heartbeat(m, heartbeat, false, request.previous_response_at, commands))
       deduplicator_.remember(m.id, request.body, heartbeat.sequence);
     std::erase_if(commands, [&](const Command& c) { return !is_still_wanted(m, c); });
     for (auto& c : commands)
--- a/src/coordination/shard_leader/shard_leader_failures.cpp
+++ b/src/coordination/shard_leader/shard_leader_failures.cpp
@@ -67,9 +67,9 @@
     case ExitCause::error:
       note_error(m, job->spec);
       break;
-    case ExitCause::no_room:
-    case ExitCause::busy:
-    case ExitCause::unknown:
+    case ExitCause::insufficient_resources:
+    case ExitCause::other_attempt_running:
+    case ExitCause::not_found:
       spdlog::info("{} was refused by {}", task.text(), m.id);
       task_failures_.note_refusal(task.job, now);
       // The task is started on another machine under the same attempt, which this machine has
--- a/src/transport/event_http_server.cpp
+++ b/src/transport/event_http_server.cpp
@@ -19,7 +19,7 @@
 namespace {
 
 constexpr int max_header_bytes = 8192;
-// A connection that evhttp closes at its idle time is counted as open for so much longer.
+// Time for which a connection without a request still counts as open after evhttp's idle timeout.
 constexpr double close_grace_s = 1;
 
 Method method_of(evhttp_cmd_type command) {
@@ -60,7 +60,8 @@
   return true;
 }
 
-// A request being answered; `request` is cleared when its connection goes away first.
+// A request that is being handled. `request` is set to null if its connection closes before the
+// response is sent.
 struct EventHttpServer::Exchange {
   evhttp_request* request;
 };
@@ -76,7 +77,8 @@
   evhttp_set_max_body_size(http_, static_cast<ev_ssize_t>(max_body));
   evhttp_set_max_headers_size(http_, max_header_bytes);
   evhttp_set_timeout(http_, std::max(1, static_cast<int>(idle_s)));
-  // All methods reach the handler, so that a wrong one gets 405 and not evhttp's 501.
+  // All methods are passed to the handler, so that an unsupported method gets the status 405 and
+  // not evhttp's 501.
   evhttp_set_allowed_methods(http_, EVHTTP_REQ_GET | EVHTTP_REQ_POST | EVHTTP_REQ_HEAD |
                                         EVHTTP_REQ_PUT | EVHTTP_REQ_DELETE | EVHTTP_REQ_OPTIONS |
                                         EVHTTP_REQ_TRACE | EVHTTP_REQ_CONNECT | EVHTTP_REQ_PATCH);
@@ -84,7 +86,7 @@
       http_,
       [](evhttp_request* r, void* self) { static_cast<EventHttpServer*>(self)->on_request(r); },
       this);
-  // Called for every accepted connection.
+  // evhttp calls this callback for every accepted connection.
   evhttp_set_bevcb(
       http_,
       [](event_base* base, void* self) {
@@ -94,7 +96,7 @@
       this);
 }
 
-// A connection without a request is closed by evhttp after the idle time.
+// evhttp closes a connection on which no request arrives within the idle timeout.
 void EventHttpServer::on_accept() {
   awaiting_first_request_.push_back(loop_.now());
   pause_or_resume_accepting();
@@ -106,7 +108,7 @@
   std::erase_if(awaiting_first_request_,
                 [&](double accepted_at) { return now - accepted_at > idle_s_ + close_grace_s; });
   auto* listener = evhttp_bound_socket_get_listener(socket_);
-  if (open() >= max_connections_) {
+  if (open_connections() >= max_connections_) {
     evconnlistener_disable(listener);
   } else {
     evconnlistener_enable(listener);
@@ -129,21 +131,22 @@
 }
 
 EventHttpServer::~EventHttpServer() {
-  // Freed with the rest, and connections closing meanwhile must not touch it.
+  // evhttp_free() frees the socket and calls on_close() for the open connections, which must not
+  // use the socket any more.
   socket_ = nullptr;
   evhttp_free(http_);
 }
 
 bool EventHttpServer::bind(const Endpoint& at) {
-  // Bound here and not by evhttp, which would look the address up.
-  sockaddr_in a{};
-  a.sin_family = AF_INET;
-  a.sin_port = htons(at.port);
-  evutil_inet_pton(AF_INET, at.host.c_str(), &a.sin_addr);
+  // The listener is created here because evhttp would resolve the address by a name lookup.
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_port = htons(at.port);
+  evutil_inet_pton(AF_INET, at.host.c_str(), &address.sin_addr);
   auto* listener = evconnlistener_new_bind(
       loop_.base(), nullptr, nullptr, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE,
-      // A whole fleet may come at once.
-      static_cast<int>(max_connections_), reinterpret_cast<sockaddr*>(&a), sizeof a);
+      // The workers of the whole fleet may connect at the same time.
+      static_cast<int>(max_connections_), reinterpret_cast<sockaddr*>(&address), sizeof address);
   if (!listener) return false;
   socket_ = evhttp_bind_listener(http_, listener);
   return socket_ != nullptr;
@@ -156,31 +159,31 @@
   return ntohs(address.sin_port);
 }
 
-HttpRequest EventHttpServer::read_request(evhttp_request* from) {
+HttpRequest EventHttpServer::read_request(evhttp_request* http_request) {
   HttpRequest request;
-  request.method = method_of(evhttp_request_get_command(from));
-  const std::string_view uri = evhttp_request_get_uri(from);
+  request.method = method_of(evhttp_request_get_command(http_request));
+  const std::string_view uri = evhttp_request_get_uri(http_request);
   const auto question_mark = uri.find('?');
   request.path = std::string(uri.substr(0, question_mark));
   if (question_mark != std::string_view::npos)
     request.query = std::string(uri.substr(question_mark + 1));
-  evbuffer* input = evhttp_request_get_input_buffer(from);
+  evbuffer* input = evhttp_request_get_input_buffer(http_request);
   request.body.resize(evbuffer_get_length(input));
   evbuffer_remove(input, request.body.data(), request.body.size());
   return request;
 }
 
-void EventHttpServer::on_request(evhttp_request* from) {
-  HttpRequest request = read_request(from);
-  track_connection(evhttp_request_get_connection(from));
-  auto exchange = std::make_shared<Exchange>(Exchange{from});
-  Connection& connection = connections_[evhttp_request_get_connection(from)];
+void EventHttpServer::on_request(evhttp_request* http_request) {
+  HttpRequest request = read_request(http_request);
+  track_connection(evhttp_request_get_connection(http_request));
+  auto exchange = std::make_shared<Exchange>(Exchange{http_request});
+  Connection& connection = connections_[evhttp_request_get_connection(http_request)];
   connection.exchange = exchange;
-  request.previous_answer_at = connection.answered_at;
-  loop_.spawn("request", answer(std::move(exchange), std::move(request)));
+  request.previous_response_at = connection.responded_at;
+  loop_.spawn("request", respond(std::move(exchange), std::move(request)));
 }
 
-Task<void> EventHttpServer::answer(std::shared_ptr<Exchange> exchange, HttpRequest request) {
+Task<void> EventHttpServer::respond(std::shared_ptr<Exchange> exchange, HttpRequest request) {
   HttpResponse response;
   try {
     response = co_await handler_(std::move(request));
--- a/tests/leadership/cancellation_gossip_test.cpp
+++ b/tests/leadership/cancellation_gossip_test.cpp
@@ -27,7 +27,7 @@
     PeerHeartbeat message;
     message.controller = name;
     message.incarnation = incarnation;
-    message.loaded = loaded;
+    message.records_loaded = loaded;
     gossip.add_to(message, to, clock(time));
     return message;
   }
@@ -104,7 +104,7 @@
     const auto bytes = encode_peer_heartbeat(p.b.heartbeat("a", time));
     PeerHeartbeat read;
     size_t used = 0;
-    ASSERT_EQ(decode_peer_heartbeat(bytes, read, used), Framed::whole);
+    ASSERT_EQ(decode_peer_heartbeat(bytes, read, used), FrameStatus::complete);
     p.a.merge(read, time);
     p.b.merge(p.a.heartbeat("b", time), time);
   }
@@ -135,7 +135,7 @@
         PeerHeartbeat message;
         message.controller = name;
         message.incarnation = incarnation;
-        message.loaded = true;
+        message.records_loaded = true;
         return message;
       };
       loop.spawn("peers", peers.send_heartbeats(make_heartbeat, loop.stop_token()));
--- a/tests/regions/region_cluster.cpp
+++ b/tests/regions/region_cluster.cpp
@@ -135,7 +135,7 @@
   });
   world_.ask(user_host, regions_[region].controllers[controller_index]->host(), Method::post,
              "/api/jobs", encode(submission_of(jobs_.at(job))),
-             [this, region, job, sent_at, replied, next](const HttpReply& reply) {
+             [this, region, job, sent_at, replied, next](const HttpClientResponse& reply) {
                if (std::exchange(*replied, true)) return;
                regions_[region].fleet->rules().on_answer(job, reply.status, "queued", sent_at);
                if (reply.status != 200 && reply.status != 201) next();
@@ -156,7 +156,7 @@
   });
   world_.ask(user_host, regions_[region].controllers[controller_index]->host(), Method::post,
              "/api/jobs/" + job + "/cancel", {},
-             [done](const HttpReply& reply) { *done = reply.status == 200; });
+             [done](const HttpClientResponse& reply) { *done = reply.status == 200; });
 }
 
 int RegionCluster::running(const std::string& job) const {
@@ -291,13 +291,13 @@
   uint64_t sum = 0;
   for (auto& [region, record] : quotas_) {
     const uint64_t units = record.available_units().gpus;
-    if (units > all_quota_units)
+    if (units > total_quota_units)
       violations_.push_back(
           fmt::format("{} has sent more quota than it had", regions_[region].name));
     sum += units;
   }
   if (const uint64_t in_transit = gpu_units_in_transit();
-      in_transit > all_quota_units || sum + in_transit != all_quota_units)
+      in_transit > total_quota_units || sum + in_transit != total_quota_units)
     violations_.push_back(fmt::format("at {} s quotas sum to {} units, and {} are in transit",
                                       world_.now(), sum, in_transit));
 }
--- a/tests/regions/regions_test.cpp
+++ b/tests/regions/regions_test.cpp
@@ -426,7 +426,7 @@
 // Forged messages claim that the whole limit was transferred, or name a wrong sender or receiver.
 TEST(Regions, ImplausibleTransferIsNotCounted) {
   RegionCluster cluster({.regions = 3});
-  const QuotaUnits all{all_quota_units, all_quota_units};
+  const QuotaUnits all{total_quota_units, total_quota_units};
   auto claim = [&](const std::string& sender, const std::string& receiver) {
     RegionMessage message{sender, receiver, "r1n0", 1, 1, {}};
     message.teams.push_back({"t", all, {}, {}, {}, {}, {}});
@@ -441,14 +441,15 @@
   cluster.run_until(40);
   EXPECT_EQ(cluster.running("run-1"), 16) << "real transfers still arrive";
   for (size_t region : {1, 2})
-    EXPECT_LT(cluster.quota(0).received_from(cluster.region_name(region)).gpus, all_quota_units);
+    EXPECT_LT(cluster.quota(0).received_from(cluster.region_name(region)).gpus, total_quota_units);
   expect_no_violations(cluster);
 }
 
 TEST(Regions, MessageForAnotherRegionIsNotCounted) {
   RegionCluster cluster({.regions = 3});
   RegionMessage message{cluster.region_name(2), cluster.region_name(1), "r2n0", 1000000, 1, {}};
-  message.teams.push_back({"t", {all_quota_units / 16, all_quota_units / 16}, {}, {}, {}, {}, {}});
+  message.teams.push_back(
+      {"t", {total_quota_units / 16, total_quota_units / 16}, {}, {}, {}, {}, {}});
   cluster.at(startup_end_s, [&] { cluster.deliver(0, message); });
   cluster.run_until(startup_end_s + 2);
   EXPECT_TRUE(cluster.quota(0).received_from(cluster.region_name(2)).none());
@@ -459,7 +460,7 @@
 TEST(Regions, StaleMessageRequestsNothing) {
   RegionCluster cluster({});
   RegionMessage message{cluster.region_name(1), cluster.region_name(0), "r1n0", 1, 1, {}};
-  message.teams.push_back({"t", {}, {}, {}, {}, {0, all_quota_units}, {0, all_quota_units}});
+  message.teams.push_back({"t", {}, {}, {}, {}, {0, total_quota_units}, {0, total_quota_units}});
   cluster.at(startup_end_s, [&] { cluster.deliver(0, message); });
   cluster.run_until(startup_end_s + 1);
   EXPECT_DOUBLE_EQ(cluster.quota_gpus(0), 8);
