--- a/simulation/cloud.cpp
+++ b/simulation/cloud.cpp
@@ -112,7 +112,7 @@
   for (auto& name : request.at("vessels")) {
     const std::string id = name;
     if (auto* worker = fleet_.find(id)) {
-      worker->vanish();
+      worker->terminate();
       ++returned_;
     }
     machines_.erase(id);
--- a/simulation/key_value_store.cpp
+++ b/simulation/key_value_store.cpp
@@ -36,9 +36,9 @@
   });
 }
 
-void KeyValueStore::set_fate(Fate fate, std::string host) {
-  fate_ = fate;
-  fate_host_ = std::move(host);
+void KeyValueStore::set_transaction_fault(TransactionFault fault, std::string host) {
+  transaction_fault_ = fault;
+  transaction_fault_host_ = std::move(host);
 }
 
 const Json* KeyValueStore::value(const std::string& key) const {
@@ -153,7 +153,7 @@
 }
 
 void KeyValueStore::handle(const std::string& from, Method method, const std::string& target,
-                           const std::string& body, const World::Answer& answer) {
+                           const std::string& body, const World::ResponseHandler& answer) {
   if (is_down_ || refused_hosts_.contains(from)) return answer({503, {}});
   const auto path = target.substr(0, target.find('?'));
   if (path == "/txn") return transact(from, body, answer);
@@ -196,7 +196,7 @@
 }
 
 void KeyValueStore::watch(const std::string& from, const Query& query,
-                          const World::Answer& answer) {
+                          const World::ResponseHandler& answer) {
   const uint64_t since = std::stoull(query.at("since"));
   const bool misses_changes =
       changes_.size() >= max_kept_changes && changes_.front().revision > since + 1;
@@ -232,19 +232,20 @@
 }
 
 void KeyValueStore::transact(const std::string& from, const std::string& body,
-                             const World::Answer& answer) {
+                             const World::ResponseHandler& answer) {
   const Json transaction = decode_map(body);
   if (!transaction.is_object()) return answer({400, {}});
   const int writes =
       transaction.contains("writes") ? static_cast<int>(transaction["writes"].size()) : 0;
   if (!take_request(writes)) return answer({429, {}});
-  const bool is_struck = writes > 0 && (fate_host_.empty() || fate_host_ == from);
-  if (is_struck && fate_ == Fate::applied_late) {
+  const bool is_struck =
+      writes > 0 && (transaction_fault_host_.empty() || transaction_fault_host_ == from);
+  if (is_struck && transaction_fault_ == TransactionFault::applied_late) {
     world_.in(world_.uniform(late_from_s, late_to_s), [this, transaction] { apply(transaction); });
     return;
   }
   auto reply = apply(transaction);
-  if (is_struck && fate_ == Fate::answer_lost) return;
+  if (is_struck && transaction_fault_ == TransactionFault::response_lost) return;
   answer(std::move(reply));
 }
 
--- a/simulation/key_value_store.hpp
+++ b/simulation/key_value_store.hpp
@@ -32,9 +32,9 @@
   void refuse(const std::string& host, bool on);
   /// What becomes of transactions that write: carried out late and without an answer, or at once
   /// with the answer lost.
-  enum class Fate : uint8_t { normal, applied_late, answer_lost };
+  enum class TransactionFault : uint8_t { none, applied_late, response_lost };
   /// `host`: whose transactions; empty: those of all.
-  void set_fate(Fate fate, std::string host);
+  void set_transaction_fault(TransactionFault fault, std::string host);
   /// Mean time until a request is carried out.
   void set_delay(double seconds) { delay_s_ = seconds; }
 
@@ -64,7 +64,7 @@
     std::string host;
     std::string prefix;
     uint64_t since;  // the last revision that its client knows
-    World::Answer answer;
+    World::ResponseHandler answer;
     bool is_answered = false;
   };
   struct Lease {
@@ -79,14 +79,15 @@
 
   // --- requests
   void handle(const std::string& from, Method method, const std::string& target,
-              const std::string& body, const World::Answer& answer);
+              const std::string& body, const World::ResponseHandler& answer);
   HttpReply get(const std::string& key) const;
   HttpReply list(const Query& query) const;
-  void watch(const std::string& from, const Query& query, const World::Answer& answer);
+  void watch(const std::string& from, const Query& query, const World::ResponseHandler& answer);
   void on_watch_timeout(uint64_t id);
   HttpReply grant_lease(const Json& request);
   HttpReply change_lease(Method method, uint64_t id);
-  void transact(const std::string& from, const std::string& body, const World::Answer& answer);
+  void transact(const std::string& from, const std::string& body,
+                const World::ResponseHandler& answer);
   HttpReply apply(const Json& transaction);
   bool exceeds_limits(const Json& transaction, const Json& conditions, const Json& writes) const;
   /// Empty: the write is allowed, if the conditions hold.
@@ -113,8 +114,8 @@
   StateLimits limits_;
   bool is_down_ = false;
   std::set<std::string> refused_hosts_;
-  Fate fate_ = Fate::normal;
-  std::string fate_host_;
+  TransactionFault transaction_fault_ = TransactionFault::none;
+  std::string transaction_fault_host_;
   double delay_s_ = 0.004;
   std::map<std::string, Record> records_;
   std::map<std::string, uint64_t> lease_of_;  // by key
--- a/simulation/replica_checker.cpp
+++ b/simulation/replica_checker.cpp
@@ -79,7 +79,7 @@
   if (replica.complete && !was_complete)
     figures_.complete_again_s.push_back(now - replica.broken_since);
   const bool half = !whole && !there.empty();
-  if (replica.half_since >= 0) figures_.half_s += now - replica.half_since;
+  if (replica.half_since >= 0) figures_.partial_s += now - replica.half_since;
   replica.half_since = half ? now : -1;
 }
 
@@ -87,7 +87,7 @@
   Figures out = figures_;
   for (auto& [key, replica] : replicas_) {
     out.not_whole += replica.broken_since >= 0;
-    if (replica.half_since >= 0) out.half_s += world_.now() - replica.half_since;
+    if (replica.half_since >= 0) out.partial_s += world_.now() - replica.half_since;
   }
   return out;
 }
--- a/simulation/replica_checker.hpp
+++ b/simulation/replica_checker.hpp
@@ -33,7 +33,7 @@
   struct Figures {
     std::vector<double> whole_again_s;     // until all parts ran under one attempt again
     std::vector<double> complete_again_s;  // until all parts ran, under whatever attempts
-    double half_s = 0;                     // replicas' time with some parts there, and not whole
+    double partial_s = 0;                  // replicas' time with some parts there, and not whole
     size_t not_whole = 0;                  // replicas that are not whole again
   };
   Figures figures() const;
--- a/simulation/rule_checker.cpp
+++ b/simulation/rule_checker.cpp
@@ -13,7 +13,7 @@
 constexpr double after_deadline_s = 0.01;  // so that what happens at the deadline is done
 }  // namespace
 
-bool on_machine(const TaskStatus& task) {
+bool occupies_machine(const TaskStatus& task) {
   return task.state == TaskState::running || task.state == TaskState::saving ||
          task.state == TaskState::waiting;
 }
--- a/simulation/rule_checker.hpp
+++ b/simulation/rule_checker.hpp
@@ -18,7 +18,7 @@
 class Worker;
 
 /// Whether the task takes resources of its machine: also while it saves or waits for its gang.
-bool on_machine(const TaskStatus& task);
+bool occupies_machine(const TaskStatus& task);
 
 class RuleChecker {
  public:
--- a/simulation/virtual_network.cpp
+++ b/simulation/virtual_network.cpp
@@ -50,18 +50,18 @@
     if (!*alive_) {
       timeout_s = 0;
     } else {
-      world.ask(host_, to.host, method, std::move(target), std::move(body),
-                [exchange, &loop = loop_, alive = alive_](HttpReply reply) {
-                  if (!*alive) return;
-                  loop.when_awake([exchange, &loop, alive, reply = std::move(reply)] {
-                    if (!*alive || exchange->done) return;
-                    loop.enter();
-                    exchange->reply = reply;
-                    exchange->done = true;
-                    loop.world().cancel(exchange->expiry);
-                    if (exchange->waiter) exchange->waiter.resume();
-                  });
-                });
+      world.send_request(host_, to.host, method, std::move(target), std::move(body),
+                         [exchange, &loop = loop_, alive = alive_](HttpReply reply) {
+                           if (!*alive) return;
+                           loop.when_awake([exchange, &loop, alive, reply = std::move(reply)] {
+                             if (!*alive || exchange->done) return;
+                             loop.enter();
+                             exchange->reply = reply;
+                             exchange->done = true;
+                             loop.world().cancel(exchange->expiry);
+                             if (exchange->waiter) exchange->waiter.resume();
+                           });
+                         });
     }
     Wait wait{loop_, exchange, timeout_s};
     co_await wait;
@@ -141,7 +141,7 @@
     auto it = answered_at_.find(from);
     return it == answered_at_.end() ? 0 : it->second;
   }
-  Task<void> handle(std::string from, HttpRequest request, World::Answer answer,
+  Task<void> handle(std::string from, HttpRequest request, World::ResponseHandler answer,
                     std::shared_ptr<bool> alive) {
     auto response = co_await handler_(std::move(request));
     if (!*alive) co_return;
@@ -199,7 +199,7 @@
 void VirtualNetwork::end() {
   if (!*alive_) return;
   *alive_ = false;
-  loop_.world().vanish(host_);
+  loop_.world().stop_serving(host_);
   std::erase_if(streams_, [&](auto& stream) { return stream.first.starts_with(host_ + ":"); });
 }
 
--- a/simulation/virtual_network.hpp
+++ b/simulation/virtual_network.hpp
@@ -23,7 +23,7 @@
   double rate() const { return rate_; }
   World& world() { return world_; }
   /// Names this controller in the log lines that follow.
-  void enter() const { world_.acting = name_; }
+  void enter() const { world_.active_controller = name_; }
   /// The process stands still while its clocks run on.
   void stall(double seconds) { stalled_until_ = world_.now() + seconds; }
   bool stalled() const { return world_.now() < stalled_until_; }
--- a/simulation/worker.cpp
+++ b/simulation/worker.cpp
@@ -40,10 +40,10 @@
   schedule_heartbeat(world_.uniform(0, 0.2));
 }
 
-void Worker::vanish() {
+void Worker::terminate() {
   leave_gangs();
   gone = true;
-  world_.vanish(host);
+  world_.stop_serving(host);
   drop_tasks();
   world_.cancel(lease_end_);
   world_.cancel(next_heartbeat_);
@@ -121,14 +121,13 @@
   });
   auto body = encode(heartbeat());
   if (mute) return;
-  world_.ask(connection(), fleet_.controllers[controller_].host, Method::post, "/hello",
-             std::move(body),
-             [this, number, agent_epoch, sent_at, timeout](const HttpReply& reply) {
-               if (gone || deaf || is_hung() || number != heartbeat_number_ || !awaits_answer_)
-                 return;
-               world_.cancel(timeout);
-               on_heartbeat_answer(reply.status, decode_map(reply.body), agent_epoch, sent_at);
-             });
+  world_.send_request(
+      connection(), fleet_.controllers[controller_].host, Method::post, "/hello", std::move(body),
+      [this, number, agent_epoch, sent_at, timeout](const HttpReply& reply) {
+        if (gone || deaf || is_hung() || number != heartbeat_number_ || !awaits_answer_) return;
+        world_.cancel(timeout);
+        on_heartbeat_answer(reply.status, decode_map(reply.body), agent_epoch, sent_at);
+      });
 }
 
 void Worker::on_heartbeat_answer(int status, const Json& body, uint64_t agent_epoch,
@@ -194,8 +193,8 @@
 }
 
 void Worker::repeat_kept_heartbeat(const std::string& controller_host) {
-  world_.ask(host, controller_host, Method::post, "/hello", kept_heartbeat_,
-             [](const HttpReply&) {});
+  world_.send_request(host, controller_host, Method::post, "/hello", kept_heartbeat_,
+                      [](const HttpReply&) {});
 }
 
 }  // namespace damsonport::simulation
--- a/simulation/worker.hpp
+++ b/simulation/worker.hpp
@@ -39,7 +39,7 @@
   /// The whole machine stands still; what was due meanwhile happens afterwards.
   void hang(double seconds);
   /// The machine is gone, with all its tasks, for good.
-  void vanish();
+  void terminate();
 
   struct RunningTask {
     TaskStatus report;
@@ -69,7 +69,7 @@
   bool deaf = false;  // nothing reaches the worker
   bool mute = false;  // its heartbeats are lost
   bool sick = false;  // every task fails as soon as it has its image
-  bool gone = false;  // set by vanish()
+  bool gone = false;  // set by terminate()
 
   /// Keeps a copy of a heartbeat, to arrive once more at any time.
   void keep_heartbeat() { kept_heartbeat_ = encode(heartbeat()); }
@@ -95,7 +95,7 @@
 
   // --- commands and tasks (worker_tasks.cpp)
   void serve(Method method, const std::string& target, const std::string& body,
-             const World::Answer& answer);
+             const World::ResponseHandler& answer);
   void execute(const Json& commands);
   void start(const TaskAttempt& attempt);
   bool has_room_for_all_tasks() const;
--- a/simulation/worker_tasks.cpp
+++ b/simulation/worker_tasks.cpp
@@ -13,7 +13,7 @@
 }  // namespace
 
 void Worker::serve(Method method, const std::string& target, const std::string& body,
-                   const World::Answer& answer) {
+                   const World::ResponseHandler& answer) {
   if (deaf) return;
   if (method == Method::get && target == "/show") return answer({200, encode(heartbeat())});
   const Json message = decode_map(body);
@@ -188,7 +188,7 @@
 
 void Worker::exit(RunningTask& task, ExitCause cause, bool saved) {
   clear_timer(task);
-  if (on_machine(task.report)) fleet_.rules().on_task_left(*this, task.report.task);
+  if (occupies_machine(task.report)) fleet_.rules().on_task_left(*this, task.report.task);
   if (cause == ExitCause::done) fleet_.rules().on_task_done(task.report.task);
   task.report.state = TaskState::exited;
   task.report.cause = cause;
@@ -217,7 +217,7 @@
 void Worker::drop_tasks() {
   for (auto& [attempt, task] : tasks_) {
     clear_timer(task);
-    if (on_machine(task.report)) fleet_.rules().on_task_left(*this, attempt.task);
+    if (occupies_machine(task.report)) fleet_.rules().on_task_left(*this, attempt.task);
   }
   tasks_.clear();
 }
--- a/simulation/world.cpp
+++ b/simulation/world.cpp
@@ -63,13 +63,13 @@
   in(uniform(least_delay_s, most_delay_s), std::move(arrive));
 }
 
-void World::ask(const std::string& from, const std::string& to, Method method, std::string target,
-                std::string body, const Answer& answer) {
+void World::send_request(const std::string& from, const std::string& to, Method method,
+                         std::string target, std::string body, const ResponseHandler& answer) {
   const std::string host = host_of(from);
   report_traffic(from, to, std::to_string(static_cast<int>(method)) + " " + target, body);
   send(host, to,
        [this, from, host, to, method, target = std::move(target), body = std::move(body), answer] {
-         Answer respond = [this, host, to, answer](const HttpReply& reply) {
+         ResponseHandler respond = [this, host, to, answer](const HttpReply& reply) {
            report_traffic(to, host, std::to_string(reply.status), reply.body);
            send(to, host, [answer, reply] { answer(reply); });
          };
--- a/simulation/world.hpp
+++ b/simulation/world.hpp
@@ -46,7 +46,7 @@
   /// Plays all events up to this time.
   void run_until(double time);
   /// The controller that runs just now, for the log.
-  std::string acting;
+  std::string active_controller;
 
   // --- random draws
 
@@ -57,23 +57,23 @@
 
   // --- the network between hosts, which are named by their address
 
-  using Answer = std::function<void(HttpReply)>;
-  using Serve =
+  using ResponseHandler = std::function<void(HttpReply)>;
+  using RequestHandler =
       std::function<void(const std::string& from, Method method, const std::string& target,
-                         const std::string& body, Answer answer)>;
+                         const std::string& body, ResponseHandler answer)>;
   /// The host of a name that may have a connection behind it, "10.1.0.2#7".
   static std::string host_of(const std::string& from) { return from.substr(0, from.find('#')); }
   /// Requests to the host go to this handler from now on.
-  virtual void serve(const std::string& host, Serve handler) {
+  virtual void serve(const std::string& host, RequestHandler handler) {
     servers_[host] = std::move(handler);
   }
   /// The host refuses connections from now on.
-  virtual void vanish(const std::string& host) { servers_.erase(host); }
+  virtual void stop_serving(const std::string& host) { servers_.erase(host); }
   /// Sends a request and brings back its response; both may be lost. A host that doesn't serve
   /// refuses: status 0. `from` may name a connection behind the host, so that the server can tell
   /// it from others.
-  virtual void ask(const std::string& from, const std::string& to, Method method,
-                   std::string target, std::string body, const Answer& answer);
+  virtual void send_request(const std::string& from, const std::string& to, Method method,
+                            std::string target, std::string body, const ResponseHandler& answer);
   /// Sends a one-way message: `arrive` is called at the other end.
   void send(const std::string& from, const std::string& to, std::function<void()> arrive);
 
@@ -116,7 +116,7 @@
   uint64_t last_sequence_ = 0;
   std::map<EventId, std::function<void()>> events_;
   std::mt19937_64 random_;
-  std::map<std::string, Serve> servers_;  // by host
+  std::map<std::string, RequestHandler> servers_;  // by host
   std::map<Direction, CutState> cuts_;
   TrafficObserver traffic_observer_;
 };
--- a/tests/api/request_handling_test.cpp
+++ b/tests/api/request_handling_test.cpp
@@ -30,8 +30,8 @@
   controller.start();
   HttpReply out;
   world.at(0.5, [&] {
-    world.ask("10.9.0.1", controller.host(), Method::post, "/api/jobs", body,
-              [&](const HttpReply& reply) { out = reply; });
+    world.send_request("10.9.0.1", controller.host(), Method::post, "/api/jobs", body,
+                       [&](const HttpReply& reply) { out = reply; });
   });
   world.run_until(2);
   return out;
--- a/tests/fault_scenario_test.cpp
+++ b/tests/fault_scenario_test.cpp
@@ -22,7 +22,7 @@
  public:
   void format(const spdlog::details::log_msg&, const std::tm&, spdlog::memory_buf_t& out) override {
     if (!shown) return;
-    const auto text = fmt::format("{:9.3f} {}", shown->now(), shown->acting);
+    const auto text = fmt::format("{:9.3f} {}", shown->now(), shown->active_controller);
     out.append(text.data(), text.data() + text.size());
   }
   std::unique_ptr<custom_flag_formatter> clone() const override {
--- a/tests/machines/command_dispatcher_test.cpp
+++ b/tests/machines/command_dispatcher_test.cpp
@@ -22,7 +22,7 @@
  protected:
   struct Request {
     std::string to, target, body;
-    simulation::World::Answer answer;
+    simulation::World::ResponseHandler answer;
   };
 
   CommandDispatcherTest() {
--- a/tests/regions/region_cluster.cpp
+++ b/tests/regions/region_cluster.cpp
@@ -129,13 +129,14 @@
   world_.in(patience_s, [answered, next] {
     if (!std::exchange(*answered, true)) next();
   });
-  world_.ask(user_host, regions_[region].controllers[node]->host(), Method::post, "/api/jobs",
-             encode(submission_of(jobs_.at(job))),
-             [this, region, job, asked, answered, next](const HttpReply& reply) {
-               if (std::exchange(*answered, true)) return;
-               regions_[region].fleet->rules().on_answer(job, reply.status, "queued", asked);
-               if (reply.status != 200 && reply.status != 201) next();
-             });
+  world_.send_request(user_host, regions_[region].controllers[node]->host(), Method::post,
+                      "/api/jobs", encode(submission_of(jobs_.at(job))),
+                      [this, region, job, asked, answered, next](const HttpReply& reply) {
+                        if (std::exchange(*answered, true)) return;
+                        regions_[region].fleet->rules().on_answer(job, reply.status, "queued",
+                                                                  asked);
+                        if (reply.status != 200 && reply.status != 201) next();
+                      });
 }
 
 void RegionCluster::cancel(size_t region, const std::string& job) {
@@ -149,9 +150,9 @@
   world_.in(retry_s, [this, region, job, node, done] {
     if (!*done) send_cancellation(region, job, (node + 1) % plan_.controllers);
   });
-  world_.ask(user_host, regions_[region].controllers[node]->host(), Method::post,
-             "/api/jobs/" + job + "/cancel", {},
-             [done](const HttpReply& reply) { *done = reply.status == 200; });
+  world_.send_request(user_host, regions_[region].controllers[node]->host(), Method::post,
+                      "/api/jobs/" + job + "/cancel", {},
+                      [done](const HttpReply& reply) { *done = reply.status == 200; });
 }
 
 int RegionCluster::running(const std::string& job) const {
@@ -247,7 +248,7 @@
   double sum = 0;
   for (auto& [id, worker] : regions_[region].fleet->workers())
     for (auto& [attempt, task] : worker->tasks())
-      if (on_machine(task.report)) sum += jobs_.at(attempt.task.job).gpus;
+      if (occupies_machine(task.report)) sum += jobs_.at(attempt.task.job).gpus;
   return sum;
 }
 
--- a/tests/regions/regions_test.cpp
+++ b/tests/regions/regions_test.cpp
@@ -206,14 +206,16 @@
     std::string host;
     cluster.at(12, [&] {
       host = cluster.shard_leader(0).host();
-      cluster.state(0).set_fate(KeyValueStore::Fate::applied_late, host);
+      cluster.state(0).set_transaction_fault(KeyValueStore::TransactionFault::applied_late, host);
     });
     cluster.at(12.1, [&] { cluster.submit(1, "run-1", 14, 1, 0); });
     cluster.at(14.2, [&] {
       cluster.shard_leader(0).crash(60);
       cluster.submit(0, "run-2", 8, 1, 0);
     });
-    cluster.at(40, [&] { cluster.state(0).set_fate(KeyValueStore::Fate::normal, {}); });
+    cluster.at(40, [&] {
+      cluster.state(0).set_transaction_fault(KeyValueStore::TransactionFault::none, {});
+    });
     cluster.run_until(60);
     // The gift may also have arrived before its holder was replaced.
     EXPECT_EQ(cluster.running("run-1") + cluster.running("run-2"), 16);
@@ -229,10 +231,13 @@
     RegionCluster cluster({.seed = seed});
     // Between two renewals of the grant.
     cluster.at(15.8, [&] {
-      cluster.state(0).set_fate(KeyValueStore::Fate::applied_late, cluster.shard_leader(0).host());
+      cluster.state(0).set_transaction_fault(KeyValueStore::TransactionFault::applied_late,
+                                             cluster.shard_leader(0).host());
       cluster.submit(1, "run-1", 10, 1, 0);
     });
-    cluster.at(17.3, [&] { cluster.state(0).set_fate(KeyValueStore::Fate::normal, {}); });
+    cluster.at(17.3, [&] {
+      cluster.state(0).set_transaction_fault(KeyValueStore::TransactionFault::none, {});
+    });
     cluster.at(17.5, [&] { cluster.submit(1, "run-2", 4, 1, 0, Priority::high); });
     cluster.run_until(45);
     EXPECT_EQ(cluster.running("run-1") + cluster.running("run-2"), 14);
@@ -259,9 +264,9 @@
       case StateTrouble::outage:
         return state.set_down(true);
       case StateTrouble::applies_late:
-        return state.set_fate(KeyValueStore::Fate::applied_late, {});
+        return state.set_transaction_fault(KeyValueStore::TransactionFault::applied_late, {});
       case StateTrouble::loses_answers:
-        return state.set_fate(KeyValueStore::Fate::answer_lost, {});
+        return state.set_transaction_fault(KeyValueStore::TransactionFault::response_lost, {});
       case StateTrouble::slow:
         return state.set_delay(0.4);
     }
@@ -269,7 +274,7 @@
   cluster.at(from + lasts, [&] {
     for (auto& controller : cluster.controllers(where)) state.refuse(controller->host(), false);
     state.set_down(false);
-    state.set_fate(KeyValueStore::Fate::normal, {});
+    state.set_transaction_fault(KeyValueStore::TransactionFault::none, {});
     state.set_delay(0.004);
   });
   // Wanted just before and in the middle.
@@ -478,11 +483,13 @@
       state.set_down(true);
       return later([&state] { state.set_down(false); });
     case 6:
-      state.set_fate(KeyValueStore::Fate::applied_late, {});
-      return later([&state] { state.set_fate(KeyValueStore::Fate::normal, {}); });
+      state.set_transaction_fault(KeyValueStore::TransactionFault::applied_late, {});
+      return later(
+          [&state] { state.set_transaction_fault(KeyValueStore::TransactionFault::none, {}); });
     case 7:
-      state.set_fate(KeyValueStore::Fate::answer_lost, {});
-      return later([&state] { state.set_fate(KeyValueStore::Fate::normal, {}); });
+      state.set_transaction_fault(KeyValueStore::TransactionFault::response_lost, {});
+      return later(
+          [&state] { state.set_transaction_fault(KeyValueStore::TransactionFault::none, {}); });
     default:
       state.set_delay(0.3);
       return later([&state] { state.set_delay(0.004); });
--- a/tests/scenarios/scenario_actions.cpp
+++ b/tests/scenarios/scenario_actions.cpp
@@ -122,11 +122,13 @@
 // fate late|lost [of=CONTROLLER] [for=S]
 void ScenarioActions::spoil_transactions(const ScenarioEvent& event) {
   const auto of = deployment_.select_controllers(event.words.text("of"));
-  deployment_.store().set_fate(
-      event.target == "late" ? KeyValueStore::Fate::applied_late : KeyValueStore::Fate::answer_lost,
-      of.empty() ? std::string() : of.front()->host());
-  world_.in(duration_of(event),
-            [this] { deployment_.store().set_fate(KeyValueStore::Fate::normal, {}); });
+  deployment_.store().set_transaction_fault(event.target == "late"
+                                                ? KeyValueStore::TransactionFault::applied_late
+                                                : KeyValueStore::TransactionFault::response_lost,
+                                            of.empty() ? std::string() : of.front()->host());
+  world_.in(duration_of(event), [this] {
+    deployment_.store().set_transaction_fault(KeyValueStore::TransactionFault::none, {});
+  });
 }
 
 // lower_limits: the announced limits of the key-value store come into force
@@ -229,7 +231,7 @@
 
 // die MACHINES
 void ScenarioActions::remove_machines(const ScenarioEvent& event) {
-  for (auto* worker : deployment_.select_machines(event.target)) worker->vanish();
+  for (auto* worker : deployment_.select_machines(event.target)) worker->terminate();
 }
 
 // keep MACHINES: a copy of the newest heartbeat
--- a/tests/scenarios/scenario_users.cpp
+++ b/tests/scenarios/scenario_users.cpp
@@ -59,8 +59,8 @@
     then(reply, asked_at);
   };
   world_.in(patience_s, [on_reply] { on_reply({0, {}}); });
-  world_.ask(user_host, deployment_.controllers()[controller]->host(), method, path, body,
-             on_reply);
+  world_.send_request(user_host, deployment_.controllers()[controller]->host(), method, path, body,
+                      on_reply);
 }
 
 void ScenarioUsers::submit(const std::string& job, size_t controller, double since, Retry retry) {
--- a/tools/loadtest/real_time_world.cpp
+++ b/tools/loadtest/real_time_world.cpp
@@ -72,7 +72,7 @@
   arm();
 }
 
-void RealTimeWorld::serve(const std::string& host, Serve handler) {
+void RealTimeWorld::serve(const std::string& host, RequestHandler handler) {
   handlers_[host] = std::move(handler);
   auto& server = servers_[host];
   if (server) return;
@@ -82,7 +82,7 @@
   if (!server->bind(endpoint(host))) spdlog::error("cannot listen on {}", endpoint(host).text());
 }
 
-void RealTimeWorld::vanish(const std::string& host) {
+void RealTimeWorld::stop_serving(const std::string& host) {
   handlers_.erase(host);
   // Not from inside one of its requests.
   if (auto it = servers_.find(host); it != servers_.end()) {
@@ -117,8 +117,9 @@
   co_return HttpResponse{reply->value.status, std::move(reply->value.body), 0};
 }
 
-void RealTimeWorld::ask(const std::string& from, const std::string& to, Method method,
-                        std::string target, std::string body, const Answer& answer) {
+void RealTimeWorld::send_request(const std::string& from, const std::string& to, Method method,
+                                 std::string target, std::string body,
+                                 const ResponseHandler& answer) {
   auto& client = clients_[host_of(from)];
   if (!client) client = std::make_unique<EventHttpClient>(loop_);
   loop_.spawn("ask",
@@ -126,7 +127,7 @@
 }
 
 Task<void> RealTimeWorld::exchange(EventHttpClient& client, Endpoint to, Method method,
-                                   std::string target, std::string body, Answer answer) {
+                                   std::string target, std::string body, ResponseHandler answer) {
   const auto kind = kind_of(method, target);
   const size_t asked_bytes = body.size();
   auto reply = co_await client.request(std::move(to), method, std::move(target), std::move(body),
--- a/tools/loadtest/real_time_world.hpp
+++ b/tools/loadtest/real_time_world.hpp
@@ -36,10 +36,10 @@
   void set_port(const std::string& host, uint16_t port) { ports_[host] = port; }
   static constexpr uint16_t default_port = 9000;
 
-  void serve(const std::string& host, Serve handler) override;
-  void vanish(const std::string& host) override;
-  void ask(const std::string& from, const std::string& to, Method method, std::string target,
-           std::string body, const Answer& answer) override;
+  void serve(const std::string& host, RequestHandler handler) override;
+  void stop_serving(const std::string& host) override;
+  void send_request(const std::string& from, const std::string& to, Method method,
+                    std::string target, std::string body, const ResponseHandler& answer) override;
 
   // Plays what is due. Whoever comes from outside the world calls it first, and goes by `act`.
   void act(const std::function<void()>& what);
@@ -55,13 +55,13 @@
   void arm();
   Task<HttpResponse> answer_request(std::string host, HttpRequest request);
   Task<void> exchange(EventHttpClient& client, Endpoint to, Method method, std::string target,
-                      std::string body, Answer answer);
+                      std::string body, ResponseHandler answer);
 
   EventLoop& loop_;
   double begun_;
   std::unique_ptr<Timer> timer_;
   std::map<std::string, uint16_t> ports_;
-  std::map<std::string, Serve> handlers_;
+  std::map<std::string, RequestHandler> handlers_;
   std::map<std::string, std::unique_ptr<EventHttpServer>> servers_;
   std::map<std::string, std::unique_ptr<EventHttpClient>> clients_;
   TrafficByKind served_, asked_;
--- a/tools/loadtest/region_process.cpp
+++ b/tools/loadtest/region_process.cpp
@@ -93,14 +93,14 @@
       const bool has_part =
           std::any_of(worker->tasks().begin(), worker->tasks().end(), [&](const auto& entry) {
             const JobSpec* spec = fleet_->rules().spec(entry.first.task.job);
-            return spec && spec->replicated() && simulation::on_machine(entry.second.report);
+            return spec && spec->replicated() && simulation::occupies_machine(entry.second.report);
           });
       if (has_part) candidates.push_back(worker.get());
     }
     world_.act([&] {
       for (; count > 0 && !candidates.empty(); --count) {
         const auto drawn = static_cast<std::ptrdiff_t>(world_.random64() % candidates.size());
-        candidates[static_cast<size_t>(drawn)]->vanish();
+        candidates[static_cast<size_t>(drawn)]->terminate();
         candidates.erase(candidates.begin() + drawn);
       }
     });
@@ -134,7 +134,7 @@
     const auto replicas = fleet_->rules().replicas().figures();
     message["replicas"] = {{"whole_again_s", replicas.whole_again_s},
                            {"complete_again_s", replicas.complete_again_s},
-                           {"half_s", replicas.half_s},
+                           {"half_s", replicas.partial_s},
                            {"not_whole", replicas.not_whole}};
     parent_.tell(message);
     emulator_.finish();
@@ -146,7 +146,8 @@
       if (worker->gone) continue;
       ++up;
       sessions_lost += worker->agent_epoch() - 1;
-      for (auto& [attempt, task] : worker->tasks()) tasks += simulation::on_machine(task.report);
+      for (auto& [attempt, task] : worker->tasks())
+        tasks += simulation::occupies_machine(task.report);
     }
     return {{"kind", kind},
             {"workers", up},
@@ -172,7 +173,7 @@
       if (worker->gone) continue;
       Json tasks = Json::array();
       for (auto& [attempt, task] : worker->tasks())
-        if (simulation::on_machine(task.report)) tasks.push_back(attempt.task.text());
+        if (simulation::occupies_machine(task.report)) tasks.push_back(attempt.task.text());
       if (!tasks.empty()) out[id + " (" + worker->zone + ")"] = std::move(tasks);
     }
     return out;
--- a/tools/loadtest/users.cpp
+++ b/tools/loadtest/users.cpp
@@ -74,43 +74,45 @@
 
 void Users::send(const std::string& id, size_t node, double since) {
   const double asked = world_.now();
-  world_.ask(user_host, node_host(node), Method::post, "/api/jobs",
-             encode(simulation::submission_of(*fleet_.rules().spec(id))),
-             [this, id, node, since, asked](const HttpReply& reply) {
-               ++answers_[fmt::format("submission {}", reply.status)];
-               fleet_.rules().on_answer(id, reply.status, "queued", asked);
-               auto& job = jobs_.at(id);
-               if (reply.status == 200 || reply.status == 201) {
-                 if (std::exchange(job.accepted, true)) return;
-                 ++accepted_;
-                 known_.push_back(id);
-                 if (measured()) accept_times_.push_back(static_cast<float>(world_.now() - job.at));
-                 if (world_.uniform(0, 1) < job.load->cancelled_share)
-                   world_.in(world_.uniform(2, 20), [this, id] { cancel(id, 0); });
-                 return;
-               }
-               const bool final = reply.status == 400 || reply.status == 422;
-               if (final || world_.now() - since > users_try_s) return;
-               world_.in(retry_s, [this, id, node, since] {
-                 send(id, (node + 1) % plan_.controllers[region_], since);
-               });
-             });
+  world_.send_request(user_host, node_host(node), Method::post, "/api/jobs",
+                      encode(simulation::submission_of(*fleet_.rules().spec(id))),
+                      [this, id, node, since, asked](const HttpReply& reply) {
+                        ++answers_[fmt::format("submission {}", reply.status)];
+                        fleet_.rules().on_answer(id, reply.status, "queued", asked);
+                        auto& job = jobs_.at(id);
+                        if (reply.status == 200 || reply.status == 201) {
+                          if (std::exchange(job.accepted, true)) return;
+                          ++accepted_;
+                          known_.push_back(id);
+                          if (measured())
+                            accept_times_.push_back(static_cast<float>(world_.now() - job.at));
+                          if (world_.uniform(0, 1) < job.load->cancelled_share)
+                            world_.in(world_.uniform(2, 20), [this, id] { cancel(id, 0); });
+                          return;
+                        }
+                        const bool final = reply.status == 400 || reply.status == 422;
+                        if (final || world_.now() - since > users_try_s) return;
+                        world_.in(retry_s, [this, id, node, since] {
+                          send(id, (node + 1) % plan_.controllers[region_], since);
+                        });
+                      });
 }
 
 void Users::cancel(const std::string& id, size_t node) {
   if (!jobs_.at(id).cancelled) fleet_.rules().on_cancel_request(id);
   jobs_.at(id).cancelled = true;
   const double asked = world_.now();
-  world_.ask(user_host, node_host(node), Method::post, "/api/jobs/" + id + "/cancel", {},
-             [this, id, node, asked](const HttpReply& reply) {
-               if (reply.status == 200) {
-                 auto m = decode_map(reply.body);
-                 fleet_.rules().on_answer(id, 200, m.value("status", std::string()), asked);
-                 return;
-               }
-               world_.in(retry_s,
-                         [this, id, node] { cancel(id, (node + 1) % plan_.controllers[region_]); });
-             });
+  world_.send_request(
+      user_host, node_host(node), Method::post, "/api/jobs/" + id + "/cancel", {},
+      [this, id, node, asked](const HttpReply& reply) {
+        if (reply.status == 200) {
+          auto m = decode_map(reply.body);
+          fleet_.rules().on_answer(id, 200, m.value("status", std::string()), asked);
+          return;
+        }
+        world_.in(retry_s,
+                  [this, id, node] { cancel(id, (node + 1) % plan_.controllers[region_]); });
+      });
 }
 
 void Users::cancel_services(size_t count) {
@@ -130,14 +132,15 @@
   const auto id = known_[world_.random64() % known_.size()];
   const size_t node = world_.random64() % plan_.controllers[region_];
   const double asked = world_.now();
-  world_.ask(user_host, node_host(node), Method::get, "/api/jobs/" + id, {},
-             [this, id, asked](const HttpReply& reply) {
-               ++answers_[fmt::format("poll {}", reply.status)];
-               if (reply.status != 200 && reply.status != 404) return;
-               auto m = decode_map(reply.body);
-               const auto status = m.is_object() ? m.value("status", std::string()) : std::string();
-               fleet_.rules().on_answer(id, reply.status, status, asked);
-             });
+  world_.send_request(user_host, node_host(node), Method::get, "/api/jobs/" + id, {},
+                      [this, id, asked](const HttpReply& reply) {
+                        ++answers_[fmt::format("poll {}", reply.status)];
+                        if (reply.status != 200 && reply.status != 404) return;
+                        auto m = decode_map(reply.body);
+                        const auto status =
+                            m.is_object() ? m.value("status", std::string()) : std::string();
+                        fleet_.rules().on_answer(id, reply.status, status, asked);
+                      });
 }
 
 void Users::started(const TaskId& task) {
