--- a/simulation/cloud.cpp
+++ b/simulation/cloud.cpp
@@ -8,9 +8,9 @@
 namespace damsonport::simulation {
 
 namespace {
-constexpr double answer_after_s = 0.1;
+constexpr double response_delay_s = 0.1;
 constexpr double rate_burst_s = 2;  // calls that may come at once, in seconds of the rate
-constexpr double least_snapshot_gap_s = 0.5;
+constexpr double min_snapshot_interval_s = 0.5;
 
 std::string field_of(const std::map<std::string, std::string>& query, const std::string& name) {
   auto it = query.find(name);
@@ -22,9 +22,9 @@
              SimulatedFleet& fleet)
     : world_(world), settings_(settings), machine_types_(std::move(machine_types)), fleet_(fleet) {
   world_.serve(
-      settings.cloud.host, [this](auto&, Method method, auto& target, auto& body, auto answer) {
-        world_.in(answer_after_s,
-                  [this, method, target, body, answer] { answer(handle(method, target, body)); });
+      settings.cloud.host, [this](auto&, Method method, auto& target, auto& body, auto respond) {
+        world_.in(response_delay_s,
+                  [this, method, target, body, respond] { respond(handle(method, target, body)); });
       });
 }
 
@@ -32,7 +32,7 @@
   machines_[info.id] = {info.address, info.type, info.zone, info.spot, world_.now()};
 }
 
-bool Cloud::take_call() {
+bool Cloud::try_consume_call() {
   const double passed_s = world_.now() - std::exchange(calls_counted_at_, world_.now());
   calls_left_ =
       std::min(settings_.cloud_rps * rate_burst_s, calls_left_ + passed_s * settings_.cloud_rps);
@@ -45,7 +45,7 @@
 }
 
 HttpReply Cloud::handle(Method method, const std::string& target, const std::string& body) {
-  if (!take_call()) return {429, {}};
+  if (!try_consume_call()) return {429, {}};
   if (outage_) return {503, encode({{"error", "trouble"}})};
   if (target == "/catalog") return catalog();
   if (method == Method::get) return list(target);
@@ -92,7 +92,7 @@
 
 Json Cloud::list_page(const std::string& since, size_t limit) {
   const double now = world_.now();
-  if (snapshots_.empty() || now - snapshots_.back().taken_at >= least_snapshot_gap_s)
+  if (snapshots_.empty() || now - snapshots_.back().taken_at >= min_snapshot_interval_s)
     snapshots_.push_back({now, list_now()});
   const double shown_until = now - settings_.list_lag_s;
   while (snapshots_.size() > 1 && snapshots_[1].taken_at <= shown_until) snapshots_.pop_front();
@@ -122,7 +122,7 @@
 
 HttpReply Cloud::rent_machines(const Json& request) {
   const std::string key = request.at("charter");
-  if (answered_requests_.contains(key)) return {200, encode(answered_requests_[key])};
+  if (responses_by_request_.contains(key)) return {200, encode(responses_by_request_[key])};
   const int count =
       std::min(request.at("count").get<int>(), capacity_ - static_cast<int>(machines_.size()));
   if (count <= 0) return {503, encode({{"error", "no capacity"}})};
@@ -133,8 +133,8 @@
     ids.push_back(worker.id);
     boot(worker.id, worker.type);
   }
-  answered_requests_[key] = {{"vessels", ids}};
-  return {200, encode(answered_requests_[key])};
+  responses_by_request_[key] = {{"vessels", ids}};
+  return {200, encode(responses_by_request_[key])};
 }
 
 void Cloud::boot(const std::string& id, const std::string& type) {
--- a/simulation/cloud.hpp
+++ b/simulation/cloud.hpp
@@ -63,7 +63,7 @@
   HttpReply rent_machines(const Json& request);
   void boot(const std::string& id, const std::string& type);
   /// Takes one call from the rate limit; false: the limit is reached.
-  bool take_call();
+  bool try_consume_call();
   Json list_now() const;
   /// Of the list as it was a lag ago: the machines whose id is behind `since`.
   Json list_page(const std::string& since, size_t limit);
@@ -74,7 +74,7 @@
   SimulatedFleet& fleet_;
   std::map<std::string, Machine> machines_;  // by id
   std::map<std::string, Json>
-      answered_requests_;               // by the request's key: a repeat is answered alike
+      responses_by_request_;            // by the request's key: a repeat is answered alike
   std::deque<ListSnapshot> snapshots_;  // from the newest that may be shown on
   int capacity_ = 0;
   size_t page_size_ = 500;
--- a/simulation/gang_runs.cpp
+++ b/simulation/gang_runs.cpp
@@ -7,7 +7,7 @@
 namespace damsonport::simulation {
 
 namespace {
-constexpr double least_run_s = 0.01;
+constexpr double min_run_s = 0.01;
 }
 
 const JobSpec& GangRuns::spec(const std::string& job) const { return *fleet_.rules().spec(job); }
@@ -31,7 +31,7 @@
 }
 
 double GangRuns::progress_s(const Run& run) const {
-  return run.initial_progress_s + run.first_stop_at.value_or(world_.now()) - run.begun_at;
+  return run.initial_progress_s + run.first_stop_at.value_or(world_.now()) - run.started_at;
 }
 
 int GangRuns::starts(const std::string& job) const {
@@ -56,12 +56,12 @@
 
 void GangRuns::begin_run(const RunId& id, Run& run) {
   run.is_running = true;
-  run.begun_at = world_.now();
+  run.started_at = world_.now();
   run.initial_progress_s = saved_progress_s_[id.job];
   ++starts_[id.job];
   for (auto& member : members(id)) member.worker->run_gang_task({member.task, id.attempt});
-  const double left_s = std::max(fleet_.run_time(id.job) - run.initial_progress_s, least_run_s);
-  run.completion = world_.in(left_s, [this, id] { complete(id); });
+  const double remaining_s = std::max(fleet_.run_time(id.job) - run.initial_progress_s, min_run_s);
+  run.completion = world_.in(remaining_s, [this, id] { complete(id); });
 }
 
 void GangRuns::complete(const RunId& id) {
@@ -69,7 +69,7 @@
   end_tasks(id, ExitCause::done, false);
 }
 
-void GangRuns::fall_back(const RunId& id, Run& run) {
+void GangRuns::revert_to_checkpoint(const RunId& id, Run& run) {
   run.has_ended = true;
   world_.cancel(run.completion);
   const double reached_s = progress_s(run);
@@ -84,9 +84,9 @@
   const RunId id{attempt.task.job, attempt.number};
   Run* run = find_running(id);
   if (!run) return;
-  fall_back(id, *run);
-  const double notice_s = fleet_.settings.gang_peer_s * world_.uniform(0.4, 1.0);
-  world_.in(notice_s, [this, id] { end_tasks(id, ExitCause::peers, false); });
+  revert_to_checkpoint(id, *run);
+  const double detection_s = fleet_.settings.gang_peer_s * world_.uniform(0.4, 1.0);
+  world_.in(detection_s, [this, id] { end_tasks(id, ExitCause::peers, false); });
 }
 
 void GangRuns::end_tasks(const RunId& id, ExitCause cause, bool saved) {
@@ -98,7 +98,7 @@
                                          double grace_s) {
   const RunId id{attempt.task.job, attempt.number};
   Run* run = find_running(id);
-  if (!run) return StopResult::gang_does_not_run;
+  if (!run) return StopResult::gang_not_running;
   const JobSpec& job = spec(id.job);
   if (job.checkpoint_s <= 0 || grace_s < job.save_s) {
     // A second command to stop, without grace, ends a task that saves as well.
@@ -119,7 +119,7 @@
 void GangRuns::on_stop_timeout(const RunId& id) {
   Run& run = runs_[id];
   if (run.has_ended || run.stopped.size() >= spec(id.job).tasks) return;
-  fall_back(id, run);
+  revert_to_checkpoint(id, run);
   end_tasks(id, ExitCause::peers, false);
 }
 
--- a/simulation/gang_runs.hpp
+++ b/simulation/gang_runs.hpp
@@ -25,7 +25,7 @@
   /// A task of the gang is gone, or its machine stands still.
   void on_task_lost(const TaskAttempt& attempt);
   /// Whether stopping the task was left to its gang.
-  enum class StopResult : uint8_t { gang_stops, gang_does_not_run };
+  enum class StopResult : uint8_t { gang_stops, gang_not_running };
   [[nodiscard]] StopResult stop_task(Worker& worker, const TaskAttempt& attempt, double grace_s);
 
   /// Attempts of the job that began to run.
@@ -42,7 +42,7 @@
   struct Run {
     bool is_running = false;
     bool has_ended = false;
-    double begun_at = 0;
+    double started_at = 0;
     double initial_progress_s = 0;
     std::optional<double> first_stop_at;
     std::set<TaskId> stopped;  // tasks that were told to stop
@@ -59,7 +59,7 @@
   void begin_run(const RunId& id, Run& run);
   void complete(const RunId& id);
   /// Ends without saving: back to the last checkpoint.
-  void fall_back(const RunId& id, Run& run);
+  void revert_to_checkpoint(const RunId& id, Run& run);
   void end_tasks(const RunId& id, ExitCause cause, bool saved);
   void save(const RunId& id);
   /// Some of the tasks were not told to stop in time.
--- a/simulation/key_value_store.cpp
+++ b/simulation/key_value_store.cpp
@@ -8,8 +8,8 @@
 constexpr size_t max_kept_changes = 10000;
 constexpr size_t max_transaction_bytes = size_t{64} * 1024;
 constexpr size_t default_list_limit = 1000;
-constexpr double late_from_s = 2;  // bounds of the delay of transactions that are applied late
-constexpr double late_to_s = 12;
+constexpr double min_late_apply_s = 2;  // bounds of the delay of transactions that are applied late
+constexpr double max_late_apply_s = 12;
 constexpr double lease_tolerance_s = 0.05;
 constexpr std::string_view record_path = "/keys/";
 constexpr std::string_view lease_path = "/grants/";
@@ -29,9 +29,9 @@
       limits_(limits),
       requests_left_(limits.requests_per_s),
       writes_left_(limits.writes_per_s) {
-  world_.serve(host, [this](auto& from, Method method, auto& target, auto& body, auto answer) {
-    world_.in(delay_s_ * world_.uniform(0.5, 1.5), [this, from, method, target, body, answer] {
-      handle(from, method, target, body, answer);
+  world_.serve(host, [this](auto& from, Method method, auto& target, auto& body, auto respond) {
+    world_.in(delay_s_ * world_.uniform(0.5, 1.5), [this, from, method, target, body, respond] {
+      handle(from, method, target, body, respond);
     });
   });
 }
@@ -53,15 +53,15 @@
     return;
   }
   for (auto& [id, lease] : leases_) renew_lease(id);
-  answer_watches();
+  respond_to_watches();
 }
 
-void KeyValueStore::refuse(const std::string& host, bool on) {
-  if (on) {
+void KeyValueStore::set_refused(const std::string& host, bool refused) {
+  if (refused) {
     refused_hosts_.insert(host);
   } else {
     refused_hosts_.erase(host);
-    answer_watches();
+    respond_to_watches();
   }
 }
 
@@ -82,7 +82,7 @@
   for (auto& [key, lease] : lease_of_)
     if (lease == id) ended_keys.push_back(key);
   for (auto& key : ended_keys) remove(key);
-  answer_watches();
+  respond_to_watches();
 }
 
 void KeyValueStore::put(const std::string& key, const Json& value, uint64_t lease) {
@@ -96,7 +96,7 @@
 void KeyValueStore::write(const std::string& key, const Json& value) {
   ++revision_;
   put(key, value, 0);
-  answer_watches();
+  respond_to_watches();
 }
 
 void KeyValueStore::remove(const std::string& key) {
@@ -106,11 +106,12 @@
   if (on_change) on_change(key, Json());
 }
 
-void KeyValueStore::answer_watches() {
+void KeyValueStore::respond_to_watches() {
   while (changes_.size() > max_kept_changes) changes_.pop_front();
   for (auto& watch : watches_)
-    watch.is_answered = watch.is_answered || answer_watch(watch, WatchAnswer::only_with_changes);
-  std::erase_if(watches_, [](auto& watch) { return watch.is_answered; });
+    watch.has_response =
+        watch.has_response || respond_to_watch(watch, ResponseCondition::only_with_changes);
+  std::erase_if(watches_, [](auto& watch) { return watch.has_response; });
 }
 
 Json KeyValueStore::changes_for(const Watch& watch) const {
@@ -129,15 +130,15 @@
   return changes;
 }
 
-bool KeyValueStore::answer_watch(const Watch& watch, WatchAnswer when) const {
+bool KeyValueStore::respond_to_watch(const Watch& watch, ResponseCondition when) const {
   if (is_down_ || refused_hosts_.contains(watch.host)) return false;
   Json changes = changes_for(watch);
-  if (changes.empty() && when == WatchAnswer::only_with_changes) return false;
-  watch.answer({200, encode({{"ledger", revision_}, {"news", std::move(changes)}})});
+  if (changes.empty() && when == ResponseCondition::only_with_changes) return false;
+  watch.respond({200, encode({{"ledger", revision_}, {"news", std::move(changes)}})});
   return true;
 }
 
-bool KeyValueStore::take_request(int writes) {
+bool KeyValueStore::try_consume_request(int writes) {
   const double passed_s = world_.now() - rate_counted_at_;
   rate_counted_at_ = world_.now();
   requests_left_ =
@@ -153,19 +154,19 @@
 }
 
 void KeyValueStore::handle(const std::string& from, Method method, const std::string& target,
-                           const std::string& body, const World::ResponseHandler& answer) {
-  if (is_down_ || refused_hosts_.contains(from)) return answer({503, {}});
+                           const std::string& body, const World::ResponseHandler& respond) {
+  if (is_down_ || refused_hosts_.contains(from)) return respond({503, {}});
   const auto path = target.substr(0, target.find('?'));
-  if (path == "/txn") return transact(from, body, answer);
-  if (!take_request(0)) return answer({429, {}});
+  if (path == "/txn") return transact(from, body, respond);
+  if (!try_consume_request(0)) return respond({429, {}});
   const auto query = query_of(target);
-  if (path == "/watch") return watch(from, query, answer);
-  if (path == "/keys") return answer(list(query));
-  if (path.starts_with(record_path)) return answer(get(path.substr(record_path.size())));
-  if (path == "/grants") return answer(grant_lease(decode_map(body)));
+  if (path == "/watch") return watch(from, query, respond);
+  if (path == "/keys") return respond(list(query));
+  if (path.starts_with(record_path)) return respond(get(path.substr(record_path.size())));
+  if (path == "/grants") return respond(grant_lease(decode_map(body)));
   if (path.starts_with(lease_path))
-    return answer(change_lease(method, std::stoull(path.substr(lease_path.size()))));
-  answer({400, {}});
+    return respond(change_lease(method, std::stoull(path.substr(lease_path.size()))));
+  respond({400, {}});
 }
 
 HttpReply KeyValueStore::get(const std::string& key) const {
@@ -196,13 +197,13 @@
 }
 
 void KeyValueStore::watch(const std::string& from, const Query& query,
-                          const World::ResponseHandler& answer) {
+                          const World::ResponseHandler& respond) {
   const uint64_t since = std::stoull(query.at("since"));
   const bool misses_changes =
       changes_.size() >= max_kept_changes && changes_.front().revision > since + 1;
-  if (misses_changes) return answer({410, {}});
-  const Watch watch{++last_watch_, from, field_of(query, "starts"), since, answer};
-  if (answer_watch(watch, WatchAnswer::only_with_changes)) return;
+  if (misses_changes) return respond({410, {}});
+  const Watch watch{++last_watch_id_, from, field_of(query, "starts"), since, respond};
+  if (respond_to_watch(watch, ResponseCondition::only_with_changes)) return;
   watches_.push_back(watch);
   const double wait_s = std::stod(query.at("block_ms")) / 1000;
   world_.in(wait_s, [this, id = watch.id] { on_watch_timeout(id); });
@@ -211,11 +212,11 @@
 void KeyValueStore::on_watch_timeout(uint64_t id) {
   auto it =
       std::find_if(watches_.begin(), watches_.end(), [id](auto& watch) { return watch.id == id; });
-  if (it != watches_.end() && answer_watch(*it, WatchAnswer::always)) watches_.erase(it);
+  if (it != watches_.end() && respond_to_watch(*it, ResponseCondition::always)) watches_.erase(it);
 }
 
 HttpReply KeyValueStore::grant_lease(const Json& request) {
-  const uint64_t id = next_lease_++;
+  const uint64_t id = next_lease_id_++;
   leases_[id].duration_s = request.value("life_ms", 1000) / 1000.0;
   renew_lease(id);
   return {200, encode({{"permit", id}})};
@@ -232,21 +233,22 @@
 }
 
 void KeyValueStore::transact(const std::string& from, const std::string& body,
-                             const World::ResponseHandler& answer) {
+                             const World::ResponseHandler& respond) {
   const Json transaction = decode_map(body);
-  if (!transaction.is_object()) return answer({400, {}});
+  if (!transaction.is_object()) return respond({400, {}});
   const int writes =
       transaction.contains("writes") ? static_cast<int>(transaction["writes"].size()) : 0;
-  if (!take_request(writes)) return answer({429, {}});
-  const bool is_struck =
+  if (!try_consume_request(writes)) return respond({429, {}});
+  const bool is_affected =
       writes > 0 && (transaction_fault_host_.empty() || transaction_fault_host_ == from);
-  if (is_struck && transaction_fault_ == TransactionFault::applied_late) {
-    world_.in(world_.uniform(late_from_s, late_to_s), [this, transaction] { apply(transaction); });
+  if (is_affected && transaction_fault_ == TransactionFault::applied_late) {
+    world_.in(world_.uniform(min_late_apply_s, max_late_apply_s),
+              [this, transaction] { apply(transaction); });
     return;
   }
   auto reply = apply(transaction);
-  if (is_struck && transaction_fault_ == TransactionFault::response_lost) return;
-  answer(std::move(reply));
+  if (is_affected && transaction_fault_ == TransactionFault::response_lost) return;
+  respond(std::move(reply));
 }
 
 HttpReply KeyValueStore::refuse_for_size() {
@@ -293,7 +295,7 @@
       remove(write.at("remove"));
     }
   }
-  answer_watches();
+  respond_to_watches();
 }
 
 HttpReply KeyValueStore::apply(const Json& transaction) {
--- a/simulation/key_value_store.hpp
+++ b/simulation/key_value_store.hpp
@@ -29,7 +29,7 @@
   /// full time.
   void set_down(bool down);
   /// One host alone gets a 503, and its watches wait.
-  void refuse(const std::string& host, bool on);
+  void set_refused(const std::string& host, bool refused);
   /// What becomes of transactions that write: carried out late and without an answer, or at once
   /// with the answer lost.
   enum class TransactionFault : uint8_t { none, applied_late, response_lost };
@@ -64,8 +64,8 @@
     std::string host;
     std::string prefix;
     uint64_t since;  // the last revision that its client knows
-    World::ResponseHandler answer;
-    bool is_answered = false;
+    World::ResponseHandler respond;
+    bool has_response = false;
   };
   struct Lease {
     double duration_s = 0;
@@ -79,15 +79,15 @@
 
   // --- requests
   void handle(const std::string& from, Method method, const std::string& target,
-              const std::string& body, const World::ResponseHandler& answer);
+              const std::string& body, const World::ResponseHandler& respond);
   HttpReply get(const std::string& key) const;
   HttpReply list(const Query& query) const;
-  void watch(const std::string& from, const Query& query, const World::ResponseHandler& answer);
+  void watch(const std::string& from, const Query& query, const World::ResponseHandler& respond);
   void on_watch_timeout(uint64_t id);
   HttpReply grant_lease(const Json& request);
   HttpReply change_lease(Method method, uint64_t id);
   void transact(const std::string& from, const std::string& body,
-                const World::ResponseHandler& answer);
+                const World::ResponseHandler& respond);
   HttpReply apply(const Json& transaction);
   bool exceeds_limits(const Json& transaction, const Json& conditions, const Json& writes) const;
   /// Empty: the write is allowed, if the conditions hold.
@@ -100,15 +100,15 @@
   void put(const std::string& key, const Json& value, uint64_t lease);
   void remove(const std::string& key);
   /// Answers the watches after changes.
-  void answer_watches();
+  void respond_to_watches();
   Json changes_for(const Watch& watch) const;
-  enum class WatchAnswer : uint8_t { only_with_changes, always };
+  enum class ResponseCondition : uint8_t { only_with_changes, always };
   /// False: the watch goes on waiting.
-  bool answer_watch(const Watch& watch, WatchAnswer when) const;
+  bool respond_to_watch(const Watch& watch, ResponseCondition when) const;
   void end_lease(uint64_t id);
   void renew_lease(uint64_t id);
   /// Takes a request with so many writes from the rate limits; false: a limit is reached.
-  bool take_request(int writes);
+  bool try_consume_request(int writes);
 
   World& world_;
   StateLimits limits_;
@@ -122,9 +122,9 @@
   std::map<uint64_t, Lease> leases_;
   std::deque<Change> changes_;  // the newest, for watches
   uint64_t revision_ = 100;
-  uint64_t next_lease_ = 1;
+  uint64_t next_lease_id_ = 1;
   std::list<Watch> watches_;
-  uint64_t last_watch_ = 0;
+  uint64_t last_watch_id_ = 0;
   double requests_left_;
   double writes_left_;
   double rate_counted_at_ = 0;
--- a/simulation/replica_checker.cpp
+++ b/simulation/replica_checker.cpp
@@ -8,22 +8,22 @@
 namespace damsonport::simulation {
 
 namespace {
-constexpr double still_there = std::numeric_limits<double>::infinity();
+constexpr double still_present = std::numeric_limits<double>::infinity();
 // Clocks that run fast, and messages between a machine and its controller.
 constexpr double tolerance_s = 0.05;
 }  // namespace
 
 bool ReplicaChecker::is_whole(const Attempt& attempt, uint32_t parts) {
   return attempt.size() == parts && std::all_of(attempt.begin(), attempt.end(), [](auto& entry) {
-           return entry.second.until == still_there;
+           return entry.second.present_until == still_present;
          });
 }
 
-void ReplicaChecker::judge_start(const Replica& replica, const JobSpec& spec, const TaskId& task,
+void ReplicaChecker::check_start(const Replica& replica, const JobSpec& spec, const TaskId& task,
                                  uint64_t attempt, const std::string& machine) {
   for (auto& [number, other] : replica.attempts)
     for (auto& [index, part] : other) {
-      if (index == task.index || part.until != still_there) continue;
+      if (index == task.index || part.present_until != still_present) continue;
       if (number != attempt)
         on_violation_("replica_mixed",
                       fmt::format("{} starts under attempt {} beside {}/{} under attempt {}",
@@ -37,12 +37,12 @@
         fmt::format("{} starts under attempt {}, which was ready before", task.text(), attempt));
 }
 
-void ReplicaChecker::part_starts(const JobSpec& spec, const TaskId& task, uint64_t attempt,
-                                 const std::string& machine) {
+void ReplicaChecker::on_part_started(const JobSpec& spec, const TaskId& task, uint64_t attempt,
+                                     const std::string& machine) {
   if (!spec.replicated()) return;
   Replica& replica = replicas_[{spec.id, task.index / spec.parts}];
-  if (!only_measure_) judge_start(replica, spec, task, attempt, machine);
-  replica.attempts[attempt][task.index] = {machine, still_there};
+  if (!skips_rules_) check_start(replica, spec, task, attempt, machine);
+  replica.attempts[attempt][task.index] = {machine, still_present};
   const bool whole = is_whole(replica.attempts[attempt], spec.parts);
   measure(replica, spec, whole);
   if (!whole || replica.broken_since < 0) return;
@@ -54,55 +54,57 @@
   replica.broken_since = -1;
 }
 
-void ReplicaChecker::part_leaves(const JobSpec& spec, const TaskId& task,
-                                 const std::string& machine) {
+void ReplicaChecker::on_part_left(const JobSpec& spec, const TaskId& task,
+                                  const std::string& machine) {
   if (!spec.replicated()) return;
   Replica& replica = replicas_[{spec.id, task.index / spec.parts}];
   for (auto& [number, attempt] : replica.attempts) {
     auto it = attempt.find(task.index);
-    if (it == attempt.end() || it->second.machine != machine || it->second.until != still_there)
+    if (it == attempt.end() || it->second.machine != machine ||
+        it->second.present_until != still_present)
       continue;
     if (is_whole(attempt, spec.parts)) replica.broken_since = world_.now();
-    it->second.until = world_.now();
+    it->second.present_until = world_.now();
   }
   measure(replica, spec, false);
 }
 
 void ReplicaChecker::measure(Replica& replica, const JobSpec& spec, bool whole) {
   const double now = world_.now();
-  std::set<uint32_t> there;
+  std::set<uint32_t> present;
   for (auto& [number, attempt] : replica.attempts)
     for (auto& [index, part] : attempt)
-      if (part.until == still_there) there.insert(index);
-  const bool was_complete = std::exchange(replica.complete, there.size() == spec.parts);
+      if (part.present_until == still_present) present.insert(index);
+  const bool was_complete = std::exchange(replica.complete, present.size() == spec.parts);
   if (replica.broken_since < 0) return;
   if (replica.complete && !was_complete)
     figures_.complete_again_s.push_back(now - replica.broken_since);
-  const bool half = !whole && !there.empty();
-  if (replica.half_since >= 0) figures_.partial_s += now - replica.half_since;
-  replica.half_since = half ? now : -1;
+  const bool partial = !whole && !present.empty();
+  if (replica.partial_since >= 0) figures_.partial_s += now - replica.partial_since;
+  replica.partial_since = partial ? now : -1;
 }
 
 ReplicaChecker::Figures ReplicaChecker::figures() const {
   Figures out = figures_;
   for (auto& [key, replica] : replicas_) {
     out.not_whole += replica.broken_since >= 0;
-    if (replica.half_since >= 0) out.partial_s += world_.now() - replica.half_since;
+    if (replica.partial_since >= 0) out.partial_s += world_.now() - replica.partial_since;
   }
   return out;
 }
 
-void ReplicaChecker::claimed_ready(const std::string& controller, const JobSpec& spec,
-                                   uint32_t number, uint64_t attempt, double age_s) {
+void ReplicaChecker::on_ready_claim(const std::string& controller, const JobSpec& spec,
+                                    uint32_t number, uint64_t attempt, double age_s) {
   ++claims_;
   Replica& replica = replicas_[{spec.id, number}];
   replica.claimed_attempt = std::max(replica.claimed_attempt, attempt);
   const double as_of = world_.now() - age_s - tolerance_s;
   const Attempt& parts = replica.attempts[attempt];
-  const bool true_claim = parts.size() == spec.parts &&
-                          std::all_of(parts.begin(), parts.end(),
-                                      [&](auto& entry) { return entry.second.until >= as_of; });
-  if (!true_claim)
+  const bool claim_holds =
+      parts.size() == spec.parts && std::all_of(parts.begin(), parts.end(), [&](auto& entry) {
+        return entry.second.present_until >= as_of;
+      });
+  if (!claim_holds)
     on_violation_("replica_ready",
                   fmt::format("{} says that {}:{} is ready under attempt {}, as of {} s",
                               controller, spec.id, number, attempt, age_s));
--- a/simulation/replica_checker.hpp
+++ b/simulation/replica_checker.hpp
@@ -19,16 +19,16 @@
       : world_(world), on_violation_(std::move(on_violation)) {}
 
   /// A part is on its machine from now on, until it leaves.
-  void part_starts(const JobSpec& spec, const TaskId& task, uint64_t attempt,
-                   const std::string& machine);
-  void part_leaves(const JobSpec& spec, const TaskId& task, const std::string& machine);
+  void on_part_started(const JobSpec& spec, const TaskId& task, uint64_t attempt,
+                       const std::string& machine);
+  void on_part_left(const JobSpec& spec, const TaskId& task, const std::string& machine);
   /// A controller claims that the replica is ready under this attempt, by heartbeats up to `age_s`
   /// seconds old.
-  void claimed_ready(const std::string& controller, const JobSpec& spec, uint32_t number,
-                     uint64_t attempt, double age_s);
+  void on_ready_claim(const std::string& controller, const JobSpec& spec, uint32_t number,
+                      uint64_t attempt, double age_s);
 
   /// Checks no rules from now on: for controllers that don't know of replicas.
-  void only_measure() { only_measure_ = true; }
+  void skip_rules() { skips_rules_ = true; }
   /// Over all replicas that were whole and lost a part, until now.
   struct Figures {
     std::vector<double> whole_again_s;     // until all parts ran under one attempt again
@@ -50,7 +50,7 @@
  private:
   struct Part {
     std::string machine;
-    double until = 0;  // infinite: it is still there
+    double present_until = 0;  // infinite: it is still there
   };
   using Attempt = std::map<uint32_t, Part>;      // by task: the last that was there
   using Key = std::pair<std::string, uint32_t>;  // job, number
@@ -58,7 +58,7 @@
     std::map<uint64_t, Attempt> attempts;
     double broken_since = -1;      // it was whole before; negative: it is whole, or never was
     bool complete = false;         // all parts are there, under whatever attempts
-    double half_since = -1;        // broken, with some part there; negative: it isn't
+    double partial_since = -1;     // broken, with some part present; negative: it isn't
     uint64_t claimed_attempt = 0;  // the newest that was claimed to be ready
   };
   struct Repairs {
@@ -66,7 +66,7 @@
     double longest_s = 0;
   };
   static bool is_whole(const Attempt& attempt, uint32_t parts);
-  void judge_start(const Replica& replica, const JobSpec& spec, const TaskId& task,
+  void check_start(const Replica& replica, const JobSpec& spec, const TaskId& task,
                    uint64_t attempt, const std::string& machine);
   // Notes what a part that came or left means for a replica that was whole before.
   void measure(Replica& replica, const JobSpec& spec, bool whole);
@@ -76,7 +76,7 @@
   std::map<Key, Replica> replicas_;
   std::map<std::string, Repairs> repairs_;
   int claims_ = 0;
-  bool only_measure_ = false;
+  bool skips_rules_ = false;
   Figures figures_;
 };
 
--- a/simulation/rule_checker.cpp
+++ b/simulation/rule_checker.cpp
@@ -9,8 +9,8 @@
 namespace damsonport::simulation {
 
 namespace {
-constexpr double tolerance = 1e-6;         // of sums of resources
-constexpr double after_deadline_s = 0.01;  // so that what happens at the deadline is done
+constexpr double resource_tolerance = 1e-6;  // of sums of resources
+constexpr double deadline_margin_s = 0.01;   // so that what happens at the deadline is done
 }  // namespace
 
 bool occupies_machine(const TaskStatus& task) {
@@ -28,33 +28,33 @@
 }
 
 bool RuleChecker::ended_as(const std::string& job, const std::string& state) const {
-  auto it = final_answers_.find(job);
-  return it != final_answers_.end() && it->second.state == state;
+  auto it = final_states_.find(job);
+  return it != final_states_.end() && it->second.state == state;
 }
 
-void RuleChecker::on_answer(const std::string& job, int status, const std::string& state,
-                            double asked_at) {
+void RuleChecker::on_response(const std::string& job, int status, const std::string& state,
+                              double requested_at) {
   const auto accepted = accepted_at_.find(job);
-  check_known_job_answer(job, status,
-                         accepted != accepted_at_.end() && accepted->second < asked_at);
+  check_known_job_response(job, status,
+                           accepted != accepted_at_.end() && accepted->second < requested_at);
   if (status != 200 && status != 201) return;
   if (!specs_.contains(job)) return report_violation("invented", job);
   accepted_at_.try_emplace(job, world_.now());
-  last_answered_at_[job] = world_.now();
-  check_final_answer(job, state, asked_at);
+  last_response_at_[job] = world_.now();
+  check_final_state(job, state, requested_at);
 }
 
-void RuleChecker::check_known_job_answer(const std::string& job, int status, bool was_accepted) {
+void RuleChecker::check_known_job_response(const std::string& job, int status, bool was_accepted) {
   const bool denies_job = status == 404 || status == 400 || status == 422;
   if (denies_job && was_accepted)
     report_violation("forgotten", job + " is answered " + std::to_string(status));
 }
 
-void RuleChecker::check_final_answer(const std::string& job, const std::string& state,
-                                     double asked_at) {
-  const auto ended = final_answers_.find(job);
-  const bool has_ended = ended != final_answers_.end();
-  if (has_ended && ended->second.at < asked_at && state != ended->second.state)
+void RuleChecker::check_final_state(const std::string& job, const std::string& state,
+                                    double requested_at) {
+  const auto ended = final_states_.find(job);
+  const bool has_ended = ended != final_states_.end();
+  if (has_ended && ended->second.at < requested_at && state != ended->second.state)
     report_violation("went_back", job + " was " + ended->second.state + " and is " + state);
   if (state == "done") {
     for (uint32_t i = 0; i < specs_.at(job).tasks; ++i)
@@ -68,9 +68,9 @@
   if (state != "done" && state != "aborted") return;
   if (has_ended && ended->second.state != state)
     report_violation("went_back", job + " is both " + ended->second.state + " and " + state);
-  const bool is_first = final_answers_.try_emplace(job, FinalAnswer{world_.now(), state}).second;
+  const bool is_first = final_states_.try_emplace(job, FinalState{world_.now(), state}).second;
   if (!is_first || state == "done") return;
-  world_.in(settings_.cancel_s + after_deadline_s,
+  world_.in(settings_.cancel_s + deadline_margin_s,
             [this, job] { check_cancelled_job_is_gone(job); });
 }
 
@@ -81,9 +81,9 @@
   return jobs;
 }
 
-std::optional<double> RuleChecker::last_answered_at(const std::string& job) const {
-  auto it = last_answered_at_.find(job);
-  if (it == last_answered_at_.end()) return std::nullopt;
+std::optional<double> RuleChecker::last_response_at(const std::string& job) const {
+  auto it = last_response_at_.find(job);
+  if (it == last_response_at_.end()) return std::nullopt;
   return it->second;
 }
 
@@ -109,15 +109,15 @@
   check_single_instance(worker.id, task);
   machines_of_[task].push_back(worker.id);
   count_usage(*job, worker.zone, 1);
-  check_place(*job, worker, task);
-  replicas_.part_starts(*job, task, attempt, worker.id);
+  check_placement(*job, worker, task);
+  replicas_.on_part_started(*job, task, attempt, worker.id);
   check_quota(job->team);
   if (on_start) on_start(task);
 }
 
 void RuleChecker::check_not_cancelled(const std::string& machine, const TaskId& task) {
-  auto ended = final_answers_.find(task.job);
-  if (ended == final_answers_.end() || ended->second.state != "aborted") return;
+  auto ended = final_states_.find(task.job);
+  if (ended == final_states_.end() || ended->second.state != "aborted") return;
   ++starts_after_cancellation_;
   if (world_.now() > ended->second.at + settings_.cancel_s)
     report_violation("ran_cancelled", task.text() + " starts on " + machine);
@@ -136,14 +136,14 @@
   const auto* team = settings_.team(team_name);
   if (!team) return;
   const Usage& usage = usage_[team_name];
-  const bool over_cpus = team->cpus_max > 0 && usage.cpus > team->cpus_max + tolerance;
-  const bool over_gpus = team->gpus_max > 0 && usage.gpus > team->gpus_max + tolerance;
+  const bool over_cpus = team->cpus_max > 0 && usage.cpus > team->cpus_max + resource_tolerance;
+  const bool over_gpus = team->gpus_max > 0 && usage.gpus > team->gpus_max + resource_tolerance;
   if (over_cpus || over_gpus)
     report_violation("quota", fmt::format("{} uses {} accelerators and {} CPUs", team_name,
                                           usage.gpus, usage.cpus));
 }
 
-void RuleChecker::check_place(const JobSpec& spec, const Worker& worker, const TaskId& task) {
+void RuleChecker::check_placement(const JobSpec& spec, const Worker& worker, const TaskId& task) {
   if (!spec.types.empty() &&
       std::find(spec.types.begin(), spec.types.end(), worker.type) == spec.types.end())
     report_violation("wrong_place", task.text() + " starts on a " + worker.type);
@@ -169,7 +169,7 @@
   if (machine == machines.end())
     return report_violation("checker", task.text() + " leaves a machine twice");
   machines.erase(machine);
-  replicas_.part_leaves(*job, task, worker.id);
+  replicas_.on_part_left(*job, task, worker.id);
   if (machines.empty()) machines_of_.erase(it);
   count_usage(*job, worker.zone, -1);
   auto zones = tasks_in_zone_.find(task.job);
--- a/simulation/rule_checker.hpp
+++ b/simulation/rule_checker.hpp
@@ -31,9 +31,10 @@
   // --- called by users
 
   void on_submission(const JobSpec& spec) { specs_.emplace(spec.id, spec); }
-  /// A user got this answer to a request made at `asked_at`. `state`: of the job, if the answer
+  /// A user got this answer to a request made at `requested_at`. `state`: of the job, if the answer
   /// names it.
-  void on_answer(const std::string& job, int status, const std::string& state, double asked_at);
+  void on_response(const std::string& job, int status, const std::string& state,
+                   double requested_at);
   void on_cancel_request(const std::string& job) { cancel_requested_.insert(job); }
 
   // --- called by workers
@@ -65,23 +66,23 @@
   /// Jobs that were accepted and that nobody asked to cancel.
   std::vector<std::string> jobs_to_serve() const;
   /// When the job was last answered about; empty: never.
-  std::optional<double> last_answered_at(const std::string& job) const;
+  std::optional<double> last_response_at(const std::string& job) const;
 
  private:
   struct Usage {
     double cpus = 0;
     double gpus = 0;
   };
-  struct FinalAnswer {
+  struct FinalState {
     double at;
     std::string state;
   };
-  void check_known_job_answer(const std::string& job, int status, bool was_accepted);
-  void check_final_answer(const std::string& job, const std::string& state, double asked_at);
+  void check_known_job_response(const std::string& job, int status, bool was_accepted);
+  void check_final_state(const std::string& job, const std::string& state, double requested_at);
   void check_cancelled_job_is_gone(const std::string& job);
   void check_single_instance(const std::string& machine, const TaskId& task);
   void check_not_cancelled(const std::string& machine, const TaskId& task);
-  void check_place(const JobSpec& spec, const Worker& worker, const TaskId& task);
+  void check_placement(const JobSpec& spec, const Worker& worker, const TaskId& task);
   void check_quota(const std::string& team);
   void count_usage(const JobSpec& spec, const std::string& zone, int sign);
 
@@ -89,8 +90,8 @@
   const Settings& settings_;
   std::map<std::string, JobSpec> specs_;
   std::map<std::string, double> accepted_at_;       // as its user learned it first
-  std::map<std::string, double> last_answered_at_;  // by job
-  std::map<std::string, FinalAnswer> final_answers_;
+  std::map<std::string, double> last_response_at_;  // by job
+  std::map<std::string, FinalState> final_states_;
   std::set<std::string> cancel_requested_;
   std::set<TaskId> done_;
   std::vector<std::string> violations_;
--- a/simulation/virtual_controller.cpp
+++ b/simulation/virtual_controller.cpp
@@ -16,13 +16,13 @@
 }
 
 void VirtualController::start() {
-  constexpr double most_wall_error_s = 0.02;
+  constexpr double max_wall_error_s = 0.02;
   auto& process = *processes_.emplace_back(std::make_unique<Process>(Process{settings_, regions_}));
   loop_ = std::make_unique<VirtualLoop>(world_, name(),
                                         std::seed_seq{static_cast<unsigned>(world_.random64()),
                                                       static_cast<unsigned>(world_.random64())},
                                         clock_rate_,
-                                        world_.uniform(-most_wall_error_s, most_wall_error_s));
+                                        world_.uniform(-max_wall_error_s, max_wall_error_s));
   network_ = std::make_unique<VirtualNetwork>(*loop_, host(), streams_);
   controller_ = std::make_unique<Controller>(*loop_, *network_, process.settings,
                                              process.regions ? &*process.regions : nullptr);
--- a/simulation/virtual_network.cpp
+++ b/simulation/virtual_network.cpp
@@ -116,17 +116,17 @@
         alive_(std::move(alive)) {}
   bool bind(const Endpoint&) override {
     loop_.world().serve(
-        host_, [this](auto& from, Method method, auto& target, auto& body, auto answer) {
-          if (body.size() > max_body_) return answer({413, {}});
-          const auto question = target.find('?');
+        host_, [this](auto& from, Method method, auto& target, auto& body, auto respond) {
+          if (body.size() > max_body_) return respond({413, {}});
+          const auto query_start = target.find('?');
           HttpRequest request{
-              method, target.substr(0, question),
-              question == std::string::npos ? std::string() : target.substr(question + 1), body,
-              previous_answer(from)};
-          loop_.when_awake([this, alive = alive_, from, request, answer = std::move(answer)] {
+              method, target.substr(0, query_start),
+              query_start == std::string::npos ? std::string() : target.substr(query_start + 1),
+              body, previous_response(from)};
+          loop_.when_awake([this, alive = alive_, from, request, respond = std::move(respond)] {
             if (!*alive) return;
             loop_.enter();
-            loop_.spawn("request", handle(from, request, answer, alive));
+            loop_.spawn("request", handle(from, request, respond, alive));
           });
         });
     return true;
@@ -137,18 +137,18 @@
 
  private:
   // When the connection that `from` names was last answered; 0: it names none, or it never was.
-  double previous_answer(const std::string& from) const {
-    auto it = answered_at_.find(from);
-    return it == answered_at_.end() ? 0 : it->second;
+  double previous_response(const std::string& from) const {
+    auto it = responded_at_.find(from);
+    return it == responded_at_.end() ? 0 : it->second;
   }
-  Task<void> handle(std::string from, HttpRequest request, World::ResponseHandler answer,
+  Task<void> handle(std::string from, HttpRequest request, World::ResponseHandler respond,
                     std::shared_ptr<bool> alive) {
     auto response = co_await handler_(std::move(request));
     if (!*alive) co_return;
-    if (from.find('#') != std::string::npos) answered_at_[from] = loop_.now();
-    answer({response.status, std::move(response.body)});
+    if (from.find('#') != std::string::npos) responded_at_[from] = loop_.now();
+    respond({response.status, std::move(response.body)});
   }
-  std::map<std::string, double> answered_at_;  // by connection
+  std::map<std::string, double> responded_at_;  // by connection
   VirtualLoop& loop_;
   std::string host_;
   size_t max_body_;
--- a/simulation/worker.cpp
+++ b/simulation/worker.cpp
@@ -7,9 +7,9 @@
 namespace damsonport::simulation {
 
 namespace {
-constexpr double answer_timeout_s = 4;
-constexpr double next_controller_after_s = 1;
-constexpr double least_heartbeat_gap_s = 0.5;
+constexpr double response_timeout_s = 4;
+constexpr double next_controller_delay_s = 1;
+constexpr double min_heartbeat_interval_s = 0.5;
 // Names of the protocol, in the order of TaskState and ExitCause.
 constexpr const char* state_names[] = {"fetching", "running", "flushing", "exited", "waiting"};
 constexpr const char* cause_names[] = {"",     "done",    "stopped", "error", "no_room",
@@ -27,13 +27,13 @@
       fleet_(fleet) {}
 
 void Worker::begin() {
-  lease_begun_at_ = world_.now();
+  lease_started_at_ = world_.now();
   controller_ = world_.random64() % fleet_.controllers.size();
-  world_.serve(host, [this](auto&, Method method, auto& target, auto& body, auto answer) {
-    if (!is_hung()) return serve(method, target, body, answer);
+  world_.serve(host, [this](auto&, Method method, auto& target, auto& body, auto respond) {
+    if (!is_hung()) return serve(method, target, body, respond);
     // Carried out when it goes on.
-    world_.at(hung_until_, [this, method, target, body, answer] {
-      if (!gone) serve(method, target, body, answer);
+    world_.at(hung_until_, [this, method, target, body, respond] {
+      if (!gone) serve(method, target, body, respond);
     });
   });
   restart_lease_timer();
@@ -41,7 +41,7 @@
 }
 
 void Worker::terminate() {
-  leave_gangs();
+  report_lost_gang_tasks();
   gone = true;
   world_.stop_serving(host);
   drop_tasks();
@@ -51,7 +51,7 @@
 
 void Worker::hang(double seconds) {
   hung_until_ = world_.now() + seconds;
-  leave_gangs();
+  report_lost_gang_tasks();
   // What was to happen meanwhile happens that much later.
   for (auto& [attempt, task] : tasks_) {
     if (!task.has_timer) continue;
@@ -67,7 +67,7 @@
   world_.at(hung_until_, [this] {
     if (gone) return;
     restart_lease_timer();
-    awaits_answer_ = false;
+    awaits_response_ = false;
     schedule_heartbeat(0.01);
   });
 }
@@ -100,45 +100,47 @@
 }
 
 void Worker::on_change() {
-  if (awaits_answer_ || is_hung()) return;
-  schedule_heartbeat(std::max(0.001, last_heartbeat_at_ + least_heartbeat_gap_s - world_.now()));
+  if (awaits_response_ || is_hung()) return;
+  schedule_heartbeat(std::max(0.001, last_heartbeat_at_ + min_heartbeat_interval_s - world_.now()));
 }
 
 std::string Worker::connection() const {
-  return host + "#" + std::to_string(controller_) + "." + std::to_string(connection_);
+  return host + "#" + std::to_string(controller_) + "." + std::to_string(connection_number_);
 }
 
 void Worker::send_heartbeat() {
-  if (gone || is_hung() || awaits_answer_) return;
-  awaits_answer_ = true;
+  if (gone || is_hung() || awaits_response_) return;
+  awaits_response_ = true;
   const uint64_t number = ++heartbeat_number_;
   const double sent_at = world_.now();
   last_heartbeat_at_ = sent_at;
   const uint64_t agent_epoch = agent_epoch_;
-  const auto timeout = world_.in(answer_timeout_s, [this, number] {
-    if (gone || number != heartbeat_number_ || !awaits_answer_) return;
-    on_heartbeat_answer(0, Json(), agent_epoch_, 0);
+  const auto timeout = world_.in(response_timeout_s, [this, number] {
+    if (gone || number != heartbeat_number_ || !awaits_response_) return;
+    on_heartbeat_response(0, Json(), agent_epoch_, 0);
   });
   auto body = encode(heartbeat());
-  if (mute) return;
+  if (loses_heartbeats) return;
   world_.send_request(
       connection(), fleet_.controllers[controller_].host, Method::post, "/hello", std::move(body),
       [this, number, agent_epoch, sent_at, timeout](const HttpReply& reply) {
-        if (gone || deaf || is_hung() || number != heartbeat_number_ || !awaits_answer_) return;
+        if (gone || loses_incoming_messages || is_hung() || number != heartbeat_number_ ||
+            !awaits_response_)
+          return;
         world_.cancel(timeout);
-        on_heartbeat_answer(reply.status, decode_map(reply.body), agent_epoch, sent_at);
+        on_heartbeat_response(reply.status, decode_map(reply.body), agent_epoch, sent_at);
       });
 }
 
-void Worker::on_heartbeat_answer(int status, const Json& body, uint64_t agent_epoch,
-                                 double sent_at) {
-  awaits_answer_ = false;
-  if (status == 0) ++connection_;  // closed: a late answer on it is not read any more
+void Worker::on_heartbeat_response(int status, const Json& body, uint64_t agent_epoch,
+                                   double sent_at) {
+  awaits_response_ = false;
+  if (status == 0) ++connection_number_;  // closed: a late answer on it is not read any more
   double next_s = fleet_.settings.heartbeat_interval_s * world_.uniform(0.75, 1.25);
   if (status == 200) {
     on_accepted_heartbeat(body, agent_epoch, sent_at);
   } else {
-    next_s = next_controller_after(status, body);
+    next_s = select_next_controller(status, body);
   }
   schedule_heartbeat(next_s);
 }
@@ -149,12 +151,12 @@
   // An answer that is dropped keeps the worker at that controller all the same.
   if (fencing_token < fencing_token_ || agent_epoch != agent_epoch_) return;
   learn_fencing_token(fencing_token);
-  lease_begun_at_ = sent_at;
+  lease_started_at_ = sent_at;
   restart_lease_timer();
   execute(body.value("orders", Json::array()));
 }
 
-double Worker::next_controller_after(int status, const Json& body) {
+double Worker::select_next_controller(int status, const Json& body) {
   const auto& controllers = fleet_.controllers;
   if (status == 421 && body.is_object() && body.contains("harbour")) {
     const auto leader = std::find_if(controllers.begin(), controllers.end(),
@@ -166,7 +168,7 @@
     }
   }
   controller_ = (controller_ + 1) % controllers.size();
-  return next_controller_after_s;
+  return next_controller_delay_s;
 }
 
 void Worker::learn_fencing_token(uint64_t fencing_token) {
@@ -177,22 +179,22 @@
 
 void Worker::restart_lease_timer() {
   world_.cancel(lease_end_);
-  const double ends_at = lease_begun_at_ + fleet_.settings.lease_s;
+  const double ends_at = lease_started_at_ + fleet_.settings.lease_s;
   if (world_.now() >= ends_at) return lose_lease();
   lease_end_ = world_.at(ends_at, [this] { lose_lease(); });
 }
 
 void Worker::lose_lease() {
   if (gone || is_hung()) return;
-  leave_gangs();
+  report_lost_gang_tasks();
   drop_tasks();
   ++agent_epoch_;
-  lease_begun_at_ = world_.now();
+  lease_started_at_ = world_.now();
   restart_lease_timer();
   on_change();
 }
 
-void Worker::repeat_kept_heartbeat(const std::string& controller_host) {
+void Worker::redeliver_kept_heartbeat(const std::string& controller_host) {
   world_.send_request(host, controller_host, Method::post, "/hello", kept_heartbeat_,
                       [](const HttpReply&) {});
 }
--- a/simulation/worker.hpp
+++ b/simulation/worker.hpp
@@ -66,14 +66,14 @@
   const std::string type;
   const std::string zone;
   const bool spot;
-  bool deaf = false;  // nothing reaches the worker
-  bool mute = false;  // its heartbeats are lost
-  bool sick = false;  // every task fails as soon as it has its image
+  bool loses_incoming_messages = false;
+  bool loses_heartbeats = false;
+  bool fails_tasks = false;
   bool gone = false;  // set by terminate()
 
   /// Keeps a copy of a heartbeat, to arrive once more at any time.
   void keep_heartbeat() { kept_heartbeat_ = encode(heartbeat()); }
-  void repeat_kept_heartbeat(const std::string& controller_host);
+  void redeliver_kept_heartbeat(const std::string& controller_host);
 
  private:
   // --- heartbeats and lease (worker.cpp)
@@ -82,10 +82,10 @@
   void schedule_heartbeat(double seconds);
   void send_heartbeat();
   void on_change();
-  void on_heartbeat_answer(int status, const Json& body, uint64_t agent_epoch, double sent_at);
+  void on_heartbeat_response(int status, const Json& body, uint64_t agent_epoch, double sent_at);
   void on_accepted_heartbeat(const Json& body, uint64_t agent_epoch, double sent_at);
   /// Follows a redirection or goes on to the next controller; yields seconds until it is asked.
-  double next_controller_after(int status, const Json& body);
+  double select_next_controller(int status, const Json& body);
   /// Names the connection to the controller; one without an answer in time is not used again.
   std::string connection() const;
   void learn_fencing_token(uint64_t fencing_token);
@@ -95,19 +95,19 @@
 
   // --- commands and tasks (worker_tasks.cpp)
   void serve(Method method, const std::string& target, const std::string& body,
-             const World::ResponseHandler& answer);
+             const World::ResponseHandler& respond);
   void execute(const Json& commands);
   void start(const TaskAttempt& attempt);
   bool has_room_for_all_tasks() const;
   double image_fetch_s(const JobSpec& spec) const;
   void on_image_fetched(const TaskAttempt& attempt);
-  void run_until_done(RunningTask& task, double least_s);
+  void run_until_done(RunningTask& task, double min_s);
   void wait_for_gang(const TaskAttempt& attempt);
   void stop(RunningTask& task, double grace_s);
   void exit(RunningTask& task, ExitCause cause, bool saved = false);
   void resume_after_hang(const TaskAttempt& attempt, TaskState state);
   /// The other tasks of their gangs notice that all tasks here are gone or stand still.
-  void leave_gangs();
+  void report_lost_gang_tasks();
   void drop_tasks();
   /// Calls `then` with the task after so long, unless it ends or gets another timer before.
   void set_timer(RunningTask& task, double seconds, std::function<void(RunningTask&)> then);
@@ -116,14 +116,14 @@
   World& world_;
   SimulatedFleet& fleet_;
   uint64_t agent_epoch_ = 1;
-  uint64_t sequence_ = 0;       // of heartbeats
-  uint64_t fencing_token_ = 0;  // the highest that was seen
-  double lease_begun_at_ = 0;   // when the last heartbeat was sent that was accepted
+  uint64_t sequence_ = 0;        // of heartbeats
+  uint64_t fencing_token_ = 0;   // the highest that was seen
+  double lease_started_at_ = 0;  // when the last heartbeat was sent that was accepted
   double last_heartbeat_at_ = -1e9;
   double hung_until_ = -1;
-  size_t controller_ = 0;    // that heartbeats go to, by index
-  uint64_t connection_ = 0;  // counts the connections
-  bool awaits_answer_ = false;
+  size_t controller_ = 0;           // that heartbeats go to, by index
+  uint64_t connection_number_ = 0;  // counts the connections
+  bool awaits_response_ = false;
   uint64_t heartbeat_number_ = 0;  // of the one that awaits its answer
   World::EventId next_heartbeat_;
   World::EventId lease_end_;
--- a/simulation/worker_tasks.cpp
+++ b/simulation/worker_tasks.cpp
@@ -7,26 +7,26 @@
 namespace damsonport::simulation {
 
 namespace {
-constexpr double least_fetch_s = 0.05;  // of an image that the machine has
-constexpr double least_run_s = 0.01;
+constexpr double min_fetch_s = 0.05;  // of an image that the machine has
+constexpr double min_run_s = 0.01;
 constexpr double tolerance = 1e-6;  // of sums of resources
 }  // namespace
 
 void Worker::serve(Method method, const std::string& target, const std::string& body,
-                   const World::ResponseHandler& answer) {
-  if (deaf) return;
-  if (method == Method::get && target == "/show") return answer({200, encode(heartbeat())});
+                   const World::ResponseHandler& respond) {
+  if (loses_incoming_messages) return;
+  if (method == Method::get && target == "/show") return respond({200, encode(heartbeat())});
   const Json message = decode_map(body);
   if (target != "/commands" || !message.is_object() || !message.contains("helm") ||
       !message.contains("watch"))
-    return answer({400, {}});
+    return respond({400, {}});
   const uint64_t fencing_token = message["helm"];
   const uint64_t agent_epoch = message["watch"];
   if (fencing_token < fencing_token_ || agent_epoch != agent_epoch_)
-    return answer({409, encode(heartbeat())});
+    return respond({409, encode(heartbeat())});
   learn_fencing_token(fencing_token);
   execute(message.value("orders", Json::array()));
-  answer({200, encode(heartbeat())});
+  respond({200, encode(heartbeat())});
 }
 
 void Worker::execute(const Json& commands) {
@@ -80,8 +80,8 @@
 
 double Worker::image_fetch_s(const JobSpec& spec) const {
   const MachineType* own = fleet_.find_type(type);
-  if (images_.contains(spec.image) || !own) return least_fetch_s;
-  return least_fetch_s + spec.image_gb / own->fetch_gb_per_s;
+  if (images_.contains(spec.image) || !own) return min_fetch_s;
+  return min_fetch_s + spec.image_gb / own->fetch_gb_per_s;
 }
 
 void Worker::start(const TaskAttempt& attempt) {
@@ -107,7 +107,7 @@
   const JobSpec& spec = *fleet_.rules().spec(attempt.task.job);
   images_.insert(spec.image);
   fleet_.count_start(spec.id);
-  if (sick || fleet_.is_broken(spec.id)) return exit(task, ExitCause::error);
+  if (fails_tasks || fleet_.is_broken(spec.id)) return exit(task, ExitCause::error);
   if (fleet_.rules().is_done(attempt.task)) return exit(task, ExitCause::done);
   // On the machine from now on: the checker counts it as well.
   task.report.state = TaskState::running;
@@ -115,13 +115,13 @@
   if (spec.kind == JobKind::gang) return wait_for_gang(attempt);
   task.progress_s = fleet_.saved_progress_s(attempt.task);
   task.since = world_.now();
-  if (spec.kind != JobKind::service) run_until_done(task, least_run_s);
+  if (spec.kind != JobKind::service) run_until_done(task, min_run_s);
   on_change();
 }
 
-void Worker::run_until_done(RunningTask& task, double least_s) {
+void Worker::run_until_done(RunningTask& task, double min_s) {
   const double left_s = fleet_.run_time(task.report.task.job) - task.progress_s;
-  set_timer(task, std::max(left_s, least_s),
+  set_timer(task, std::max(left_s, min_s),
             [this](RunningTask& ended) { exit(ended, ExitCause::done); });
 }
 
@@ -158,7 +158,7 @@
     exit(it->second, cause, saved);
 }
 
-void Worker::leave_gangs() {
+void Worker::report_lost_gang_tasks() {
   std::vector<TaskAttempt> running;
   for (auto& [attempt, task] : tasks_) {
     const JobSpec* spec = fleet_.rules().spec(attempt.task.job);
--- a/simulation/world.cpp
+++ b/simulation/world.cpp
@@ -5,9 +5,9 @@
 namespace damsonport::simulation {
 
 namespace {
-constexpr double least_delay_s = 0.0005;  // of a message
-constexpr double most_delay_s = 0.002;
-constexpr double held_message_gap_s = 1e-5;
+constexpr double min_delay_s = 0.0005;  // of a message
+constexpr double max_delay_s = 0.002;
+constexpr double held_message_interval_s = 1e-5;
 }  // namespace
 
 std::map<std::string, std::string> query_of(const std::string& target) {
@@ -48,9 +48,9 @@
   if (it == cuts_.end()) return;
   auto held = std::move(it->second.held_messages);
   cuts_.erase(it);
-  double delay_s = most_delay_s;
+  double delay_s = max_delay_s;
   for (auto& message : held) {
-    delay_s += held_message_gap_s;
+    delay_s += held_message_interval_s;
     in(delay_s, std::move(message));
   }
 }
@@ -60,18 +60,19 @@
     if (it->second.how == Cut::hold) it->second.held_messages.push_back(std::move(arrive));
     return;
   }
-  in(uniform(least_delay_s, most_delay_s), std::move(arrive));
+  in(uniform(min_delay_s, max_delay_s), std::move(arrive));
 }
 
 void World::send_request(const std::string& from, const std::string& to, Method method,
-                         std::string target, std::string body, const ResponseHandler& answer) {
+                         std::string target, std::string body, const ResponseHandler& on_response) {
   const std::string host = host_of(from);
   report_traffic(from, to, std::to_string(static_cast<int>(method)) + " " + target, body);
   send(host, to,
-       [this, from, host, to, method, target = std::move(target), body = std::move(body), answer] {
-         ResponseHandler respond = [this, host, to, answer](const HttpReply& reply) {
+       [this, from, host, to, method, target = std::move(target), body = std::move(body),
+        on_response] {
+         ResponseHandler respond = [this, host, to, on_response](const HttpReply& reply) {
            report_traffic(to, host, std::to_string(reply.status), reply.body);
-           send(to, host, [answer, reply] { answer(reply); });
+           send(to, host, [on_response, reply] { on_response(reply); });
          };
          auto server = servers_.find(to);
          if (server == servers_.end()) return respond({0, {}});
--- a/simulation/world.hpp
+++ b/simulation/world.hpp
@@ -60,7 +60,7 @@
   using ResponseHandler = std::function<void(HttpReply)>;
   using RequestHandler =
       std::function<void(const std::string& from, Method method, const std::string& target,
-                         const std::string& body, ResponseHandler answer)>;
+                         const std::string& body, ResponseHandler respond)>;
   /// The host of a name that may have a connection behind it, "10.1.0.2#7".
   static std::string host_of(const std::string& from) { return from.substr(0, from.find('#')); }
   /// Requests to the host go to this handler from now on.
@@ -73,7 +73,8 @@
   /// refuses: status 0. `from` may name a connection behind the host, so that the server can tell
   /// it from others.
   virtual void send_request(const std::string& from, const std::string& to, Method method,
-                            std::string target, std::string body, const ResponseHandler& answer);
+                            std::string target, std::string body,
+                            const ResponseHandler& on_response);
   /// Sends a one-way message: `arrive` is called at the other end.
   void send(const std::string& from, const std::string& to, std::function<void()> arrive);
 
--- a/tests/fault_scenario_test.cpp
+++ b/tests/fault_scenario_test.cpp
@@ -116,7 +116,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Suite, RandomReplicaScenarios, testing::Range(uint64_t{0}, random_groups));
 
-INSTANTIATE_TEST_SUITE_P(Kept, TraceScenarios, testing::ValuesIn(kept_scenarios(TRACE_DIR)),
+INSTANTIATE_TEST_SUITE_P(Kept, TraceScenarios, testing::ValuesIn(trace_scenarios(TRACE_DIR)),
                          [](auto& test) { return test.param; });
 
 }  // namespace
--- a/tests/regions/region_cluster.cpp
+++ b/tests/regions/region_cluster.cpp
@@ -133,8 +133,8 @@
                       "/api/jobs", encode(submission_of(jobs_.at(job))),
                       [this, region, job, asked, answered, next](const HttpReply& reply) {
                         if (std::exchange(*answered, true)) return;
-                        regions_[region].fleet->rules().on_answer(job, reply.status, "queued",
-                                                                  asked);
+                        regions_[region].fleet->rules().on_response(job, reply.status, "queued",
+                                                                    asked);
                         if (reply.status != 200 && reply.status != 201) next();
                       });
 }
--- a/tests/regions/regions_test.cpp
+++ b/tests/regions/regions_test.cpp
@@ -260,7 +260,7 @@
   cluster.at(from, [&] {
     switch (trouble) {
       case StateTrouble::refuses:
-        return state.refuse(cluster.shard_leader(where).host(), true);
+        return state.set_refused(cluster.shard_leader(where).host(), true);
       case StateTrouble::outage:
         return state.set_down(true);
       case StateTrouble::applies_late:
@@ -272,7 +272,8 @@
     }
   });
   cluster.at(from + lasts, [&] {
-    for (auto& controller : cluster.controllers(where)) state.refuse(controller->host(), false);
+    for (auto& controller : cluster.controllers(where))
+      state.set_refused(controller->host(), false);
     state.set_down(false);
     state.set_transaction_fault(KeyValueStore::TransactionFault::none, {});
     state.set_delay(0.004);
--- a/tests/scenarios/fault_scenario.cpp
+++ b/tests/scenarios/fault_scenario.cpp
@@ -11,7 +11,7 @@
 }  // namespace
 
 void FaultScenario::set_up() {
-  deployment_.start_stand_ins();
+  deployment_.start_simulators();
   if (!plan_.stored_records.empty()) load_records(fixtures_dir + "/" + plan_.stored_records);
   deployment_.start_controllers();
 }
@@ -45,19 +45,19 @@
 
 void FaultScenario::load_job(const std::string& job) {
   deployment_.fleet().rules().on_submission(plan_.jobs.at(job));
-  deployment_.fleet().rules().on_answer(job, 201, "queued", world_.now());
+  deployment_.fleet().rules().on_response(job, 201, "queued", world_.now());
   world_.in(first_poll_after_s, [this, job] { users_.begin_polling(job); });
 }
 
-void FaultScenario::watch_replica_claims() {
+void FaultScenario::check_replica_claims() {
   constexpr double interval_s = 0.2;
   for (auto& controller : deployment_.controllers())
     for (auto& claim : controller->replica_claims())
       if (claim.status.readiness.ready)
-        deployment_.fleet().rules().replicas().claimed_ready(
+        deployment_.fleet().rules().replicas().on_ready_claim(
             controller->name(), plan_.jobs.at(claim.status.job), claim.status.number,
             claim.status.readiness.attempt, claim.age_s);
-  world_.in(interval_s, [this] { watch_replica_claims(); });
+  world_.in(interval_s, [this] { check_replica_claims(); });
 }
 
 void FaultScenario::apply(const ScenarioEvent& event) {
@@ -75,7 +75,7 @@
   for (auto& event : plan_.events)
     world_.at(std::min(event.at_s, plan_.end_s - last_event_before_end_s),
               [this, &event] { apply(event); });
-  if (!plan_.settings.replicas.classes.empty()) watch_replica_claims();
+  if (!plan_.settings.replicas.classes.empty()) check_replica_claims();
   world_.run_until(plan_.end_s);
   auto failures = deployment_.fleet().rules().violations();
   failures.insert(failures.end(), checks_.failures().begin(), checks_.failures().end());
--- a/tests/scenarios/fault_scenario.hpp
+++ b/tests/scenarios/fault_scenario.hpp
@@ -36,7 +36,7 @@
   void load_job(const std::string& job);
   void apply(const ScenarioEvent& event);
   /// Compares what controllers claim of replicas with the truth, again and again.
-  void watch_replica_claims();
+  void check_replica_claims();
 
   World world_;
   ScenarioPlan plan_;
--- a/tests/scenarios/draw.hpp
+++ b/tests/scenarios/random_draw.hpp
@@ -6,18 +6,18 @@
 
 namespace damsonport::simulation {
 
-class Draw {
+class RandomDraw {
  public:
-  explicit Draw(uint64_t seed) : random_(seed) {}
-  double between(double low, double high) {
+  explicit RandomDraw(uint64_t seed) : random_(seed) {}
+  double uniform(double low, double high) {
     return std::uniform_real_distribution<double>(low, high)(random_);
   }
-  int upto(int n) { return std::uniform_int_distribution<int>(0, n - 1)(random_); }
-  bool chance(double p) { return between(0, 1) < p; }
+  int below(int bound) { return std::uniform_int_distribution<int>(0, bound - 1)(random_); }
+  bool chance(double probability) { return uniform(0, 1) < probability; }
   template <class... T>
-  std::string of(T... words) {
+  std::string one_of(T... words) {
     const char* all[] = {words...};
-    return all[upto(static_cast<int>(sizeof...(words)))];
+    return all[below(static_cast<int>(sizeof...(words)))];
   }
 
  private:
--- a/tests/scenarios/random_scenario.cpp
+++ b/tests/scenarios/random_scenario.cpp
@@ -2,7 +2,7 @@
 
 #include <fmt/format.h>
 
-#include "scenarios/draw.hpp"
+#include "scenarios/random_draw.hpp"
 
 namespace damsonport::simulation {
 
@@ -13,83 +13,88 @@
 
 /// Draws the lines of one scenario. The order of the draws decides which scenario a seed gives: new
 /// draws go to `later_draws_`, so that those of before stay as they were.
-class ScenarioDrawing {
+class ScenarioGenerator {
  public:
-  explicit ScenarioDrawing(uint64_t seed) : seed_(seed), draw_(seed), later_draws_(~seed) {}
+  explicit ScenarioGenerator(uint64_t seed) : seed_(seed), draw_(seed), later_draws_(~seed) {}
 
-  std::vector<std::string> draw() {
+  std::vector<std::string> generate() {
     draw_deployment();
     draw_jobs();
     draw_gangs();
     draw_submissions();
     draw_cancellations();
-    for (int i = 0, n = 3 + draw_.upto(7); i < n; ++i) draw_fault();
+    for (int i = 0, n = 3 + draw_.below(7); i < n; ++i) draw_fault();
     const bool with_outage_after_refusal = seed_ % 2 == 0;
     if (with_outage_after_refusal) draw_outage_after_refusal();
-    draw_later_additions();
-    line("until 330");
-    line("expect served");
+    draw_additional_faults();
+    add_line("until 330");
+    add_line("expect served");
     return lines_;
   }
 
  private:
-  void line(std::string_view format, const auto&... args) {
+  void add_line(std::string_view format, const auto&... args) {
     lines_.push_back(fmt::format(fmt::runtime(format), args...));
   }
 
   std::string draw_place() {
-    return zones_ ? draw_.of("", "one_zone", "spread", "zone=a", "zone=b") : std::string();
+    return has_two_zones_ ? draw_.one_of("", "one_zone", "spread", "zone=a", "zone=b")
+                          : std::string();
   }
 
   void draw_deployment() {
-    zones_ = draw_.chance(0.4);
-    const bool rare = draw_.chance(0.4);  // seldom reports, long leases
-    line("controllers {} zones={}", draw_.chance(0.5) ? 3 : 5, zones_ ? "a,b" : "a");
-    line("workers report={} lease={} cancel={}", rare ? 4 : 1.5, rare ? 32 : 12, rare ? 62 : 42);
-    line("team t gpus_max={}", draw_.chance(0.5) ? 64 : 14);
-    line("team u cpus_max={}", draw_.chance(0.5) ? 200 : 40);
-    line("type g cpus=64 gpus=8 memory=512 zones={} fetch=4", zones_ ? "a,b" : "a");
-    line("machines 3 type=g zone=a");
-    if (zones_) line("machines 2 type=g zone=b");
-    if (draw_.chance(0.5)) line("machines 1 type=g zone=a spot");
-    line("cloud capacity={} boot={}", 8 + draw_.upto(5), draw_.of("1", "6", "15"));
-    if (draw_.chance(0.3)) line("close_looks");
+    has_two_zones_ = draw_.chance(0.4);
+    const bool long_intervals = draw_.chance(0.4);  // seldom reports, long leases
+    add_line("controllers {} zones={}", draw_.chance(0.5) ? 3 : 5, has_two_zones_ ? "a,b" : "a");
+    add_line("workers report={} lease={} cancel={}", long_intervals ? 4 : 1.5,
+             long_intervals ? 32 : 12, long_intervals ? 62 : 42);
+    add_line("team t gpus_max={}", draw_.chance(0.5) ? 64 : 14);
+    add_line("team u cpus_max={}", draw_.chance(0.5) ? 200 : 40);
+    add_line("type g cpus=64 gpus=8 memory=512 zones={} fetch=4", has_two_zones_ ? "a,b" : "a");
+    add_line("machines 3 type=g zone=a");
+    if (has_two_zones_) add_line("machines 2 type=g zone=b");
+    if (draw_.chance(0.5)) add_line("machines 1 type=g zone=a spot");
+    add_line("cloud capacity={} boot={}", 8 + draw_.below(5), draw_.one_of("1", "6", "15"));
+    if (draw_.chance(0.3)) add_line("close_looks");
   }
 
   void draw_jobs() {
     // Named so that a word of a trace can mean several.
-    line("jobs run-1..run-4 tasks=3 gpus=1 run=40 checkpoint=10 save=2 {}", draw_.of("", "spot"));
-    line("jobs run-5..run-7 team=u tasks={} cpus=3 run=25 gb={}", 1 + draw_.upto(4),
-         draw_.of("1", "20"));
-    line("jobs run-8..run-9 tasks=2 gpus=1 run=60 idle {}", draw_place());
-    line("jobs run-10..run-12 service high tasks={} cpus=2 team=u {}", 1 + draw_.upto(3),
-         draw_place());
-    line("jobs run-13..run-14 service production tasks=1 gpus=2 gb=8 image=big {}", draw_place());
-    line("jobs run-15..run-34 tasks=1 cpus=1 run=6");
+    add_line("jobs run-1..run-4 tasks=3 gpus=1 run=40 checkpoint=10 save=2 {}",
+             draw_.one_of("", "spot"));
+    add_line("jobs run-5..run-7 team=u tasks={} cpus=3 run=25 gb={}", 1 + draw_.below(4),
+             draw_.one_of("1", "20"));
+    add_line("jobs run-8..run-9 tasks=2 gpus=1 run=60 idle {}", draw_place());
+    add_line("jobs run-10..run-12 service high tasks={} cpus=2 team=u {}", 1 + draw_.below(3),
+             draw_place());
+    add_line("jobs run-13..run-14 service production tasks=1 gpus=2 gb=8 image=big {}",
+             draw_place());
+    add_line("jobs run-15..run-34 tasks=1 cpus=1 run=6");
   }
 
   // Gangs, and limits that are lowered at some time.
   void draw_gangs() {
-    line("announced kb=2 ops=4 writes=35");
-    line("jobs run-35..run-37 gang tasks={} cpus=2 run=25 checkpoint=10 save=2 team=u {}",
-         2 + draw_.upto(4), draw_place());
-    line("jobs run-38 gang high tasks=3 gpus=1 run=30 checkpoint=10 save=3 {}", draw_place());
-    line("at {:.2f} submit run-35..run-38 every={}", draw_.between(8, 30), draw_.of("0.1", "6"));
+    add_line("announced kb=2 ops=4 writes=35");
+    add_line("jobs run-35..run-37 gang tasks={} cpus=2 run=25 checkpoint=10 save=2 team=u {}",
+             2 + draw_.below(4), draw_place());
+    add_line("jobs run-38 gang high tasks=3 gpus=1 run=30 checkpoint=10 save=3 {}", draw_place());
+    add_line("at {:.2f} submit run-35..run-38 every={}", draw_.uniform(8, 30),
+             draw_.one_of("0.1", "6"));
     if (draw_.chance(0.5))
-      line("at {:.2f} cancel run-{}", draw_.between(12, 60), 35 + draw_.upto(4));
-    line("at {:.2f} lower_limits", draw_.between(8, 60));
+      add_line("at {:.2f} cancel run-{}", draw_.uniform(12, 60), 35 + draw_.below(4));
+    add_line("at {:.2f} lower_limits", draw_.uniform(8, 60));
   }
 
   void draw_submissions() {
-    line("at 6 submit run-1..run-14 every={}", draw_.of("0.05", "0.7", "2"));
-    line("at {} submit run-15..run-34 every=0.4", draw_.between(8, 40));
+    add_line("at 6 submit run-1..run-14 every={}", draw_.one_of("0.05", "0.7", "2"));
+    add_line("at {} submit run-15..run-34 every=0.4", draw_.uniform(8, 40));
   }
 
   void draw_cancellations() {
-    for (int i = 0, n = 4 + draw_.upto(8); i < n; ++i) {
-      const int job = 1 + draw_.upto(34);
-      line("at {:.2f} cancel run-{} via={}", draw_.between(8, last_cancel_s), job,
-           draw_.of("others", "nodes", "leader"));
+    for (int i = 0, n = 4 + draw_.below(8); i < n; ++i) {
+      const int job = 1 + draw_.below(34);
+      add_line("at {:.2f} cancel run-{} via={}", draw_.uniform(8, last_cancel_s), job,
+               draw_.one_of("others", "nodes", "leader"));
     }
   }
 
@@ -104,12 +109,12 @@
   // All values are drawn, whether the kind of fault needs them or not.
   void draw_fault() {
     Fault fault;
-    fault.at_s = draw_.between(10, last_fault_s);
-    fault.for_s = draw_.chance(0.6) ? draw_.between(0.5, 12) : draw_.between(12, 60);
-    fault.machines = draw_.of("m1", "m2,m3", "machines", "with:run-1", "with:run-10", "m4");
-    fault.controllers = draw_.of("leader", "others", "n0", "n1", "nodes", "leader");
-    fault.cut_kind = draw_.of("hold", "drop");
-    const int kind = draw_.upto(17);
+    fault.at_s = draw_.uniform(10, last_fault_s);
+    fault.for_s = draw_.chance(0.6) ? draw_.uniform(0.5, 12) : draw_.uniform(12, 60);
+    fault.machines = draw_.one_of("m1", "m2,m3", "machines", "with:run-1", "with:run-10", "m4");
+    fault.controllers = draw_.one_of("leader", "others", "n0", "n1", "nodes", "leader");
+    fault.cut_kind = draw_.one_of("hold", "drop");
+    const int kind = draw_.below(17);
     if (kind <= 6) return draw_controller_or_store_fault(fault, kind);
     if (kind <= 10 || kind == 15) return draw_partition(fault, kind);
     draw_machine_fault_or_requests(fault, kind);
@@ -121,29 +126,29 @@
       case 1:
         // If all that know of a cancellation end in an outage, nobody can know of it: no service
         // can keep the rule then, and none is asked to.
-        line("at {:.2f} crash {} for={:.2f}", fault.at_s,
-             fault.controllers == "nodes" ? "n2" : fault.controllers,
-             draw_.of("0.3", "3", "9") == "0.3" ? 0.3 : 5.0);
+        add_line("at {:.2f} crash {} for={:.2f}", fault.at_s,
+                 fault.controllers == "nodes" ? "n2" : fault.controllers,
+                 draw_.one_of("0.3", "3", "9") == "0.3" ? 0.3 : 5.0);
         break;
       case 2:
-        line("at {:.2f} refuse leader for={:.2f}", fault.at_s, fault.for_s);
-        line("at {:.2f} outage for={:.2f}", fault.at_s + draw_.between(0.5, 3), fault.for_s);
-        line("at {:.2f} cancel run-{},run-{} via=others", fault.at_s + draw_.between(0, 1.5),
-             1 + draw_.upto(10), 10 + draw_.upto(5));
+        add_line("at {:.2f} refuse leader for={:.2f}", fault.at_s, fault.for_s);
+        add_line("at {:.2f} outage for={:.2f}", fault.at_s + draw_.uniform(0.5, 3), fault.for_s);
+        add_line("at {:.2f} cancel run-{},run-{} via=others", fault.at_s + draw_.uniform(0, 1.5),
+                 1 + draw_.below(10), 10 + draw_.below(5));
         break;
       case 3:
-        line("at {:.2f} refuse {} for={:.2f}", fault.at_s, fault.controllers, fault.for_s);
+        add_line("at {:.2f} refuse {} for={:.2f}", fault.at_s, fault.controllers, fault.for_s);
         break;
       case 4:
-        line("at {:.2f} outage for={:.2f}", fault.at_s, fault.for_s);
+        add_line("at {:.2f} outage for={:.2f}", fault.at_s, fault.for_s);
         break;
       case 5:
-        line("at {:.2f} fate {} {} for={:.2f}", fault.at_s, draw_.of("late", "lost"),
-             draw_.of("", "of=leader", "of=n1"), std::min(fault.for_s, 8.0));
+        add_line("at {:.2f} fate {} {} for={:.2f}", fault.at_s, draw_.one_of("late", "lost"),
+                 draw_.one_of("", "of=leader", "of=n1"), std::min(fault.for_s, 8.0));
         break;
       case 6:
-        line("at {:.2f} slow by={} for={:.2f}", fault.at_s, draw_.of("0.05", "0.4"),
-             std::min(fault.for_s, 20.0));
+        add_line("at {:.2f} slow by={} for={:.2f}", fault.at_s, draw_.one_of("0.05", "0.4"),
+                 std::min(fault.for_s, 20.0));
         break;
     }
   }
@@ -151,28 +156,28 @@
   void draw_partition(const Fault& fault, int kind) {
     switch (kind) {
       case 7:
-        line("at {:.2f} cut {} from=nodes how={} {} for={:.2f}", fault.at_s, fault.machines,
-             fault.cut_kind, draw_.of("", "one_way"), fault.for_s);
+        add_line("at {:.2f} cut {} from=nodes how={} {} for={:.2f}", fault.at_s, fault.machines,
+                 fault.cut_kind, draw_.one_of("", "one_way"), fault.for_s);
         break;
       case 8:
-        line("at {:.2f} cut nodes from={} how={} one_way for={:.2f}", fault.at_s, fault.machines,
-             fault.cut_kind, fault.for_s);
+        add_line("at {:.2f} cut nodes from={} how={} one_way for={:.2f}", fault.at_s,
+                 fault.machines, fault.cut_kind, fault.for_s);
         break;
       case 9:
-        line("at {:.2f} cut leader from=nodes,state how={} for={:.2f}", fault.at_s, fault.cut_kind,
-             fault.for_s);
+        add_line("at {:.2f} cut leader from=nodes,state how={} for={:.2f}", fault.at_s,
+                 fault.cut_kind, fault.for_s);
         break;
       case 10:
-        line("at {:.2f} cut nodes from=nodes how={} for={:.2f}", fault.at_s, fault.cut_kind,
-             fault.for_s);
+        add_line("at {:.2f} cut nodes from=nodes how={} for={:.2f}", fault.at_s, fault.cut_kind,
+                 fault.for_s);
         break;
       case 15:
-        if (zones_)
-          line("at {:.2f} cut zone:a from=zone:b how={} for={:.2f}", fault.at_s, fault.cut_kind,
-               fault.for_s);
+        if (has_two_zones_)
+          add_line("at {:.2f} cut zone:a from=zone:b how={} for={:.2f}", fault.at_s, fault.cut_kind,
+                   fault.for_s);
         else
-          line("at {:.2f} cut leader from=machines how={} for={:.2f}", fault.at_s, fault.cut_kind,
-               fault.for_s);
+          add_line("at {:.2f} cut leader from=machines how={} for={:.2f}", fault.at_s,
+                   fault.cut_kind, fault.for_s);
         break;
     }
   }
@@ -180,26 +185,26 @@
   void draw_machine_fault_or_requests(const Fault& fault, int kind) {
     switch (kind) {
       case 11:
-        line("at {:.2f} hang {} for={:.2f}", fault.at_s, fault.machines, fault.for_s);
+        add_line("at {:.2f} hang {} for={:.2f}", fault.at_s, fault.machines, fault.for_s);
         break;
       case 12:
-        line("at {:.2f} {} {} for={:.2f}", fault.at_s, draw_.of("deaf", "mute"), fault.machines,
-             fault.for_s);
+        add_line("at {:.2f} {} {} for={:.2f}", fault.at_s, draw_.one_of("deaf", "mute"),
+                 fault.machines, fault.for_s);
         break;
       case 13:
-        line("at {:.2f} die {}", fault.at_s, draw_.of("m1", "m2", "m3"));
+        add_line("at {:.2f} die {}", fault.at_s, draw_.one_of("m1", "m2", "m3"));
         break;
       case 14: {
-        line("at {:.2f} keep machines", fault.at_s);
+        add_line("at {:.2f} keep machines", fault.at_s);
         for (int k = 0; k < 3; ++k)
-          line("at {:.2f} late_report machines to=nodes", fault.at_s + draw_.between(0.5, 30));
-        line("at {:.2f} crash leader for=3", fault.at_s + draw_.between(0, 10));
+          add_line("at {:.2f} late_report machines to=nodes", fault.at_s + draw_.uniform(0.5, 30));
+        add_line("at {:.2f} crash leader for=3", fault.at_s + draw_.uniform(0, 10));
         break;
       }
       case 16:
-        line("at {:.2f} repeat run-{},run-{} via=nodes", fault.at_s, 1 + draw_.upto(9),
-             10 + draw_.upto(9));
-        line("at {:.2f} ask run-1..run-14 every=1 for=5", fault.at_s);
+        add_line("at {:.2f} repeat run-{},run-{} via=nodes", fault.at_s, 1 + draw_.below(9),
+                 10 + draw_.below(9));
+        add_line("at {:.2f} ask run-1..run-14 every=1 for=5", fault.at_s);
         break;
     }
   }
@@ -207,53 +212,59 @@
   // The key-value store refuses the leader, jobs are cancelled elsewhere, and then it is out for
   // all; with what makes it worse.
   void draw_outage_after_refusal() {
-    const double at = draw_.between(14, 40);
-    const double out = at + draw_.between(0.5, 3);
-    line("at {:.2f} refuse leader for={:.2f}", at, draw_.between(2, 20));
-    for (int i = 0, n = 2 + draw_.upto(4); i < n; ++i)
-      line("at {:.2f} cancel run-{} via=others", draw_.between(at, out + 0.5), 1 + draw_.upto(14));
-    line("at {:.2f} outage for={:.2f}", out, draw_.between(5, 90));
+    const double refused_at_s = draw_.uniform(14, 40);
+    const double outage_at_s = refused_at_s + draw_.uniform(0.5, 3);
+    add_line("at {:.2f} refuse leader for={:.2f}", refused_at_s, draw_.uniform(2, 20));
+    for (int i = 0, n = 2 + draw_.below(4); i < n; ++i)
+      add_line("at {:.2f} cancel run-{} via=others", draw_.uniform(refused_at_s, outage_at_s + 0.5),
+               1 + draw_.below(14));
+    add_line("at {:.2f} outage for={:.2f}", outage_at_s, draw_.uniform(5, 90));
     if (draw_.chance(0.5))
-      line("at {:.2f} hang {} for={:.2f}", draw_.between(at - 1, out),
-           draw_.of("m1", "m2,m3", "m4"), draw_.between(10, 100));
-    for (int i = 0, n = draw_.upto(3); i < n; ++i)
-      line("at {:.2f} crash {} for={:.2f}", draw_.between(at, out + 40), draw_.of("n0", "n1", "n2"),
-           draw_.between(0.3, 8));
+      add_line("at {:.2f} hang {} for={:.2f}", draw_.uniform(refused_at_s - 1, out),
+               draw_.one_of("m1", "m2,m3", "m4"), draw_.uniform(10, 100));
+    for (int i = 0, n = draw_.below(3); i < n; ++i)
+      add_line("at {:.2f} crash {} for={:.2f}", draw_.uniform(refused_at_s, outage_at_s + 40),
+               draw_.one_of("n0", "n1", "n2"), draw_.uniform(0.3, 8));
     if (draw_.chance(0.25))
-      line("at {:.2f} cut nodes from=nodes how={} for={:.2f}", draw_.between(at - 2, out + 10),
-           draw_.of("hold", "drop"), draw_.between(5, 80));
+      add_line("at {:.2f} cut nodes from=nodes how={} for={:.2f}",
+               draw_.uniform(refused_at_s - 2, outage_at_s + 10), draw_.one_of("hold", "drop"),
+               draw_.uniform(5, 80));
     if (draw_.chance(0.25))
-      line("at {:.2f} deaf {} for={:.2f}", draw_.between(at - 2, out), draw_.of("m1", "m2,m3"),
-           draw_.between(5, 60));
+      add_line("at {:.2f} deaf {} for={:.2f}", draw_.uniform(refused_at_s - 2, out),
+               draw_.one_of("m1", "m2,m3"), draw_.uniform(5, 60));
   }
 
   // Processes that pause, jobs submitted with a mistake, machines that boot late or never, and a
   // burst of small jobs.
-  void draw_later_additions() {
-    line("jobs run-39..run-40 tasks={} gpus=1 run=20 broken {}", 1 + later_draws_.upto(5),
-         later_draws_.of("", "spot"));
-    line("at {:.2f} submit run-39..run-40 every=3", later_draws_.between(8, 40));
-    line("at {:.2f} cancel run-39..run-40", later_draws_.between(60, 130));
-    line("jobs run-41..run-70 tasks=1 cpus=0.25 run=15 idle spot team=u");
-    line("at {:.2f} submit run-41..run-70 every=0.08", later_draws_.between(8, 90));
-    for (int i = 0, n = later_draws_.upto(3); i < n; ++i)
-      line("at {:.2f} stall {} for={:.2f}", later_draws_.between(10, 110),
-           later_draws_.of("leader", "leader", "n0", "n1", "others"),
-           later_draws_.chance(0.5) ? later_draws_.between(0.5, 10) : later_draws_.between(10, 70));
-    line("at {:.2f} boots {} in={:.2f} for={:.2f}", later_draws_.between(4, 60),
-         later_draws_.of("late", "late", "never"),
-         later_draws_.chance(0.5) ? 1 : later_draws_.between(20, 60), later_draws_.between(5, 30));
+  void draw_additional_faults() {
+    add_line("jobs run-39..run-40 tasks={} gpus=1 run=20 broken {}", 1 + later_draws_.below(5),
+             later_draws_.one_of("", "spot"));
+    add_line("at {:.2f} submit run-39..run-40 every=3", later_draws_.uniform(8, 40));
+    add_line("at {:.2f} cancel run-39..run-40", later_draws_.uniform(60, 130));
+    add_line("jobs run-41..run-70 tasks=1 cpus=0.25 run=15 idle spot team=u");
+    add_line("at {:.2f} submit run-41..run-70 every=0.08", later_draws_.uniform(8, 90));
+    for (int i = 0, n = later_draws_.below(3); i < n; ++i)
+      add_line(
+          "at {:.2f} stall {} for={:.2f}", later_draws_.uniform(10, 110),
+          later_draws_.one_of("leader", "leader", "n0", "n1", "others"),
+          later_draws_.chance(0.5) ? later_draws_.uniform(0.5, 10) : later_draws_.uniform(10, 70));
+    add_line("at {:.2f} boots {} in={:.2f} for={:.2f}", later_draws_.uniform(4, 60),
+             later_draws_.one_of("late", "late", "never"),
+             later_draws_.chance(0.5) ? 1 : later_draws_.uniform(20, 60),
+             later_draws_.uniform(5, 30));
   }
 
   const uint64_t seed_;
-  Draw draw_;
-  Draw later_draws_;
-  bool zones_ = false;  // two zones, a and b
+  RandomDraw draw_;
+  RandomDraw later_draws_;
+  bool has_two_zones_ = false;  // two zones, a and b
   std::vector<std::string> lines_;
 };
 
 }  // namespace
 
-std::vector<std::string> random_scenario(uint64_t seed) { return ScenarioDrawing(seed).draw(); }
+std::vector<std::string> random_scenario(uint64_t seed) {
+  return ScenarioGenerator(seed).generate();
+}
 
 }  // namespace damsonport::simulation
--- a/tests/scenarios/scenario_actions.cpp
+++ b/tests/scenarios/scenario_actions.cpp
@@ -5,38 +5,38 @@
 namespace damsonport::simulation {
 
 namespace {
-constexpr double whole_scenario_s = 1e6;  // of a fault without `for`
+constexpr double unlimited_duration_s = 1e6;  // of a fault without `for`
 constexpr double default_crash_s = 6;
 constexpr double normal_store_delay_s = 0.004;
 
 double duration_of(const ScenarioEvent& event) {
-  return event.words.number("for", whole_scenario_s);
+  return event.options.number("for", unlimited_duration_s);
 }
 }  // namespace
 
 ScenarioActions::Handler ScenarioActions::handler_of(const std::string& verb) {
   static const std::map<std::string, Handler> handlers = {
-      {"ask", &ScenarioActions::ask},
+      {"ask", &ScenarioActions::poll},
       {"boots", &ScenarioActions::change_boot_time},
       {"cancel", &ScenarioActions::cancel},
       {"cloud_outage", &ScenarioActions::cloud_outage},
       {"crash", &ScenarioActions::crash},
       {"crash_on_write", &ScenarioActions::crash_on_write},
       {"cut", &ScenarioActions::cut},
-      {"deaf", &ScenarioActions::make_deaf},
-      {"die", &ScenarioActions::remove_machines},
-      {"fate", &ScenarioActions::spoil_transactions},
+      {"deaf", &ScenarioActions::drop_incoming_messages},
+      {"die", &ScenarioActions::terminate_machines},
+      {"fate", &ScenarioActions::set_transaction_fault},
       {"hang", &ScenarioActions::hang},
-      {"keep", &ScenarioActions::keep_report},
-      {"late_report", &ScenarioActions::repeat_kept_report},
+      {"keep", &ScenarioActions::keep_heartbeat},
+      {"late_report", &ScenarioActions::redeliver_kept_heartbeat},
       {"lower_limits", &ScenarioActions::lower_limits},
-      {"mute", &ScenarioActions::make_mute},
+      {"mute", &ScenarioActions::drop_heartbeats},
       {"odd", &ScenarioActions::send_invalid_requests},
       {"old_version", &ScenarioActions::write_old_version},
       {"outage", &ScenarioActions::store_outage},
       {"refuse", &ScenarioActions::refuse},
       {"repeat", &ScenarioActions::resubmit},
-      {"sick", &ScenarioActions::make_sick},
+      {"sick", &ScenarioActions::fail_tasks},
       {"slow", &ScenarioActions::slow_store},
       {"stall", &ScenarioActions::stall},
       {"submit", &ScenarioActions::submit},
@@ -52,18 +52,18 @@
   return true;
 }
 
-void ScenarioActions::for_each_job_in_turn(
+void ScenarioActions::for_each_job_at_interval(
     const ScenarioEvent& event, const std::function<void(const std::string& job)>& request) {
   double delay_s = 0;
   for (auto& job : expand_names(event.target)) {
     world_.in(delay_s, [request, job] { request(job); });
-    delay_s += event.words.number("every");
+    delay_s += event.options.number("every");
   }
 }
 
 // submit JOBS [every=S] [via=CONTROLLERS]
 void ScenarioActions::submit(const ScenarioEvent& event) {
-  for_each_job_in_turn(event, [this, via = event.words.text("via")](const std::string& job) {
+  for_each_job_at_interval(event, [this, via = event.options.text("via")](const std::string& job) {
     users_.submit(job, users_.pick_controller(via), world_.now(), ScenarioUsers::Retry::yes);
   });
 }
@@ -71,23 +71,23 @@
 // repeat JOBS [via=CONTROLLERS]: the submission again, whatever became of the first
 void ScenarioActions::resubmit(const ScenarioEvent& event) {
   for (auto& job : expand_names(event.target))
-    for (auto* controller : deployment_.select_controllers(event.words.text("via", "all")))
+    for (auto* controller : deployment_.select_controllers(event.options.text("via", "all")))
       users_.submit(job, deployment_.index_of(*controller), world_.now(), ScenarioUsers::Retry::no);
 }
 
 // cancel JOBS [every=S] [via=CONTROLLERS]
 void ScenarioActions::cancel(const ScenarioEvent& event) {
-  for_each_job_in_turn(event, [this, via = event.words.text("via")](const std::string& job) {
+  for_each_job_at_interval(event, [this, via = event.options.text("via")](const std::string& job) {
     deployment_.fleet().rules().on_cancel_request(job);
     users_.cancel(job, users_.pick_controller(via), world_.now());
   });
 }
 
 // ask JOBS [via=CONTROLLERS] [every=S] [for=S]
-void ScenarioActions::ask(const ScenarioEvent& event) {
-  const auto via = event.words.text("via", "all");
-  const double duration_s = event.words.number("for");
-  const double interval_s = event.words.number("every", 1);
+void ScenarioActions::poll(const ScenarioEvent& event) {
+  const auto via = event.options.text("via", "all");
+  const double duration_s = event.options.number("for");
+  const double interval_s = event.options.number("every", 1);
   for (double delay_s = 0; delay_s <= duration_s; delay_s += interval_s)
     for (auto& job : expand_names(event.target))
       world_.in(delay_s, [this, job, via] {
@@ -99,7 +99,7 @@
 // odd [every=S] for=S: requests that lack a field, and jobs that can never run
 void ScenarioActions::send_invalid_requests(const ScenarioEvent& event) {
   const double duration_s = duration_of(event);
-  const double interval_s = event.words.number("every", 1);
+  const double interval_s = event.options.number("every", 1);
   for (double delay_s = 0; delay_s <= duration_s; delay_s += interval_s)
     world_.in(delay_s, [this] { users_.send_invalid_request(); });
 }
@@ -107,9 +107,9 @@
 // refuse CONTROLLERS [for=S]: the key-value store refuses their requests
 void ScenarioActions::refuse(const ScenarioEvent& event) {
   for (auto* controller : deployment_.select_controllers(event.target)) {
-    deployment_.store().refuse(controller->host(), true);
+    deployment_.store().set_refused(controller->host(), true);
     world_.in(duration_of(event),
-              [this, host = controller->host()] { deployment_.store().refuse(host, false); });
+              [this, host = controller->host()] { deployment_.store().set_refused(host, false); });
   }
 }
 
@@ -120,8 +120,8 @@
 }
 
 // fate late|lost [of=CONTROLLER] [for=S]
-void ScenarioActions::spoil_transactions(const ScenarioEvent& event) {
-  const auto of = deployment_.select_controllers(event.words.text("of"));
+void ScenarioActions::set_transaction_fault(const ScenarioEvent& event) {
+  const auto of = deployment_.select_controllers(event.options.text("of"));
   deployment_.store().set_transaction_fault(event.target == "late"
                                                 ? KeyValueStore::TransactionFault::applied_late
                                                 : KeyValueStore::TransactionFault::response_lost,
@@ -138,21 +138,21 @@
 
 // slow by=S [for=S]: the key-value store answers later
 void ScenarioActions::slow_store(const ScenarioEvent& event) {
-  deployment_.store().set_delay(event.words.number("by"));
+  deployment_.store().set_delay(event.options.number("by"));
   world_.in(duration_of(event), [this] { deployment_.store().set_delay(normal_store_delay_s); });
 }
 
 // crash CONTROLLERS [for=S]
 void ScenarioActions::crash(const ScenarioEvent& event) {
   for (auto* controller : deployment_.select_controllers(event.target))
-    controller->crash(event.words.number("for", default_crash_s));
+    controller->crash(event.options.number("for", default_crash_s));
 }
 
 // crash_on_write JOB [times=N] [after=S] [for=S]
 void ScenarioActions::crash_on_write(const ScenarioEvent& event) {
-  deployment_.crash_leader_on_write({keys::chunk_prefix + event.target + "/",
-                                     event.words.integer("times", 1), event.words.number("after"),
-                                     event.words.number("for", default_crash_s)});
+  deployment_.crash_leader_on_write(
+      {keys::chunk_prefix + event.target + "/", event.options.integer("times", 1),
+       event.options.number("after"), event.options.number("for", default_crash_s)});
 }
 
 // old_version CONTROLLERS [for=S]: their records say that they run an older program
@@ -174,17 +174,18 @@
 
 // cut HOSTS from=HOSTS [how=hold|drop] [one_way] [for=S]
 void ScenarioActions::cut(const ScenarioEvent& event) {
-  const auto how = event.words.text("how", "hold") == "hold" ? World::Cut::hold : World::Cut::drop;
+  const auto how =
+      event.options.text("how", "hold") == "hold" ? World::Cut::hold : World::Cut::drop;
   struct Direction {
     std::string from, to;
   };
   std::vector<Direction> directions;
-  const auto others = deployment_.select_hosts(event.words.text("from"));
+  const auto others = deployment_.select_hosts(event.options.text("from"));
   for (auto& host : deployment_.select_hosts(event.target))
     for (auto& other : others) {
       if (host == other) continue;
       directions.push_back({host, other});
-      if (!event.words.contains("one_way")) directions.push_back({other, host});
+      if (!event.options.contains("one_way")) directions.push_back({other, host});
     }
   for (auto& [from, to] : directions) world_.cut(from, to, how);
   world_.in(duration_of(event), [this, directions] {
@@ -201,7 +202,7 @@
 // boots late|never [in=S] [for=S]: machines that are requested meanwhile
 void ScenarioActions::change_boot_time(const ScenarioEvent& event) {
   deployment_.fleet().cloud().set_boot_time(event.target == "never" ? Cloud::never_boots
-                                                                    : event.words.number("in"));
+                                                                    : event.options.number("in"));
   world_.in(duration_of(event),
             [this] { deployment_.fleet().cloud().set_boot_time(plan_.boot_s); });
 }
@@ -212,38 +213,44 @@
 }
 
 // deaf MACHINES [for=S]: nothing reaches the worker
-void ScenarioActions::make_deaf(const ScenarioEvent& event) { set_trouble(event, &Worker::deaf); }
+void ScenarioActions::drop_incoming_messages(const ScenarioEvent& event) {
+  set_machine_fault(event, &Worker::loses_incoming_messages);
+}
 
 // mute MACHINES [for=S]: the worker's heartbeats are lost
-void ScenarioActions::make_mute(const ScenarioEvent& event) { set_trouble(event, &Worker::mute); }
+void ScenarioActions::drop_heartbeats(const ScenarioEvent& event) {
+  set_machine_fault(event, &Worker::loses_heartbeats);
+}
 
 // sick MACHINES [for=S]: every task fails at its start
-void ScenarioActions::make_sick(const ScenarioEvent& event) { set_trouble(event, &Worker::sick); }
+void ScenarioActions::fail_tasks(const ScenarioEvent& event) {
+  set_machine_fault(event, &Worker::fails_tasks);
+}
 
-void ScenarioActions::set_trouble(const ScenarioEvent& event, bool Worker::*trouble) {
+void ScenarioActions::set_machine_fault(const ScenarioEvent& event, bool Worker::*fault) {
   for (auto* worker : deployment_.select_machines(event.target)) {
-    worker->*trouble = true;
-    world_.in(duration_of(event), [this, id = worker->id, trouble] {
-      if (auto* same = deployment_.fleet().find(id)) same->*trouble = false;
+    worker->*fault = true;
+    world_.in(duration_of(event), [this, id = worker->id, fault] {
+      if (auto* same = deployment_.fleet().find(id)) same->*fault = false;
     });
   }
 }
 
 // die MACHINES
-void ScenarioActions::remove_machines(const ScenarioEvent& event) {
+void ScenarioActions::terminate_machines(const ScenarioEvent& event) {
   for (auto* worker : deployment_.select_machines(event.target)) worker->terminate();
 }
 
 // keep MACHINES: a copy of the newest heartbeat
-void ScenarioActions::keep_report(const ScenarioEvent& event) {
+void ScenarioActions::keep_heartbeat(const ScenarioEvent& event) {
   for (auto* worker : deployment_.select_machines(event.target)) worker->keep_heartbeat();
 }
 
 // late_report MACHINES [to=HOSTS]: the kept heartbeat arrives now
-void ScenarioActions::repeat_kept_report(const ScenarioEvent& event) {
+void ScenarioActions::redeliver_kept_heartbeat(const ScenarioEvent& event) {
   for (auto* worker : deployment_.select_machines(event.target))
-    for (auto& host : deployment_.select_hosts(event.words.text("to", "leader")))
-      worker->repeat_kept_heartbeat(host);
+    for (auto& host : deployment_.select_hosts(event.options.text("to", "leader")))
+      worker->redeliver_kept_heartbeat(host);
 }
 
 }  // namespace damsonport::simulation
--- a/tests/scenarios/scenario_actions.hpp
+++ b/tests/scenarios/scenario_actions.hpp
@@ -25,12 +25,12 @@
   void submit(const ScenarioEvent& event);
   void resubmit(const ScenarioEvent& event);
   void cancel(const ScenarioEvent& event);
-  void ask(const ScenarioEvent& event);
+  void poll(const ScenarioEvent& event);
   void send_invalid_requests(const ScenarioEvent& event);
   // Faults of the key-value store.
   void refuse(const ScenarioEvent& event);
   void store_outage(const ScenarioEvent& event);
-  void spoil_transactions(const ScenarioEvent& event);
+  void set_transaction_fault(const ScenarioEvent& event);
   void lower_limits(const ScenarioEvent& event);
   void slow_store(const ScenarioEvent& event);
   // Faults of controllers and of the network.
@@ -43,17 +43,17 @@
   void cloud_outage(const ScenarioEvent& event);
   void change_boot_time(const ScenarioEvent& event);
   void hang(const ScenarioEvent& event);
-  void make_deaf(const ScenarioEvent& event);
-  void make_mute(const ScenarioEvent& event);
-  void make_sick(const ScenarioEvent& event);
-  void set_trouble(const ScenarioEvent& event, bool Worker::*trouble);
-  void remove_machines(const ScenarioEvent& event);
-  void keep_report(const ScenarioEvent& event);
-  void repeat_kept_report(const ScenarioEvent& event);
+  void drop_incoming_messages(const ScenarioEvent& event);
+  void drop_heartbeats(const ScenarioEvent& event);
+  void fail_tasks(const ScenarioEvent& event);
+  void set_machine_fault(const ScenarioEvent& event, bool Worker::*fault);
+  void terminate_machines(const ScenarioEvent& event);
+  void keep_heartbeat(const ScenarioEvent& event);
+  void redeliver_kept_heartbeat(const ScenarioEvent& event);
 
   /// Calls `request` for each job that the event names, `every` seconds apart.
-  void for_each_job_in_turn(const ScenarioEvent& event,
-                            const std::function<void(const std::string& job)>& request);
+  void for_each_job_at_interval(const ScenarioEvent& event,
+                                const std::function<void(const std::string& job)>& request);
 
   World& world_;
   const ScenarioPlan& plan_;
--- a/tests/scenarios/scenario_checks.cpp
+++ b/tests/scenarios/scenario_checks.cpp
@@ -7,7 +7,7 @@
 namespace damsonport::simulation {
 
 namespace {
-constexpr double forgotten_after_s = 75;
+constexpr double max_response_age_s = 75;
 }
 
 ScenarioChecks::Handler ScenarioChecks::handler_of(const std::string& verb) {
@@ -37,35 +37,35 @@
 }
 
 void ScenarioChecks::check(const ScenarioEvent& event) {
-  complaints_.clear();
+  mismatches_.clear();
   if (const Handler handler = handler_of(event.verb)) {
     (this->*handler)(event);
   } else {
-    complain(event, "is not known");
+    add_mismatch(event, "is not known");
   }
-  if (!complaints_.empty()) add_failure("at " + std::to_string(world_.now()) + " " + complaints_);
+  if (!mismatches_.empty()) add_failure("at " + std::to_string(world_.now()) + " " + mismatches_);
 }
 
 // returned N, or returned FROM..TO
 void ScenarioChecks::check_machines_returned(const ScenarioEvent& event) {
   const int returned = deployment_.fleet().cloud().returned();
   if (!parse_count_range(event.target).contains(returned))
-    complain(event, event.target + ", but " + std::to_string(returned) + " are returned");
+    add_mismatch(event, event.target + ", but " + std::to_string(returned) + " are returned");
 }
 
 // rented N, or rented FROM..TO
 void ScenarioChecks::check_machines_rented(const ScenarioEvent& event) {
   const int rented = deployment_.fleet().cloud().rented();
   if (!parse_count_range(event.target).contains(rented))
-    complain(event, event.target + ", but " + std::to_string(rented) + " were");
+    add_mismatch(event, event.target + ", but " + std::to_string(rented) + " were");
 }
 
 // sessions N [of=MACHINES]: the agent epoch of each worker
 void ScenarioChecks::check_sessions(const ScenarioEvent& event) {
-  for (auto* worker : deployment_.select_machines(event.words.text("of", "machines"))) {
+  for (auto* worker : deployment_.select_machines(event.options.text("of", "machines"))) {
     const auto epoch = std::to_string(worker->agent_epoch());
     if (epoch != event.target)
-      complain(event, event.target + ", but " + worker->id + " is in " + epoch);
+      add_mismatch(event, event.target + ", but " + worker->id + " is in " + epoch);
   }
 }
 
@@ -73,15 +73,15 @@
 void ScenarioChecks::check_writes(const ScenarioEvent& event) {
   for (auto& job : expand_names(event.target)) {
     const int writes = deployment_.record_writes(job);
-    if (writes == 0 || writes > event.words.integer("most"))
-      complain(event, "of " + job + ": " + std::to_string(writes));
+    if (writes == 0 || writes > event.options.integer("most"))
+      add_mismatch(event, "of " + job + ": " + std::to_string(writes));
   }
 }
 
 // refused_for_size N: requests to the key-value store
 void ScenarioChecks::check_refused_for_size(const ScenarioEvent& event) {
   const auto refused = std::to_string(deployment_.store().refused_for_size());
-  if (refused != event.target) complain(event, event.target + ", but " + refused + " were");
+  if (refused != event.target) add_mismatch(event, event.target + ", but " + refused + " were");
 }
 
 // served: every job that was accepted and not cancelled
@@ -96,24 +96,24 @@
     // Not all users who know of a job ask for its end: what counts is what was done.
     for (uint32_t i = 0; i < spec.tasks; ++i)
       if (!rules.is_done({spec.id, i}))
-        complain(event, spec.id + "/" + std::to_string(i) + " is not done");
+        add_mismatch(event, spec.id + "/" + std::to_string(i) + " is not done");
     return;
   }
   const int running = deployment_.count_tasks(spec.id).running;
   if (running != static_cast<int>(spec.tasks))
-    complain(event, "of " + spec.id + " " + std::to_string(running) + " of " +
-                        std::to_string(spec.tasks) + " replicas run");
-  const auto answered_at = rules.last_answered_at(spec.id);
-  if (!answered_at || world_.now() - *answered_at > forgotten_after_s)
-    complain(event, "nobody answers about " + spec.id);
+    add_mismatch(event, "of " + spec.id + " " + std::to_string(running) + " of " +
+                            std::to_string(spec.tasks) + " replicas run");
+  const auto responded_at = rules.last_response_at(spec.id);
+  if (!responded_at || world_.now() - *responded_at > max_response_age_s)
+    add_mismatch(event, "nobody answers about " + spec.id);
 }
 
 // running JOBS [tasks=N]
 void ScenarioChecks::check_running(const ScenarioEvent& event) {
   for (auto& job : expand_names(event.target)) {
     const int running = deployment_.count_tasks(job).running;
-    if (running != event.words.integer("tasks", 1))
-      complain(event, job + ", but " + std::to_string(running) + " tasks run");
+    if (running != event.options.integer("tasks", 1))
+      add_mismatch(event, job + ", but " + std::to_string(running) + " tasks run");
   }
 }
 
@@ -121,39 +121,40 @@
 void ScenarioChecks::check_gone(const ScenarioEvent& event) {
   for (auto& job : expand_names(event.target))
     if (const int present = deployment_.count_tasks(job).present; present > 0)
-      complain(event, job + ", but " + std::to_string(present) + " are there");
+      add_mismatch(event, job + ", but " + std::to_string(present) + " are there");
 }
 
 // told JOBS done|aborted: what users were answered last
 void ScenarioChecks::check_told(const ScenarioEvent& event) {
-  const std::string& status = event.words.first_name();
+  const std::string& status = event.options.first_name();
   for (auto& job : expand_names(event.target))
     if (!deployment_.fleet().rules().ended_as(job, status))
-      complain(event, fmt::format("{} {}, but it was not", job, status));
+      add_mismatch(event, fmt::format("{} {}, but it was not", job, status));
 }
 
 // accepted JOBS
 void ScenarioChecks::check_accepted(const ScenarioEvent& event) {
   for (auto& job : expand_names(event.target))
-    if (!deployment_.fleet().rules().is_accepted(job)) complain(event, job + ", but it was not");
+    if (!deployment_.fleet().rules().is_accepted(job))
+      add_mismatch(event, job + ", but it was not");
 }
 
 // unaccepted JOBS
 void ScenarioChecks::check_unaccepted(const ScenarioEvent& event) {
   for (auto& job : expand_names(event.target))
-    if (deployment_.fleet().rules().is_accepted(job)) complain(event, job + ", but it was");
+    if (deployment_.fleet().rules().is_accepted(job)) add_mismatch(event, job + ", but it was");
 }
 
 // shown JOB status=S running=N: to a user who asks the leader now
 void ScenarioChecks::check_shown(const ScenarioEvent& event) {
   for (auto* leader : deployment_.select_controllers("leader"))
-    users_.ask_for_status(
-        event.target, deployment_.index_of(*leader), [this, event](const Json& answer) {
-          const bool as_expected = answer.is_object() &&
-                                   answer.value("status", "") == event.words.text("status") &&
-                                   answer.value("running", 0) == event.words.integer("running");
+    users_.request_status(
+        event.target, deployment_.index_of(*leader), [this, event](const Json& response) {
+          const bool as_expected = response.is_object() &&
+                                   response.value("status", "") == event.options.text("status") &&
+                                   response.value("running", 0) == event.options.integer("running");
           if (!as_expected)
-            add_failure(fmt::format("{} is shown as {}", event.target, answer.dump()));
+            add_failure(fmt::format("{} is shown as {}", event.target, response.dump()));
         });
 }
 
@@ -161,23 +162,23 @@
 void ScenarioChecks::check_starts(const ScenarioEvent& event) {
   for (auto& job : expand_names(event.target)) {
     const int starts = deployment_.fleet().starts(job);
-    if (starts > event.words.integer("most"))
-      complain(event, job + ", but it was started " + std::to_string(starts) + " times");
+    if (starts > event.options.integer("most"))
+      add_mismatch(event, job + ", but it was started " + std::to_string(starts) + " times");
   }
 }
 
 // late_starts N: of tasks whose job was cancelled before
 void ScenarioChecks::check_late_starts(const ScenarioEvent& event) {
   const auto starts = std::to_string(deployment_.fleet().rules().starts_after_cancellation());
-  if (starts != event.target) complain(event, event.target + ", but " + starts);
+  if (starts != event.target) add_mismatch(event, event.target + ", but " + starts);
 }
 
 // gang_starts JOBS [times=N]
 void ScenarioChecks::check_gang_starts(const ScenarioEvent& event) {
   for (auto& job : expand_names(event.target)) {
     const int starts = deployment_.fleet().gangs().starts(job);
-    if (starts != event.words.integer("times", 1))
-      complain(event, job + ", but it started " + std::to_string(starts) + " times");
+    if (starts != event.options.integer("times", 1))
+      add_mismatch(event, job + ", but it started " + std::to_string(starts) + " times");
   }
 }
 
@@ -185,7 +186,7 @@
 void ScenarioChecks::check_progress_kept(const ScenarioEvent& event) {
   for (auto& job : expand_names(event.target)) {
     const double lost_s = deployment_.fleet().gangs().lost_progress_s(job);
-    if (lost_s > 0) complain(event, job + ", but it lost " + std::to_string(lost_s) + " s");
+    if (lost_s > 0) add_mismatch(event, job + ", but it lost " + std::to_string(lost_s) + " s");
   }
 }
 
@@ -205,34 +206,34 @@
 
 // replicas_whole JOBS [count=N], or total=N of all the jobs: as they truly are
 void ScenarioChecks::check_replicas_whole(const ScenarioEvent& event) {
-  const bool only_total = event.words.contains("total");
+  const bool only_total = event.options.contains("total");
   uint32_t total = 0;
   for (auto& job : expand_names(event.target)) {
     const uint32_t whole = deployment_.fleet().rules().replicas().whole(plan_.jobs.at(job));
     total += whole;
     if (!only_total) check_replica_count(event, job, whole);
   }
-  if (only_total && total != static_cast<uint32_t>(event.words.number("total")))
-    complaints_ += fmt::format("{} of {}: {} in all; ", event.verb, event.target, total);
+  if (only_total && total != static_cast<uint32_t>(event.options.number("total")))
+    mismatches_ += fmt::format("{} of {}: {} in all; ", event.verb, event.target, total);
 }
 
 void ScenarioChecks::check_replica_count(const ScenarioEvent& event, const std::string& job,
                                          uint32_t count) {
-  if (count != static_cast<uint32_t>(event.words.number("count", 1)))
-    complaints_ += fmt::format("{} of {}: {}; ", event.verb, job, count);
+  if (count != static_cast<uint32_t>(event.options.number("count", 1)))
+    mismatches_ += fmt::format("{} of {}: {}; ", event.verb, job, count);
 }
 
 // replicas_repaired JOBS within=S [count=FROM..TO]
 void ScenarioChecks::check_replicas_repaired(const ScenarioEvent& event) {
   const ReplicaChecker& replicas = deployment_.fleet().rules().replicas();
-  const CountRange expected = parse_count_range(event.words.text("count", "1..1000"));
-  const double longest_allowed_s = event.words.number("within");
+  const CountRange expected = parse_count_range(event.options.text("count", "1..1000"));
+  const double max_repair_s = event.options.number("within");
   for (auto& job : expand_names(event.target)) {
     const int repairs = replicas.repairs(job);
-    if (!expected.contains(repairs)) complaints_ += fmt::format("{}: {} repairs; ", job, repairs);
+    if (!expected.contains(repairs)) mismatches_ += fmt::format("{}: {} repairs; ", job, repairs);
     const double longest_s = replicas.longest_repair_s(job);
-    if (longest_s > longest_allowed_s)
-      complaints_ += fmt::format("{}: a repair took {:.1f} s; ", job, longest_s);
+    if (longest_s > max_repair_s)
+      mismatches_ += fmt::format("{}: a repair took {:.1f} s; ", job, longest_s);
   }
 }
 
--- a/tests/scenarios/scenario_checks.hpp
+++ b/tests/scenarios/scenario_checks.hpp
@@ -49,15 +49,15 @@
   void check_replicas_repaired(const ScenarioEvent& event);
   uint32_t replicas_claimed_ready(const std::string& job) const;
 
-  void complain(const ScenarioEvent& event, const std::string& text) {
-    complaints_ += event.verb + " " + text + "; ";
+  void add_mismatch(const ScenarioEvent& event, const std::string& text) {
+    mismatches_ += event.verb + " " + text + "; ";
   }
 
   World& world_;
   const ScenarioPlan& plan_;
   ScenarioDeployment& deployment_;
   ScenarioUsers& users_;
-  std::string complaints_;  // of the event that is checked just now
+  std::string mismatches_;  // of the event that is checked just now
   std::vector<std::string> failures_;
 };
 
--- a/tests/scenarios/scenario_deployment.cpp
+++ b/tests/scenarios/scenario_deployment.cpp
@@ -34,7 +34,7 @@
   if (settings.teams.empty()) settings.teams.push_back({"t", 0, 0, 0, 0});
 }
 
-void ScenarioDeployment::start_stand_ins() {
+void ScenarioDeployment::start_simulators() {
   complete_settings();
   for (int i = 0; i < plan_.controller_count; ++i)
     controller_addresses_.push_back({"n" + std::to_string(i), "10.0.0." + std::to_string(i + 1)});
--- a/tests/scenarios/scenario_deployment.hpp
+++ b/tests/scenarios/scenario_deployment.hpp
@@ -18,7 +18,7 @@
   ScenarioDeployment(World& world, ScenarioPlan& plan) : world_(world), plan_(plan) {}
 
   /// First the stand-ins with the machines that are up, then the controllers.
-  void start_stand_ins();
+  void start_simulators();
   void start_controllers();
 
   KeyValueStore& store() { return *store_; }
--- a/tests/scenarios/scenario_digest.cpp
+++ b/tests/scenarios/scenario_digest.cpp
@@ -21,9 +21,9 @@
 namespace damsonport::simulation {
 namespace {
 
-constexpr uint64_t drawn_seeds = 100;  // of each kind of drawn scenario
-constexpr std::string_view drawn_prefix = "drawn/";
-constexpr std::string_view drawn_replica_prefix = "drawn-replica/";
+constexpr uint64_t random_seed_count = 100;  // of each kind of drawn scenario
+constexpr std::string_view random_prefix = "drawn/";
+constexpr std::string_view random_replica_prefix = "drawn-replica/";
 using Lines = std::vector<std::string>;
 
 /// FNV-1a, 64 bits.
@@ -71,20 +71,20 @@
     hash.add(header);
     hash.add(body);
   });
-  for (const auto& unmet : scenario.play()) hash.add(unmet);
+  for (const auto& failure : scenario.play()) hash.add(failure);
 }
 
-uint64_t seed_behind(const std::string& name, std::string_view prefix) {
+uint64_t parse_seed(const std::string& name, std::string_view prefix) {
   return std::stoull(name.substr(prefix.size()));
 }
 
 uint64_t digest(const std::string& name) {
   TrafficHash hash;
-  if (name.starts_with(drawn_prefix)) {
-    const uint64_t seed = seed_behind(name, drawn_prefix);
+  if (name.starts_with(random_prefix)) {
+    const uint64_t seed = parse_seed(name, random_prefix);
     play(random_scenario(seed), seed, hash);
-  } else if (name.starts_with(drawn_replica_prefix)) {
-    const uint64_t seed = seed_behind(name, drawn_replica_prefix);
+  } else if (name.starts_with(random_replica_prefix)) {
+    const uint64_t seed = parse_seed(name, random_replica_prefix);
     play(random_replica_scenario(seed), seed, hash);
   } else {
     std::ifstream in(scenario_path(TRACE_DIR, name));
@@ -95,9 +95,9 @@
 }
 
 void list_scenarios() {
-  for (const auto& name : kept_scenarios(TRACE_DIR)) std::cout << name << '\n';
-  for (const auto prefix : {drawn_prefix, drawn_replica_prefix})
-    for (uint64_t seed = 1; seed <= drawn_seeds; ++seed) std::cout << prefix << seed << '\n';
+  for (const auto& name : trace_scenarios(TRACE_DIR)) std::cout << name << '\n';
+  for (const auto prefix : {random_prefix, random_replica_prefix})
+    for (uint64_t seed = 1; seed <= random_seed_count; ++seed) std::cout << prefix << seed << '\n';
 }
 
 }  // namespace
--- a/tests/scenarios/scenario_words.cpp
+++ b/tests/scenarios/scenario_options.cpp
@@ -1,29 +1,29 @@
-#include "scenarios/scenario_words.hpp"
+#include "scenarios/scenario_options.hpp"
 
 namespace damsonport::simulation {
 
-Words Words::read(std::istringstream& line) {
-  Words words;
+Options Options::read(std::istringstream& line) {
+  Options options;
   for (std::string word; line >> word;) {
     const auto equals = word.find('=');
-    words.values_[word.substr(0, equals)] =
+    options.values_[word.substr(0, equals)] =
         equals == std::string::npos ? "yes" : word.substr(equals + 1);
   }
-  return words;
+  return options;
 }
 
-double Words::number(const std::string& name, double otherwise) const {
+double Options::number(const std::string& name, double default_value) const {
   auto it = values_.find(name);
-  return it == values_.end() ? otherwise : std::stod(it->second);
+  return it == values_.end() ? default_value : std::stod(it->second);
 }
 
-int Words::integer(const std::string& name, int otherwise) const {
-  return static_cast<int>(number(name, otherwise));
+int Options::integer(const std::string& name, int default_value) const {
+  return static_cast<int>(number(name, default_value));
 }
 
-std::string Words::text(const std::string& name, const std::string& otherwise) const {
+std::string Options::text(const std::string& name, const std::string& default_value) const {
   auto it = values_.find(name);
-  return it == values_.end() ? otherwise : it->second;
+  return it == values_.end() ? default_value : it->second;
 }
 
 std::vector<std::string> split_list(const std::string& text) {
--- a/tests/scenarios/scenario_words.hpp
+++ b/tests/scenarios/scenario_options.hpp
@@ -1,4 +1,4 @@
-/// Words of a line of a scenario trace.
+/// Options of a line of a scenario trace.
 #pragma once
 #include <map>
 #include <sstream>
@@ -8,15 +8,15 @@
 namespace damsonport::simulation {
 
 /// The options behind a verb: `name=value`, or a name alone.
-class Words {
+class Options {
  public:
   /// Reads all words that are left on the line.
-  static Words read(std::istringstream& line);
+  static Options read(std::istringstream& line);
 
   bool contains(const std::string& name) const { return values_.contains(name); }
-  double number(const std::string& name, double otherwise = 0) const;
-  int integer(const std::string& name, int otherwise = 0) const;
-  std::string text(const std::string& name, const std::string& otherwise = "") const;
+  double number(const std::string& name, double default_value = 0) const;
+  int integer(const std::string& name, int default_value = 0) const;
+  std::string text(const std::string& name, const std::string& default_value = "") const;
   /// The name of the first word by alphabet. At least one word must be there.
   const std::string& first_name() const { return values_.begin()->first; }
 
--- a/tests/scenarios/scenario_parser.cpp
+++ b/tests/scenarios/scenario_parser.cpp
@@ -14,47 +14,47 @@
   return rest;
 }
 
-StateLimits read_limits(const Words& words, const StateLimits& otherwise) {
-  return {words.number("rps", otherwise.requests_per_s),
-          words.number("writes", otherwise.writes_per_s), words.number("kb", otherwise.value_kb),
-          words.integer("ops", otherwise.txn_writes)};
+StateLimits read_limits(const Options& options, const StateLimits& defaults) {
+  return {options.number("rps", defaults.requests_per_s),
+          options.number("writes", defaults.writes_per_s), options.number("kb", defaults.value_kb),
+          options.integer("ops", defaults.txn_writes)};
 }
 
-JobKind read_job_kind(const Words& words) {
-  if (words.contains("service")) return JobKind::service;
-  if (words.contains("gang")) return JobKind::gang;
+JobKind read_job_kind(const Options& options) {
+  if (options.contains("service")) return JobKind::service;
+  if (options.contains("gang")) return JobKind::gang;
   return JobKind::batch;
 }
 
-void read_priority(const Words& words, JobSpec& spec) {
+void read_priority(const Options& options, JobSpec& spec) {
   constexpr std::pair<const char*, Priority> priorities[] = {{"idle", Priority::idle},
                                                              {"normal", Priority::normal},
                                                              {"high", Priority::high},
                                                              {"production", Priority::production}};
   for (auto& [word, priority] : priorities)
-    if (words.contains(word)) spec.priority = priority;
+    if (options.contains(word)) spec.priority = priority;
 }
 
-JobSpec read_job(const std::string& id, const Words& words) {
+JobSpec read_job(const std::string& id, const Options& options) {
   JobSpec spec;
   spec.id = id;
-  spec.job_class = words.text("class", "c");
-  spec.team = words.text("team", "t");
-  spec.kind = read_job_kind(words);
-  read_priority(words, spec);
-  spec.tasks = static_cast<uint32_t>(words.number("tasks", 1));
-  spec.cpus = words.number("cpus", 1);
-  spec.gpus = words.number("gpus");
-  spec.memory_gb = words.number("memory", 1);
-  spec.types = split_list(words.text("types"));
-  spec.zone = words.text("zone");
-  spec.one_zone = words.contains("one_zone");
-  spec.spread = words.contains("spread");
-  spec.spot = words.contains("spot");
-  spec.image = words.text("image", "img");
-  spec.image_gb = words.number("gb", 1);
-  spec.checkpoint_s = words.number("checkpoint");
-  spec.save_s = words.number("save");
+  spec.job_class = options.text("class", "c");
+  spec.team = options.text("team", "t");
+  spec.kind = read_job_kind(options);
+  read_priority(options, spec);
+  spec.tasks = static_cast<uint32_t>(options.number("tasks", 1));
+  spec.cpus = options.number("cpus", 1);
+  spec.gpus = options.number("gpus");
+  spec.memory_gb = options.number("memory", 1);
+  spec.types = split_list(options.text("types"));
+  spec.zone = options.text("zone");
+  spec.one_zone = options.contains("one_zone");
+  spec.spread = options.contains("spread");
+  spec.spot = options.contains("spot");
+  spec.image = options.text("image", "img");
+  spec.image_gb = options.number("gb", 1);
+  spec.checkpoint_s = options.number("checkpoint");
+  spec.save_s = options.number("save");
   return spec;
 }
 
@@ -64,7 +64,7 @@
   static const std::map<std::string, Handler> handlers = {
       {"announced", &ScenarioParser::parse_announced_limits},
       {"at", &ScenarioParser::parse_action},
-      {"close_looks", &ScenarioParser::parse_ask_after_news},
+      {"close_looks", &ScenarioParser::parse_query_after_changes},
       {"cloud", &ScenarioParser::parse_cloud},
       {"controllers", &ScenarioParser::parse_controllers},
       {"expect", &ScenarioParser::parse_final_expectation},
@@ -97,34 +97,34 @@
 // controllers N zones=a,b [drift=0.0005]
 ScenarioParser::Error ScenarioParser::parse_controllers(std::istringstream& line) {
   line >> plan_.controller_count;
-  const auto words = Words::read(line);
-  plan_.settings.zones = split_list(words.text("zones", "a"));
-  plan_.clock_drift = words.number("drift", plan_.clock_drift);
+  const auto options = Options::read(line);
+  plan_.settings.zones = split_list(options.text("zones", "a"));
+  plan_.clock_drift = options.number("drift", plan_.clock_drift);
   return {};
 }
 
 // workers [report=S] [lease=S] [cancel=S] [gang_wait=S] [gang_peer=S]
 ScenarioParser::Error ScenarioParser::parse_workers(std::istringstream& line) {
-  const auto words = Words::read(line);
+  const auto options = Options::read(line);
   Settings& settings = plan_.settings;
-  settings.heartbeat_interval_s = words.number("report", 1.5);
-  settings.lease_s = words.number("lease", 12);
-  settings.cancel_s = words.number("cancel", 42);
-  settings.gang_wait_s = words.number("gang_wait", 40);
-  settings.gang_peer_s = words.number("gang_peer", 6);
+  settings.heartbeat_interval_s = options.number("report", 1.5);
+  settings.lease_s = options.number("lease", 12);
+  settings.cancel_s = options.number("cancel", 42);
+  settings.gang_wait_s = options.number("gang_wait", 40);
+  settings.gang_peer_s = options.number("gang_peer", 6);
   return {};
 }
 
 // state [rps=N] [writes=N] [kb=N] [ops=N]
 ScenarioParser::Error ScenarioParser::parse_store_limits(std::istringstream& line) {
-  plan_.store_limits = read_limits(Words::read(line), plan_.store_limits);
+  plan_.store_limits = read_limits(Options::read(line), plan_.store_limits);
   plan_.announced_store_limits = plan_.store_limits;
   return {};
 }
 
 // announced [rps=N] ...: the limits that the key-value store has after `lower_limits`
 ScenarioParser::Error ScenarioParser::parse_announced_limits(std::istringstream& line) {
-  plan_.announced_store_limits = read_limits(Words::read(line), plan_.store_limits);
+  plan_.announced_store_limits = read_limits(Options::read(line), plan_.store_limits);
   return {};
 }
 
@@ -132,9 +132,9 @@
 ScenarioParser::Error ScenarioParser::parse_team(std::istringstream& line) {
   std::string name;
   line >> name;
-  const auto words = Words::read(line);
-  plan_.settings.teams.push_back({name, words.number("cpus"), words.number("cpus_max"),
-                                  words.number("gpus"), words.number("gpus_max")});
+  const auto options = Options::read(line);
+  plan_.settings.teams.push_back({name, options.number("cpus"), options.number("cpus_max"),
+                                  options.number("gpus"), options.number("gpus_max")});
   return {};
 }
 
@@ -142,16 +142,16 @@
 ScenarioParser::Error ScenarioParser::parse_machine_type(std::istringstream& line) {
   MachineType type;
   line >> type.name;
-  const auto words = Words::read(line);
-  type.cpus = words.number("cpus");
-  type.gpus = words.number("gpus");
-  type.memory_gb = words.number("memory", 1000);
-  type.cache_gb = words.number("cache", 500);
-  type.fetch_gb_per_s = words.number("fetch", 10);
-  type.price = words.number("price", 10);
+  const auto options = Options::read(line);
+  type.cpus = options.number("cpus");
+  type.gpus = options.number("gpus");
+  type.memory_gb = options.number("memory", 1000);
+  type.cache_gb = options.number("cache", 500);
+  type.fetch_gb_per_s = options.number("fetch", 10);
+  type.price = options.number("price", 10);
   type.spot_price = type.price / 4;
-  type.boot_s = words.number("boot", 30);
-  type.zones = split_list(words.text("zones", "a"));
+  type.boot_s = options.number("boot", 30);
+  type.zones = split_list(options.text("zones", "a"));
   plan_.machine_types.push_back(std::move(type));
   return {};
 }
@@ -160,21 +160,21 @@
 ScenarioParser::Error ScenarioParser::parse_machines(std::istringstream& line) {
   int count = 0;
   line >> count;
-  const auto words = Words::read(line);
+  const auto options = Options::read(line);
   for (int i = 0; i < count; ++i)
     plan_.initial_machines.push_back(
-        {words.text("type"), words.text("zone", "a"), words.contains("spot")});
+        {options.text("type"), options.text("zone", "a"), options.contains("spot")});
   return {};
 }
 
 // cloud capacity=N [boot=S] [rps=N] [page=MACHINES]
 ScenarioParser::Error ScenarioParser::parse_cloud(std::istringstream& line) {
-  const auto words = Words::read(line);
-  plan_.cloud_capacity = words.integer("capacity");
-  plan_.settings.cloud_rps = words.number("rps", plan_.settings.cloud_rps);
+  const auto options = Options::read(line);
+  plan_.cloud_capacity = options.integer("capacity");
+  plan_.settings.cloud_rps = options.number("rps", plan_.settings.cloud_rps);
   plan_.cloud_page_size =
-      static_cast<size_t>(words.number("page", static_cast<double>(plan_.cloud_page_size)));
-  plan_.boot_s = words.number("boot");
+      static_cast<size_t>(options.number("page", static_cast<double>(plan_.cloud_page_size)));
+  plan_.boot_s = options.number("boot");
   return {};
 }
 
@@ -198,13 +198,13 @@
 ScenarioParser::Error ScenarioParser::parse_jobs(std::istringstream& line) {
   std::string names;
   line >> names;
-  const auto words = Words::read(line);
-  const double run_time_s = words.number("run", 60);
+  const auto options = Options::read(line);
+  const double run_time_s = options.number("run", 60);
   for (auto& id : expand_names(names)) {
-    JobSpec spec = read_job(id, words);
+    JobSpec spec = read_job(id, options);
     spec.estimate_s = spec.kind == JobKind::service ? 0 : run_time_s;
     plan_.run_time_s[id] = run_time_s;
-    if (words.contains("broken")) plan_.broken_jobs.insert(id);
+    if (options.contains("broken")) plan_.broken_jobs.insert(id);
     plan_.settings.replicas.describe(spec);
     plan_.jobs[id] = std::move(spec);
   }
@@ -224,8 +224,8 @@
 }
 
 // close_looks: users ask all controllers right after each change
-ScenarioParser::Error ScenarioParser::parse_ask_after_news(std::istringstream&) {
-  plan_.users_ask_after_news = true;
+ScenarioParser::Error ScenarioParser::parse_query_after_changes(std::istringstream&) {
+  plan_.users_query_after_changes = true;
   return {};
 }
 
@@ -262,10 +262,10 @@
 }
 
 void ScenarioParser::add_event(ScenarioEvent event, std::istringstream& line) {
-  static const std::set<std::string> without_target = {"cloud_outage", "lower_limits", "odd",
-                                                       "outage",       "served",       "slow"};
-  if (!without_target.contains(event.verb)) line >> event.target;
-  event.words = Words::read(line);
+  static const std::set<std::string> verbs_without_target = {
+      "cloud_outage", "lower_limits", "odd", "outage", "served", "slow"};
+  if (!verbs_without_target.contains(event.verb)) line >> event.target;
+  event.options = Options::read(line);
   plan_.events.push_back(std::move(event));
 }
 
--- a/tests/scenarios/scenario_plan.hpp
+++ b/tests/scenarios/scenario_plan.hpp
@@ -7,7 +7,7 @@
 
 #include "config/settings.hpp"
 #include "protocol/messages.hpp"
-#include "scenarios/scenario_words.hpp"
+#include "scenarios/scenario_options.hpp"
 
 namespace damsonport::simulation {
 
@@ -18,7 +18,7 @@
   Kind kind = Kind::action;
   std::string verb;    // of the action, or what is expected
   std::string target;  // jobs, controllers, machines or a count, as the verb wants it
-  Words words;
+  Options options;
 };
 
 /// A machine that is up from the start.
@@ -49,7 +49,7 @@
   std::map<std::string, double> run_time_s;  // by job
   std::set<std::string> broken_jobs;         // their tasks fail on every machine
   bool users_poll = true;                    // users ask for the state of their jobs now and then
-  bool users_ask_after_news = false;         // and all controllers, right after each change
+  bool users_query_after_changes = false;    // and all controllers, right after each change
 
   std::vector<ScenarioEvent> events;
   double end_s = 100;
--- a/tests/scenarios/scenario_users.cpp
+++ b/tests/scenarios/scenario_users.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 const std::string user_host = "10.9.0.1";
-constexpr double submit_patience_s = 5;
-constexpr double poll_patience_s = 2;
+constexpr double submit_timeout_s = 5;
+constexpr double poll_timeout_s = 2;
 constexpr double poll_interval_s = 5;
-constexpr double retry_after_s = 1;
-constexpr double retry_for_s = 60;
+constexpr double retry_delay_s = 1;
+constexpr double max_retry_s = 60;
 
 // A job that the deployment can't run, or a submission without one of its fields.
 struct InvalidRequest {
@@ -49,58 +49,63 @@
   return (controller + 1) % deployment_.controllers().size();
 }
 
-void ScenarioUsers::ask(size_t controller, Method method, const std::string& path,
-                        const std::string& body, double patience_s, OnAnswer then) {
-  const double asked_at = world_.now();
-  auto answered = std::make_shared<bool>(false);
-  auto on_reply = [answered, then = std::move(then), asked_at](const HttpReply& reply) {
-    if (*answered) return;
-    *answered = true;
-    then(reply, asked_at);
+void ScenarioUsers::send_request(size_t controller, Method method, const std::string& path,
+                                 const std::string& body, double timeout_s, OnResponse then) {
+  const double requested_at = world_.now();
+  auto has_response = std::make_shared<bool>(false);
+  auto on_reply = [has_response, then = std::move(then), requested_at](const HttpReply& reply) {
+    if (*has_response) return;
+    *has_response = true;
+    then(reply, requested_at);
   };
-  world_.in(patience_s, [on_reply] { on_reply({0, {}}); });
+  world_.in(timeout_s, [on_reply] { on_reply({0, {}}); });
   world_.send_request(user_host, deployment_.controllers()[controller]->host(), method, path, body,
                       on_reply);
 }
 
-void ScenarioUsers::submit(const std::string& job, size_t controller, double since, Retry retry) {
+void ScenarioUsers::submit(const std::string& job, size_t controller, double started_at,
+                           Retry retry) {
   const JobSpec& spec = plan_.jobs.at(job);
   deployment_.fleet().rules().on_submission(spec);
-  ask(controller, Method::post, "/api/jobs", encode(submission_of(spec)), submit_patience_s,
-      [this, job, controller, since, retry](const HttpReply& reply, double asked_at) {
-        on_job_answer(job, reply, asked_at);
+  send_request(
+      controller, Method::post, "/api/jobs", encode(submission_of(spec)), submit_timeout_s,
+      [this, job, controller, started_at, retry](const HttpReply& reply, double requested_at) {
+        on_job_response(job, reply, requested_at);
         const bool accepted = reply.status == 200 || reply.status == 201;
         const bool invalid = reply.status == 400 || reply.status == 422;
         if (accepted || invalid || retry == Retry::no) return;
-        if (world_.now() - since < retry_for_s)
-          world_.in(retry_after_s, [this, job, controller, since] {
-            submit(job, next_controller(controller), since, Retry::yes);
+        if (world_.now() - started_at < max_retry_s)
+          world_.in(retry_delay_s, [this, job, controller, started_at] {
+            submit(job, next_controller(controller), started_at, Retry::yes);
           });
       });
 }
 
-void ScenarioUsers::cancel(const std::string& job, size_t controller, double since) {
-  ask(controller, Method::post, "/api/jobs/" + job + "/cancel", {}, submit_patience_s,
-      [this, job, controller, since](const HttpReply& reply, double asked_at) {
-        if (reply.status == 200 || reply.status == 404) on_job_answer(job, reply, asked_at);
-        if (reply.status == 200) return;
-        if (world_.now() - since < retry_for_s)
-          world_.in(retry_after_s, [this, job, controller, since] {
-            cancel(job, next_controller(controller), since);
-          });
-      });
+void ScenarioUsers::cancel(const std::string& job, size_t controller, double started_at) {
+  send_request(controller, Method::post, "/api/jobs/" + job + "/cancel", {}, submit_timeout_s,
+               [this, job, controller, started_at](const HttpReply& reply, double requested_at) {
+                 if (reply.status == 200 || reply.status == 404)
+                   on_job_response(job, reply, requested_at);
+                 if (reply.status == 200) return;
+                 if (world_.now() - started_at < max_retry_s)
+                   world_.in(retry_delay_s, [this, job, controller, started_at] {
+                     cancel(job, next_controller(controller), started_at);
+                   });
+               });
 }
 
 void ScenarioUsers::poll(const std::string& job, size_t controller) {
-  ask(controller, Method::get, "/api/jobs/" + job, {}, poll_patience_s,
-      [this, job](const HttpReply& reply, double asked_at) {
-        if (reply.status == 200 || reply.status == 404) on_job_answer(job, reply, asked_at);
-      });
+  send_request(controller, Method::get, "/api/jobs/" + job, {}, poll_timeout_s,
+               [this, job](const HttpReply& reply, double requested_at) {
+                 if (reply.status == 200 || reply.status == 404)
+                   on_job_response(job, reply, requested_at);
+               });
 }
 
-void ScenarioUsers::ask_for_status(const std::string& job, size_t controller,
+void ScenarioUsers::request_status(const std::string& job, size_t controller,
                                    std::function<void(const Json& status)> then) {
-  ask(controller, Method::get, "/api/jobs/" + job, {}, poll_patience_s,
+  send_request(
+      controller, Method::get, "/api/jobs/" + job, {}, poll_timeout_s,
       [then = std::move(then)](const HttpReply& reply, double) { then(decode_map(reply.body)); });
 }
 
@@ -111,33 +116,36 @@
   JobSpec spec = plan_.jobs.begin()->second;
   spec.id = "run-odd" + std::to_string(world_.random64() % 1000000);
   const auto request = make_invalid_request(spec, kind);
-  ask(controller, Method::post, "/api/jobs", encode(request.submission), submit_patience_s,
-      [this, kind, expected = request.expected_status](const HttpReply& reply, double) {
-        // A controller that can't decide yet may ask the user to retry; it never accepts.
-        if (reply.status != expected && reply.status != 503 && reply.status != 0)
-          deployment_.fleet().rules().report_violation("odd request " + std::to_string(kind),
-                                                       "answered " + std::to_string(reply.status));
-      });
+  send_request(controller, Method::post, "/api/jobs", encode(request.submission), submit_timeout_s,
+               [this, kind, expected = request.expected_status](const HttpReply& reply, double) {
+                 // A controller that can't decide yet may ask the user to retry; it never accepts.
+                 if (reply.status != expected && reply.status != 503 && reply.status != 0)
+                   deployment_.fleet().rules().report_violation(
+                       "odd request " + std::to_string(kind),
+                       "answered " + std::to_string(reply.status));
+               });
 }
 
-void ScenarioUsers::on_job_answer(const std::string& job, const HttpReply& reply, double asked_at) {
-  const Json answer = decode_map(reply.body);
-  const auto status = answer.is_object() ? answer.value("status", std::string()) : std::string();
-  deployment_.fleet().rules().on_answer(job, reply.status, status, asked_at);
+void ScenarioUsers::on_job_response(const std::string& job, const HttpReply& reply,
+                                    double requested_at) {
+  const Json response = decode_map(reply.body);
+  const auto status =
+      response.is_object() ? response.value("status", std::string()) : std::string();
+  deployment_.fleet().rules().on_response(job, reply.status, status, requested_at);
   const bool refused = reply.status >= 300;
   if (!refused) begin_polling(job);
   // All controllers are asked after the first answer, and after the job's final status.
   const bool is_final = status == "done" || status == "aborted";
-  std::string& last_news = last_news_[job];
-  if (!plan_.users_ask_after_news || refused || (!is_final && !last_news.empty()) ||
-      last_news == status)
+  std::string& last_queried_status = last_queried_status_[job];
+  if (!plan_.users_query_after_changes || refused || (!is_final && !last_queried_status.empty()) ||
+      last_queried_status == status)
     return;
-  last_news = status;
+  last_queried_status = status;
   for (double delay_s : {0.0, 0.001, 0.004, 0.012, 0.03, 0.1})
-    world_.in(delay_s, [this, job] { ask_all_controllers(job); });
+    world_.in(delay_s, [this, job] { query_all_controllers(job); });
 }
 
-void ScenarioUsers::ask_all_controllers(const std::string& job) {
+void ScenarioUsers::query_all_controllers(const std::string& job) {
   constexpr double resubmit_probability = 0.3;
   for (size_t i = 0; i < deployment_.controllers().size(); ++i) {
     poll(job, i);
@@ -146,7 +154,7 @@
 }
 
 void ScenarioUsers::begin_polling(const std::string& job) {
-  if (plan_.users_poll && polled_.insert(job).second) keep_polling(job);
+  if (plan_.users_poll && polled_jobs_.insert(job).second) keep_polling(job);
 }
 
 void ScenarioUsers::keep_polling(const std::string& job) {
--- a/tests/scenarios/scenario_users.hpp
+++ b/tests/scenarios/scenario_users.hpp
@@ -18,34 +18,35 @@
   /// Whether a user asks the next controller when one refuses or doesn't answer.
   enum class Retry : uint8_t { no, yes };
   /// Controllers are given by their index. `since`: when the user began to try.
-  void submit(const std::string& job, size_t controller, double since, Retry retry);
-  void cancel(const std::string& job, size_t controller, double since);
+  void submit(const std::string& job, size_t controller, double started_at, Retry retry);
+  void cancel(const std::string& job, size_t controller, double started_at);
   void poll(const std::string& job, size_t controller);
   /// Polls the job from time to time from now on, unless it is polled already or users are quiet.
   void begin_polling(const std::string& job);
   /// A request that lacks a field, or a job that can never run; drawn at random.
   void send_invalid_request();
   /// The state of the job, and how many of its tasks run, as a controller shows them now.
-  void ask_for_status(const std::string& job, size_t controller,
+  void request_status(const std::string& job, size_t controller,
                       std::function<void(const Json& status)> then);
   /// Draws one of the controllers that run, of those that `via` selects; empty: of all.
   size_t pick_controller(const std::string& via);
 
  private:
-  using OnAnswer = std::function<void(const HttpReply&, double asked_at)>;
-  /// After `patience_s` without an answer, `then` gets a reply with status 0.
-  void ask(size_t controller, Method method, const std::string& path, const std::string& body,
-           double patience_s, OnAnswer then);
+  using OnResponse = std::function<void(const HttpReply&, double requested_at)>;
+  /// After `timeout_s` without an answer, `then` gets a reply with status 0.
+  void send_request(size_t controller, Method method, const std::string& path,
+                    const std::string& body, double timeout_s, OnResponse then);
   size_t next_controller(size_t controller) const;
-  void on_job_answer(const std::string& job, const HttpReply& reply, double asked_at);
-  void ask_all_controllers(const std::string& job);
+  void on_job_response(const std::string& job, const HttpReply& reply, double requested_at);
+  void query_all_controllers(const std::string& job);
   void keep_polling(const std::string& job);
 
   World& world_;
   const ScenarioPlan& plan_;
   ScenarioDeployment& deployment_;
-  std::set<std::string> polled_;
-  std::map<std::string, std::string> last_news_;  // by job: status after which all were asked
+  std::set<std::string> polled_jobs_;
+  std::map<std::string, std::string>
+      last_queried_status_;  // by job: status after which all were asked
 };
 
 }  // namespace damsonport::simulation
--- a/tests/scenarios/trace_variants.cpp
+++ b/tests/scenarios/trace_variants.cpp
@@ -8,7 +8,7 @@
 
 namespace damsonport::simulation {
 
-std::vector<std::string> kept_scenarios(const std::string& trace_dir) {
+std::vector<std::string> trace_scenarios(const std::string& trace_dir) {
   std::vector<std::string> names;
   for (auto& file : std::filesystem::directory_iterator(trace_dir + "/scenarios"))
     if (file.path().extension() == ".trace") names.push_back(file.path().stem());
--- a/tests/scenarios/trace_variants.hpp
+++ b/tests/scenarios/trace_variants.hpp
@@ -7,7 +7,7 @@
 namespace damsonport::simulation {
 
 /// Names of the traces below `trace_dir`/scenarios, sorted.
-std::vector<std::string> kept_scenarios(const std::string& trace_dir);
+std::vector<std::string> trace_scenarios(const std::string& trace_dir);
 
 /// Path of the trace with this name.
 std::string scenario_path(const std::string& trace_dir, const std::string& name);
--- a/tools/loadtest/region_process.cpp
+++ b/tools/loadtest/region_process.cpp
@@ -40,7 +40,7 @@
     rules.on_use = [this](const std::string& team, double cpus, double gpus) {
       count_use(team, cpus, gpus);
     };
-    if (!plan.replicas_in_force[region]) rules.replicas().only_measure();
+    if (!plan.replicas_in_force[region]) rules.replicas().skip_rules();
     add_workers();
     users_->begin();
   }
--- a/tools/loadtest/users.cpp
+++ b/tools/loadtest/users.cpp
@@ -78,7 +78,7 @@
                       encode(simulation::submission_of(*fleet_.rules().spec(id))),
                       [this, id, node, since, asked](const HttpReply& reply) {
                         ++answers_[fmt::format("submission {}", reply.status)];
-                        fleet_.rules().on_answer(id, reply.status, "queued", asked);
+                        fleet_.rules().on_response(id, reply.status, "queued", asked);
                         auto& job = jobs_.at(id);
                         if (reply.status == 200 || reply.status == 201) {
                           if (std::exchange(job.accepted, true)) return;
@@ -107,7 +107,7 @@
       [this, id, node, asked](const HttpReply& reply) {
         if (reply.status == 200) {
           auto m = decode_map(reply.body);
-          fleet_.rules().on_answer(id, 200, m.value("status", std::string()), asked);
+          fleet_.rules().on_response(id, 200, m.value("status", std::string()), asked);
           return;
         }
         world_.in(retry_s,
@@ -139,7 +139,7 @@
                         auto m = decode_map(reply.body);
                         const auto status =
                             m.is_object() ? m.value("status", std::string()) : std::string();
-                        fleet_.rules().on_answer(id, reply.status, status, asked);
+                        fleet_.rules().on_response(id, reply.status, status, asked);
                       });
 }
 
