--- a/simulation/cloud.cpp
+++ b/simulation/cloud.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 constexpr double response_delay_s = 0.1;
-constexpr double rate_burst_s = 2;  // calls that may come at once, in seconds of the rate
+constexpr double rate_burst_s = 2;  // calls in a burst, in seconds of the rate
 constexpr double min_snapshot_interval_s = 0.5;
 
 std::string field_of(const std::map<std::string, std::string>& query, const std::string& name) {
@@ -141,7 +141,7 @@
   double boot_s = boot_s_;
   for (auto& known : machine_types_)
     if (known.name == type && boot_s == 0) boot_s = known.boot_s;
-  if (boot_s < 0) return;  // stays `starting`
+  if (boot_s < 0) return;  // the machine stays in the state `starting`
   world_.in(boot_s, [this, id] {
     auto* worker = fleet_.find(id);
     if (!worker) return;
--- a/simulation/cloud.hpp
+++ b/simulation/cloud.hpp
@@ -1,5 +1,5 @@
-/// Stand-in of the cloud that machines are requested from. Written from the protocol, not from the
-/// controllers.
+/// Simulates the API of the cloud that rents machines to the controllers. The simulation follows
+/// the protocol and shares no code with the controllers' cloud client.
 #pragma once
 #include <deque>
 #include <map>
@@ -15,31 +15,34 @@
 class SimulatedFleet;
 struct MachineInfo;
 
-/// Serves the catalog, the machine list, and requests for machines and for their return. The
-/// workers on its machines belong to the fleet.
+/// Responds to requests for the machine type catalog, the machine list, the rental of machines and
+/// their return. The fleet owns the workers on the cloud's machines.
 class Cloud {
  public:
-  /// Serves at the address that `settings` name. `settings` must outlive the cloud.
+  /// Starts to serve at `settings.cloud`. `settings` must outlive the cloud.
   Cloud(World& world, const Settings& settings, std::vector<MachineType> machine_types,
         SimulatedFleet& fleet);
 
-  /// A machine that is not up until mark_up().
+  /// Adds a machine to the list, in the state `starting` until mark_up().
   void add_machine(const MachineInfo& info);
   void mark_up(const std::string& id) { machines_.at(id).is_up = true; }
 
-  /// Machines at a time, at the most.
+  /// Sets the maximum number of machines that exist at the same time.
   void set_capacity(int machines) { capacity_ = machines; }
-  /// Machines in one answer of the list, at the most.
+  /// Sets the maximum number of machines in one page of the machine list.
   void set_page_size(size_t machines) { page_size_ = machines; }
+  /// The boot time of machines that stay in the state `starting` forever.
   static constexpr double never_boots = -1;
-  /// Of machines requested from now on; 0: as the catalog says.
+  /// Sets the boot time of machines that are rented from now on. 0 stands for the boot time in the
+  /// machine type catalog.
   void set_boot_time(double seconds) { boot_s_ = seconds; }
-  /// During an outage every request is answered with an error.
+  /// Starts or ends an outage, during which every request gets an error response.
   void set_outage(bool outage) { outage_ = outage; }
 
   const std::vector<MachineType>& machine_types() const { return machine_types_; }
+  /// The number of requests rejected because of the rate limit.
   size_t rejected_for_rate() const { return rejected_for_rate_; }
-  /// Machines that controllers have requested and returned so far.
+  /// The number of machines that controllers have rented and returned so far.
   int rented() const { return rented_; }
   int returned() const { return returned_; }
 
@@ -62,20 +65,22 @@
   HttpReply return_machines(const Json& request);
   HttpReply rent_machines(const Json& request);
   void boot(const std::string& id, const std::string& type);
-  /// Takes one call from the rate limit; false: the limit is reached.
+  /// Deducts one call from the rate limit. Returns false if the limit is exhausted.
   bool try_consume_call();
   Json list_now() const;
-  /// Of the list as it was a lag ago: the machines whose id is behind `since`.
+  /// Returns the page of machines whose id is greater than `since`, from the list as it was
+  /// `list_lag_s` seconds ago.
   Json list_page(const std::string& since, size_t limit);
 
   World& world_;
   const Settings& settings_;
   const std::vector<MachineType> machine_types_;
   SimulatedFleet& fleet_;
-  std::map<std::string, Machine> machines_;  // by id
+  std::map<std::string, Machine> machines_;  // by machine id
   std::map<std::string, Json>
-      responses_by_request_;            // by the request's key: a repeat is answered alike
-  std::deque<ListSnapshot> snapshots_;  // from the newest that may be shown on
+      responses_by_request_;  // by request key, so that a repeated request gets the same response
+  std::deque<ListSnapshot>
+      snapshots_;  // oldest first, starting with the newest one that may be shown
   int capacity_ = 0;
   size_t page_size_ = 500;
   double boot_s_ = 0;
--- a/simulation/gang_runs.cpp
+++ b/simulation/gang_runs.cpp
@@ -47,7 +47,7 @@
 void GangRuns::on_task_ready(const TaskAttempt& attempt) {
   const RunId id{attempt.task.job, attempt.number};
   Run& run = runs_[id];
-  if (run.is_running) return;  // too late: it waits alone
+  if (run.is_running) return;  // the gang has started without this late task
   uint32_t ready = 0;
   for (auto& member : members(id))
     if (member.worker->is_ready_for_gang({member.task, id.attempt})) ++ready;
@@ -101,7 +101,7 @@
   if (!run) return StopResult::gang_not_running;
   const JobSpec& job = spec(id.job);
   if (job.checkpoint_s <= 0 || grace_s < job.save_s) {
-    // A second command to stop, without grace, ends a task that saves as well.
+    // A second stop command without a grace period also ends a task that is saving.
     worker.end_gang_task(attempt, ExitCause::stopped, false);
     on_task_lost(attempt);
     return StopResult::gang_stops;
--- a/simulation/gang_runs.hpp
+++ b/simulation/gang_runs.hpp
@@ -1,5 +1,6 @@
-/// How the stand-in workers run gangs, written from the protocol: the tasks of an attempt find each
-/// other, start and complete together, and notice when one of them is gone.
+/// Simulates how workers run gangs. The tasks of an attempt find each other, start and complete
+/// together, and detect the loss of a task. The simulation follows the protocol and shares no code
+/// with the controllers.
 #pragma once
 #include <map>
 #include <optional>
@@ -16,21 +17,27 @@
 class Worker;
 struct TaskAttempt;
 
-/// Called by workers, on the world's single thread.
+/// Coordinates the tasks of all gangs of a fleet and keeps their progress. Workers call the
+/// functions on the world's single thread.
 class GangRuns {
  public:
   GangRuns(World& world, SimulatedFleet& fleet) : world_(world), fleet_(fleet) {}
-  /// A task has its image and waits for the others; the last one starts them all.
+  /// Handles a task that has fetched its image and waits for the others. The last task of the gang
+  /// starts all of them.
   void on_task_ready(const TaskAttempt& attempt);
-  /// A task of the gang is gone, or its machine stands still.
+  /// Handles the loss of a task, or the hang of its machine. The other tasks of the gang end once
+  /// they have detected the loss.
   void on_task_lost(const TaskAttempt& attempt);
-  /// Whether stopping the task was left to its gang.
+  /// Says who stops a task: its gang does, or the gang isn't running and the worker must do it.
   enum class StopResult : uint8_t { gang_stops, gang_not_running };
+  /// Handles a stop command for a task. The gang saves its progress once all its tasks have got the
+  /// command, if `grace_s` is long enough for that.
   [[nodiscard]] StopResult stop_task(Worker& worker, const TaskAttempt& attempt, double grace_s);
 
-  /// Attempts of the job that began to run.
+  /// The number of attempts of the job that have started to run.
   int starts(const std::string& job) const;
-  /// Progress that was lost with attempts that ended without saving.
+  /// The progress of the job, in seconds of run time, that was lost with attempts that ended
+  /// without saving.
   double lost_progress_s(const std::string& job) const;
 
  private:
@@ -45,7 +52,7 @@
     double started_at = 0;
     double initial_progress_s = 0;
     std::optional<double> first_stop_at;
-    std::set<TaskId> stopped;  // tasks that were told to stop
+    std::set<TaskId> stopped;  // tasks that have got a stop command
     World::EventId completion;
   };
   struct Member {
@@ -53,23 +60,23 @@
     TaskId task;
   };
   std::vector<Member> members(const RunId& id) const;
-  /// Null: the gang doesn't run.
+  /// Returns null if the gang isn't running.
   Run* find_running(const RunId& id);
   double progress_s(const Run& run) const;
   void begin_run(const RunId& id, Run& run);
   void complete(const RunId& id);
-  /// Ends without saving: back to the last checkpoint.
+  /// Ends a run without saving; its progress reverts to the last checkpoint.
   void revert_to_checkpoint(const RunId& id, Run& run);
   void end_tasks(const RunId& id, ExitCause cause, bool saved);
   void save(const RunId& id);
-  /// Some of the tasks were not told to stop in time.
+  /// Reverts to the last checkpoint if some of the tasks haven't got a stop command in time.
   void on_stop_timeout(const RunId& id);
   const JobSpec& spec(const std::string& job) const;
 
   World& world_;
   SimulatedFleet& fleet_;
   std::map<RunId, Run> runs_;
-  std::map<std::string, double> saved_progress_s_;  // kept outside the machines, by job
+  std::map<std::string, double> saved_progress_s_;  // by job; survives the loss of machines
   std::map<std::string, int> starts_;               // by job
   std::map<std::string, double> lost_progress_s_;   // by job
 };
--- a/simulation/key_value_store.cpp
+++ b/simulation/key_value_store.cpp
@@ -8,7 +8,7 @@
 constexpr size_t max_kept_changes = 10000;
 constexpr size_t max_transaction_bytes = size_t{64} * 1024;
 constexpr size_t default_list_limit = 1000;
-constexpr double min_late_apply_s = 2;  // bounds of the delay of transactions that are applied late
+constexpr double min_late_apply_s = 2;  // bounds of the delay of a transaction that is applied late
 constexpr double max_late_apply_s = 12;
 constexpr double lease_tolerance_s = 0.05;
 constexpr std::string_view record_path = "/keys/";
@@ -272,7 +272,8 @@
   return std::nullopt;
 }
 
-// The protocol leaves open which of several are named: one is enough.
+// The protocol doesn't define which of several failed conditions a response names, so the first one
+// suffices.
 Json KeyValueStore::failed_conditions(const Json& conditions) const {
   Json failed = Json::array();
   for (auto& condition : conditions) {
--- a/simulation/key_value_store.hpp
+++ b/simulation/key_value_store.hpp
@@ -1,5 +1,5 @@
-/// Stand-in of the key-value store that controllers keep their records in. Written from the
-/// protocol, not from the controllers.
+/// Simulates the key-value store that holds the controllers' records. The simulation follows the
+/// protocol and shares no code with the controllers' client.
 #pragma once
 #include <deque>
 #include <list>
@@ -14,46 +14,51 @@
 
 namespace damsonport::simulation {
 
-/// A map from keys to JSON values with revisions, watches, leases, and transactions that compare
-/// and swap; and the faults that a scenario wants of it. Runs on the world's single thread.
+/// A map from keys to JSON values with revisions, watches, leases and compare-and-swap
+/// transactions. Scenarios inject faults into it. Runs on the world's single thread.
 class KeyValueStore {
  public:
-  /// Serves at this host of the world from now on.
+  /// Starts to serve at `host`.
   KeyValueStore(World& world, const std::string& host, const StateLimits& limits);
 
   // --- faults
 
-  /// In force from now on; larger values that are stored stay readable.
+  /// Puts new limits in force. Stored values that exceed them stay readable.
   void set_limits(const StateLimits& limits) { limits_ = limits; }
-  /// During an outage every request gets a 503 and open watches wait; afterwards leases get their
-  /// full time.
+  /// Starts or ends an outage. During an outage every request gets a 503 response, open watches get
+  /// none, and leases don't expire. At its end each lease starts anew with its full duration.
   void set_down(bool down);
-  /// One host alone gets a 503, and its watches wait.
+  /// Starts or ends the refusal of one host: its requests get 503 responses, and its watches get no
+  /// response.
   void set_refused(const std::string& host, bool refused);
-  /// What becomes of transactions that write: carried out late and without an answer, or at once
-  /// with the answer lost.
+  /// A fault of transactions that write. They are applied after a delay and get no response, or
+  /// they are applied at once and the response is lost.
   enum class TransactionFault : uint8_t { none, applied_late, response_lost };
-  /// `host`: whose transactions; empty: those of all.
+  /// Sets the fault of transactions from `host`, or from all hosts if `host` is empty.
   void set_transaction_fault(TransactionFault fault, std::string host);
-  /// Mean time until a request is carried out.
+  /// Sets the mean time, in seconds, between the arrival of a request and its execution.
   void set_delay(double seconds) { delay_s_ = seconds; }
 
   // --- contents
 
+  /// A stored value.
   struct Record {
     Json value;
-    uint64_t revision = 0;  // of its last change
+    uint64_t revision = 0;  // of the last change
   };
-  /// Adds a record as if it had been written before the beginning: no watch and no observer gets
-  /// it.
+  /// Adds a record that existed before the start of the scenario. Neither watches nor `on_change`
+  /// report it.
   void store(const std::string& key, Json value) { records_[key] = {std::move(value), revision_}; }
-  /// Adds or changes a record as if a client wrote it now.
+  /// Adds or changes a record as a client's write would.
   void write(const std::string& key, const Json& value);
-  /// Null: there is no such record. Valid until the next change.
+  /// Returns the value of a record, or null if there is no such record. The pointer is valid until
+  /// the next change.
   const Json* value(const std::string& key) const;
+  /// All records, by key.
   const std::map<std::string, Record>& all() const { return records_; }
-  /// Called for each change; a removed record has a null value.
+  /// Called for each change. The value is null if the record was removed.
   std::function<void(const std::string& key, const Json& value)> on_change;
+  /// The number of requests refused because of the rate limits, and because of the limits on sizes.
   size_t refused_for_rate() const { return refused_for_rate_; }
   size_t refused_for_size() const { return refused_for_size_; }
 
@@ -63,7 +68,7 @@
     uint64_t id;
     std::string host;
     std::string prefix;
-    uint64_t since;  // the last revision that its client knows
+    uint64_t since;  // the last revision that the client has seen
     World::ResponseHandler respond;
     bool has_response = false;
   };
@@ -90,7 +95,7 @@
                 const World::ResponseHandler& respond);
   HttpReply apply(const Json& transaction);
   bool exceeds_limits(const Json& transaction, const Json& conditions, const Json& writes) const;
-  /// Empty: the write is allowed, if the conditions hold.
+  /// Returns an error response, or nothing if the write is allowed.
   std::optional<HttpReply> check_write(const Json& write);
   HttpReply refuse_for_size();
   Json failed_conditions(const Json& conditions) const;
@@ -99,15 +104,16 @@
   // --- records, leases and watches
   void put(const std::string& key, const Json& value, uint64_t lease);
   void remove(const std::string& key);
-  /// Answers the watches after changes.
+  /// Responds to the watches that have new changes.
   void respond_to_watches();
   Json changes_for(const Watch& watch) const;
   enum class ResponseCondition : uint8_t { only_with_changes, always };
-  /// False: the watch goes on waiting.
+  /// Returns false if the watch gets no response yet.
   bool respond_to_watch(const Watch& watch, ResponseCondition when) const;
   void end_lease(uint64_t id);
   void renew_lease(uint64_t id);
-  /// Takes a request with so many writes from the rate limits; false: a limit is reached.
+  /// Deducts one request with `writes` writes from the rate limits. Returns false if a limit is
+  /// exhausted.
   bool try_consume_request(int writes);
 
   World& world_;
@@ -118,9 +124,9 @@
   std::string transaction_fault_host_;
   double delay_s_ = 0.004;
   std::map<std::string, Record> records_;
-  std::map<std::string, uint64_t> lease_of_;  // by key
+  std::map<std::string, uint64_t> lease_of_;  // lease id by key
   std::map<uint64_t, Lease> leases_;
-  std::deque<Change> changes_;  // the newest, for watches
+  std::deque<Change> changes_;  // the newest changes, oldest first, for watches
   uint64_t revision_ = 100;
   uint64_t next_lease_id_ = 1;
   std::list<Watch> watches_;
--- a/simulation/replica_checker.cpp
+++ b/simulation/replica_checker.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 constexpr double still_present = std::numeric_limits<double>::infinity();
-// Clocks that run fast, and messages between a machine and its controller.
+// Covers clocks that run fast and the delay of messages between a machine and its controller.
 constexpr double tolerance_s = 0.05;
 }  // namespace
 
--- a/simulation/replica_checker.hpp
+++ b/simulation/replica_checker.hpp
@@ -1,4 +1,5 @@
-/// Compares what controllers claim of replicas of several parts with what their parts truly did.
+/// Checks what controllers claim about replicas of several parts against what the parts do on their
+/// machines, and measures how long repairs take.
 #pragma once
 #include <functional>
 #include <limits>
@@ -12,54 +13,57 @@
 
 namespace damsonport::simulation {
 
+/// Follows the parts of all replicas. The owner reports each start and end of a part, and each
+/// claim of a controller.
 class ReplicaChecker {
  public:
+  /// Called with the name of the violated rule and a description.
   using OnViolation = std::function<void(const std::string& rule, const std::string& what)>;
   ReplicaChecker(World& world, OnViolation on_violation)
       : world_(world), on_violation_(std::move(on_violation)) {}
 
-  /// A part is on its machine from now on, until it leaves.
+  /// Handles the start of a part on a machine, where it stays until on_part_left().
   void on_part_started(const JobSpec& spec, const TaskId& task, uint64_t attempt,
                        const std::string& machine);
   void on_part_left(const JobSpec& spec, const TaskId& task, const std::string& machine);
-  /// A controller claims that the replica is ready under this attempt, by heartbeats up to `age_s`
-  /// seconds old.
+  /// Checks a controller's claim that the replica is ready under this attempt, according to
+  /// heartbeats that are up to `age_s` seconds old.
   void on_ready_claim(const std::string& controller, const JobSpec& spec, uint32_t number,
                       uint64_t attempt, double age_s);
 
-  /// Checks no rules from now on: for controllers that don't know of replicas.
+  /// Turns the rules off and keeps the measurements, for controllers without support for replicas.
   void skip_rules() { skips_rules_ = true; }
-  /// Over all replicas that were whole and lost a part, until now.
+  /// Measurements so far of all replicas that were whole and then lost a part.
   struct Figures {
-    std::vector<double> whole_again_s;     // until all parts ran under one attempt again
-    std::vector<double> complete_again_s;  // until all parts ran, under whatever attempts
-    double partial_s = 0;                  // replicas' time with some parts there, and not whole
-    size_t not_whole = 0;                  // replicas that are not whole again
+    std::vector<double> whole_again_s;     // seconds until all parts ran under one attempt again
+    std::vector<double> complete_again_s;  // seconds until all parts ran again, under any attempts
+    double partial_s = 0;  // total time of replicas with some parts present but not whole
+    size_t not_whole = 0;  // replicas that haven't become whole again
   };
   Figures figures() const;
 
-  /// Replicas of the job all of whose parts run under one attempt.
+  /// The number of replicas of the job with all parts running under one attempt.
   uint32_t whole(const JobSpec& spec) const;
-  /// Claims that were checked.
+  /// The number of claims that were checked.
   int claims() const { return claims_; }
-  /// Replicas of the job that were whole again after they had lost a part, and the longest time
-  /// that this took, in seconds.
+  /// The number of repairs of the job, which are replicas that became whole again after the loss of
+  /// a part, and the duration of the longest repair in seconds.
   int repairs(const std::string& job) const;
   double longest_repair_s(const std::string& job) const;
 
  private:
   struct Part {
     std::string machine;
-    double present_until = 0;  // infinite: it is still there
+    double present_until = 0;  // infinite while the part is present
   };
-  using Attempt = std::map<uint32_t, Part>;      // by task: the last that was there
-  using Key = std::pair<std::string, uint32_t>;  // job, number
+  using Attempt = std::map<uint32_t, Part>;      // each task's last part in this attempt
+  using Key = std::pair<std::string, uint32_t>;  // job id and replica number
   struct Replica {
     std::map<uint64_t, Attempt> attempts;
-    double broken_since = -1;      // it was whole before; negative: it is whole, or never was
-    bool complete = false;         // all parts are there, under whatever attempts
-    double partial_since = -1;     // broken, with some part present; negative: it isn't
-    uint64_t claimed_attempt = 0;  // the newest that was claimed to be ready
+    double broken_since = -1;   // time of the loss of a part; negative if whole, or never whole
+    bool complete = false;      // all parts are present, under any attempts
+    double partial_since = -1;  // start of the partial state after a loss; negative if not partial
+    uint64_t claimed_attempt = 0;  // the newest attempt that was claimed to be ready
   };
   struct Repairs {
     int count = 0;
@@ -68,7 +72,7 @@
   static bool is_whole(const Attempt& attempt, uint32_t parts);
   void check_start(const Replica& replica, const JobSpec& spec, const TaskId& task,
                    uint64_t attempt, const std::string& machine);
-  // Notes what a part that came or left means for a replica that was whole before.
+  // Updates the measurements of a replica that was whole before, after the start or end of a part.
   void measure(Replica& replica, const JobSpec& spec, bool whole);
 
   World& world_;
--- a/simulation/rule_checker.cpp
+++ b/simulation/rule_checker.cpp
@@ -9,8 +9,8 @@
 namespace damsonport::simulation {
 
 namespace {
-constexpr double resource_tolerance = 1e-6;  // of sums of resources
-constexpr double deadline_margin_s = 0.01;   // so that what happens at the deadline is done
+constexpr double resource_tolerance = 1e-6;  // for sums of resources
+constexpr double deadline_margin_s = 0.01;   // lets events at the deadline itself happen first
 }  // namespace
 
 bool occupies_machine(const TaskStatus& task) {
--- a/simulation/rule_checker.hpp
+++ b/simulation/rule_checker.hpp
@@ -1,5 +1,6 @@
-/// Checks the rules of the protocol while whole controllers run against the stand-ins: what users
-/// are answered, and where and when tasks run. Written from the protocol, not from the controllers.
+/// Checks the rules of the protocol while real controllers run against the simulated environment:
+/// the responses to users, and where and when tasks run. The checks follow the protocol and share
+/// no code with the controllers.
 #pragma once
 #include <functional>
 #include <map>
@@ -17,9 +18,11 @@
 
 class Worker;
 
-/// Whether the task takes resources of its machine: also while it saves or waits for its gang.
+/// Returns whether the task occupies resources of its machine, which it also does while it saves or
+/// waits for its gang.
 bool occupies_machine(const TaskStatus& task);
 
+/// Collects the violations of the rules. Users and workers report each event to the checker.
 class RuleChecker {
  public:
   /// `settings` must outlive the checker.
@@ -30,42 +33,46 @@
 
   // --- called by users
 
+  /// Handles the first submission of a job; resubmissions are ignored.
   void on_submission(const JobSpec& spec) { specs_.emplace(spec.id, spec); }
-  /// A user got this answer to a request made at `requested_at`. `state`: of the job, if the answer
-  /// names it.
+  /// Checks a response to a user's request that was sent at `requested_at`. `state` is the job's
+  /// status in the response, or empty.
   void on_response(const std::string& job, int status, const std::string& state,
                    double requested_at);
+  /// Handles a user's request to cancel a job.
   void on_cancel_request(const std::string& job) { cancel_requested_.insert(job); }
 
   // --- called by workers
 
-  /// A task has its image and begins; it counts until it leaves.
+  /// Checks the start of a task that has fetched its image. The task counts as present until
+  /// on_task_left().
   void on_task_started(const Worker& worker, const TaskId& task, uint64_t attempt);
   void on_task_left(const Worker& worker, const TaskId& task);
   void on_task_done(const TaskId& task) { done_.insert(task); }
 
-  /// Called after the rules were checked for a task that starts.
+  /// Called for each start of a task, after the checks.
   std::function<void(const TaskId& task)> on_start;
-  /// Called when what a team's tasks use on machines changes by so much.
+  /// Called with the change of a team's usage when a task starts or leaves.
   std::function<void(const std::string& team, double cpus, double gpus)> on_use;
 
   // --- results
 
-  /// Notes a broken rule with the time of the world.
+  /// Records the violation of a rule with the current time of the world.
   void report_violation(const std::string& rule, const std::string& what);
   const std::vector<std::string>& violations() const { return violations_; }
   ReplicaChecker& replicas() { return replicas_; }
-  /// The job as its user submitted it; null: nobody did.
+  /// Returns the job as its user submitted it, or null if nobody has submitted it.
   const JobSpec* spec(const std::string& job) const;
   bool is_done(const TaskId& task) const { return done_.contains(task); }
-  /// Tasks that started after their job was confirmed as cancelled.
+  /// The number of tasks that started after the cancellation of their job was confirmed.
   int starts_after_cancellation() const { return starts_after_cancellation_; }
-  /// Whether `state` (done or aborted) was the final answer about the job.
+  /// Returns whether the job's final status in responses to users was `state` (`done` or
+  /// `aborted`).
   bool ended_as(const std::string& job, const std::string& state) const;
   bool is_accepted(const std::string& job) const { return accepted_at_.contains(job); }
-  /// Jobs that were accepted and that nobody asked to cancel.
+  /// Returns the accepted jobs without a cancel request.
   std::vector<std::string> jobs_to_serve() const;
-  /// When the job was last answered about; empty: never.
+  /// Returns when a user last got a response about the job, or nothing if there was none.
   std::optional<double> last_response_at(const std::string& job) const;
 
  private:
@@ -89,13 +96,13 @@
   World& world_;
   const Settings& settings_;
   std::map<std::string, JobSpec> specs_;
-  std::map<std::string, double> accepted_at_;       // as its user learned it first
+  std::map<std::string, double> accepted_at_;  // by job; time of the first response that says so
   std::map<std::string, double> last_response_at_;  // by job
   std::map<std::string, FinalState> final_states_;
   std::set<std::string> cancel_requested_;
   std::set<TaskId> done_;
   std::vector<std::string> violations_;
-  // What is on machines now.
+  // The tasks that are on machines now.
   std::map<TaskId, std::vector<std::string>> machines_of_;
   std::map<std::string, std::map<std::string, int>> tasks_in_zone_;  // by job
   std::map<std::string, Usage> usage_;                               // by team
--- a/simulation/submission.hpp
+++ b/simulation/submission.hpp
@@ -4,8 +4,8 @@
 
 namespace damsonport::simulation {
 
-/// The submission of this job, with all the fields that the protocol demands of a user: unlike the
-/// job's record, it may not leave out those that are zero.
+/// Returns the submission of this job with all the fields that the protocol requires of a user. A
+/// job's record may omit fields that are zero; a submission may not.
 Json submission_of(const JobSpec& spec);
 
 }  // namespace damsonport::simulation
--- a/simulation/virtual_controller.hpp
+++ b/simulation/virtual_controller.hpp
@@ -1,4 +1,4 @@
-/// A whole controller on virtual time, which can crash and be started again.
+/// Runs a complete controller on virtual time. The controller can crash and restart.
 #pragma once
 #include <memory>
 #include <optional>
@@ -10,7 +10,8 @@
 
 namespace damsonport::simulation {
 
-/// Owns one controller at a time with its loop and network, and what is left of crashed ones.
+/// Owns the running controller with its event loop and network, and the remains of the controllers
+/// that have crashed.
 class VirtualController {
  public:
   VirtualController(World& world, VirtualNetwork::Streams& streams, Settings settings,
@@ -19,32 +20,35 @@
   VirtualController(const VirtualController&) = delete;
   VirtualController& operator=(const VirtualController&) = delete;
 
+  /// Starts a new controller process with the current settings.
   void start();
-  /// The process ends at once: nothing more of it reaches the world. It starts again after `for_s`.
+  /// Ends the process at once, so that none of its messages reaches the world any more, and starts
+  /// a new one after `for_s` seconds.
   void crash(double for_s);
   bool running() const { return controller_ != nullptr; }
-  /// The process stands still while its clocks run on.
+  /// Pauses the process while its clocks run on.
   void stall(double seconds) {
     if (loop_) loop_->stall(seconds);
   }
 
-  /// What the controller claims of a replica of several parts.
+  /// The controller's claim about the state of a replica of several parts.
   struct ReplicaClaim {
     replicas::ReplicaStatus status;
-    double age_s;  // of the heartbeats that the claim rests on, by the controller's clock
+    double age_s;  // age of the heartbeats behind the claim, by the controller's clock
   };
-  /// Empty while the process is down or stands still.
+  /// Returns no claims while the process is down or paused.
   std::vector<ReplicaClaim> replica_claims();
 
   const std::string& name() const { return settings_.controller_name; }
   const std::string& host() const { return settings_.listen.host; }
   const std::string& zone() const { return settings_.zone; }
-  /// Changes are in force from the next start on.
+  /// Changes of the settings take effect at the next start.
   Settings& settings() { return settings_; }
   std::optional<RegionSettings>& regions() { return regions_; }
 
  private:
-  // What a process read at its start, kept for as long as something of it may run.
+  // The settings that a process read at its start. They are kept because coroutines of ended
+  // processes refer to them.
   struct Process {
     Settings settings;
     std::optional<RegionSettings> regions;
@@ -55,7 +59,7 @@
   std::optional<RegionSettings> regions_;
   double clock_rate_;
   std::vector<std::unique_ptr<Process>> processes_;
-  // Coroutines of ended processes are told to stop; the objects that they refer to stay alive.
+  // Coroutines of ended processes are asked to stop; the objects that they refer to are kept alive.
   std::vector<std::unique_ptr<VirtualLoop>> ended_loops_;
   std::vector<std::unique_ptr<VirtualNetwork>> ended_networks_;
   std::vector<std::unique_ptr<Controller>> ended_controllers_;
--- a/simulation/virtual_network.cpp
+++ b/simulation/virtual_network.cpp
@@ -26,7 +26,7 @@
   }
   void on_due() {
     armed_ = false;
-    // Can still be disarmed until the process goes on.
+    // The timer can still be disarmed until the process resumes.
     if (loop_.stalled()) return schedule(loop_.stalled_until());
     loop_.enter();
     fire_(argument_);  // may destroy the timer
@@ -136,7 +136,8 @@
   size_t open() const override { return 0; }
 
  private:
-  // When the connection that `from` names was last answered; 0: it names none, or it never was.
+  // Returns the time of the previous response on the connection that `from` names, or 0 if `from`
+  // names no connection or there was no response.
   double previous_response(const std::string& from) const {
     auto it = responded_at_.find(from);
     return it == responded_at_.end() ? 0 : it->second;
--- a/simulation/virtual_network.hpp
+++ b/simulation/virtual_network.hpp
@@ -1,5 +1,5 @@
-/// One controller's clocks and sockets in the virtual world: the event loop and the network that a
-/// controller gets in place of the real ones.
+/// The clocks and sockets of one controller in the virtual world: an event loop and a network in
+/// place of the real ones.
 #pragma once
 #include <functional>
 #include <map>
@@ -11,8 +11,8 @@
 
 namespace damsonport::simulation {
 
-/// The event loop of one controller. Its steady clock runs at `rate`, seconds of its own in a
-/// second of the world; its time of day is off by `wall_off` seconds.
+/// The event loop of one controller. Its steady clock advances by `rate` seconds in a second of the
+/// world. Its wall clock is off by `wall_off` seconds.
 class VirtualLoop : public Loop {
  public:
   VirtualLoop(World& world, std::string name, std::seed_seq&& seed, double rate, double wall_off)
@@ -22,13 +22,13 @@
   std::unique_ptr<Timer> timer(Timer::Fire fire, void* argument) override;
   double rate() const { return rate_; }
   World& world() { return world_; }
-  /// Names this controller in the log lines that follow.
+  /// Makes this controller the one that the following log lines name.
   void enter() const { world_.active_controller = name_; }
-  /// The process stands still while its clocks run on.
+  /// Pauses the process while its clocks run on.
   void stall(double seconds) { stalled_until_ = world_.now() + seconds; }
   bool stalled() const { return world_.now() < stalled_until_; }
   double stalled_until() const { return stalled_until_; }
-  /// Calls `action` at once, or when the process goes on, in the order of the calls.
+  /// Calls `action` at once, or when a paused process resumes, in the order of the calls.
   void when_awake(std::function<void()> action);
 
  private:
@@ -40,14 +40,15 @@
   double stalled_until_ = 0;
 };
 
-/// One controller's sockets. After end() nothing of its process reaches the world any more.
+/// The sockets of one controller. After end() no message of its process reaches the world.
 class VirtualNetwork : public Network {
  public:
-  /// Listeners for streams between controllers, by their address; shared by all controllers.
+  /// Listeners for the streams between controllers, by address. All controllers share the map.
   using Streams = std::map<std::string, StreamListener::OnBytes>;
   VirtualNetwork(VirtualLoop& loop, std::string host, Streams& streams)
       : loop_(loop), host_(std::move(host)), streams_(streams) {}
   ~VirtualNetwork() override { end(); }
+  /// Closes all sockets. The destructor calls it too.
   void end();
   std::unique_ptr<HttpClient> client() override;
   std::unique_ptr<HttpServer> server(size_t max_body, size_t max_connections, double idle_s,
--- a/simulation/worker.cpp
+++ b/simulation/worker.cpp
@@ -10,7 +10,7 @@
 constexpr double response_timeout_s = 4;
 constexpr double next_controller_delay_s = 1;
 constexpr double min_heartbeat_interval_s = 0.5;
-// Names of the protocol, in the order of TaskState and ExitCause.
+// The protocol's names of the states and causes, in the order of TaskState and ExitCause.
 constexpr const char* state_names[] = {"fetching", "running", "flushing", "exited", "waiting"};
 constexpr const char* cause_names[] = {"",     "done",    "stopped", "error", "no_room",
                                        "busy", "no_such", "peers",   "alone"};
@@ -31,7 +31,7 @@
   controller_ = world_.random64() % fleet_.controllers.size();
   world_.serve(host, [this](auto&, Method method, auto& target, auto& body, auto respond) {
     if (!is_hung()) return serve(method, target, body, respond);
-    // Carried out when it goes on.
+    // A hung worker handles the request once it resumes.
     world_.at(hung_until_, [this, method, target, body, respond] {
       if (!gone) serve(method, target, body, respond);
     });
@@ -52,7 +52,7 @@
 void Worker::hang(double seconds) {
   hung_until_ = world_.now() + seconds;
   report_lost_gang_tasks();
-  // What was to happen meanwhile happens that much later.
+  // Pending steps of tasks are postponed until the machine resumes.
   for (auto& [attempt, task] : tasks_) {
     if (!task.has_timer) continue;
     clear_timer(task);
@@ -62,7 +62,7 @@
     });
   }
   world_.cancel(next_heartbeat_);
-  // Whether the lease has ended is looked at before the next heartbeat.
+  // The end of the lease is checked when the machine resumes, before the next heartbeat.
   world_.cancel(lease_end_);
   world_.at(hung_until_, [this] {
     if (gone) return;
@@ -135,7 +135,8 @@
 void Worker::on_heartbeat_response(int status, const Json& body, uint64_t agent_epoch,
                                    double sent_at) {
   awaits_response_ = false;
-  if (status == 0) ++connection_number_;  // closed: a late answer on it is not read any more
+  if (status == 0)
+    ++connection_number_;  // closed, so that a late response on the old connection is ignored
   double next_s = fleet_.settings.heartbeat_interval_s * world_.uniform(0.75, 1.25);
   if (status == 200) {
     on_accepted_heartbeat(body, agent_epoch, sent_at);
@@ -148,7 +149,7 @@
 void Worker::on_accepted_heartbeat(const Json& body, uint64_t agent_epoch, double sent_at) {
   if (!body.is_object() || !body.contains("helm")) return;
   const uint64_t fencing_token = body["helm"].get<uint64_t>();
-  // An answer that is dropped keeps the worker at that controller all the same.
+  // Even if the response is dropped, the worker stays with that controller.
   if (fencing_token < fencing_token_ || agent_epoch != agent_epoch_) return;
   learn_fencing_token(fencing_token);
   lease_started_at_ = sent_at;
--- a/simulation/worker.hpp
+++ b/simulation/worker.hpp
@@ -1,5 +1,5 @@
-/// Stand-in of a worker: the agent on one machine. Written from the protocol, not from the
-/// controllers.
+/// Simulates a worker, the agent on one machine. The simulation follows the protocol and shares no
+/// code with the controllers.
 #pragma once
 #include <functional>
 #include <map>
@@ -13,7 +13,7 @@
 
 class SimulatedFleet;
 
-/// Identity and place of a machine.
+/// Identity and location of a machine.
 struct MachineInfo {
   std::string id;
   std::string address;  // host:port of its worker
@@ -22,42 +22,46 @@
   bool spot = false;
 };
 
-/// An attempt to run a task; a worker may hold several of one task, of which one at most runs.
+/// An attempt to run a task. A worker may hold several attempts of a task, at most one of which is
+/// running.
 struct TaskAttempt {
   TaskId task;
   uint64_t number = 0;
   auto operator<=>(const TaskAttempt&) const = default;
 };
 
-/// Sends heartbeats to one controller at a time, carries out commands, and ends all its tasks when
-/// its lease ends. All of it runs on the world's single thread.
+/// Sends heartbeats to one controller at a time, executes commands, and ends all its tasks when its
+/// lease ends. Runs on the world's single thread.
 class Worker {
  public:
   Worker(World& world, SimulatedFleet& fleet, const MachineInfo& info);
-  /// The machine is up: heartbeats begin, and commands are served.
+  /// Marks the machine as up: the worker starts to send heartbeats and to serve commands.
   void begin();
-  /// The whole machine stands still; what was due meanwhile happens afterwards.
+  /// Pauses the whole machine. Events that are due in the meantime happen when it resumes.
   void hang(double seconds);
-  /// The machine is gone, with all its tasks, for good.
+  /// Removes the machine and all its tasks permanently.
   void terminate();
 
+  /// An attempt on this worker, from its start until a controller removes it.
   struct RunningTask {
     TaskStatus report;
-    double progress_s = 0;     // of its run time, when `since` was
-    double since = 0;          // when its timer was set
-    World::EventId next_step;  // valid while has_timer
+    double progress_s = 0;     // progress at the time `since`, in seconds of run time
+    double since = 0;          // time at which the timer was set
+    World::EventId next_step;  // valid if `has_timer`
     bool has_timer = false;
   };
   const std::map<TaskAttempt, RunningTask>& tasks() const { return tasks_; }
-  /// Counts the leases that this worker lost, from 1 on.
+  /// The agent epoch starts at 1 and increases with each loss of the lease.
   uint64_t agent_epoch() const { return agent_epoch_; }
 
   // --- called by GangRuns
 
-  /// Whether the task has its image and waits for the others, on a machine that doesn't hang.
+  /// Returns whether the task has fetched its image and waits for the others, on a machine that
+  /// isn't hung.
   bool is_ready_for_gang(const TaskAttempt& attempt) const;
+  /// Marks a waiting task as running.
   void run_gang_task(const TaskAttempt& attempt);
-  /// On a machine that hangs: when it goes on.
+  /// Ends the task, or on a hung machine when the machine resumes.
   void end_gang_task(const TaskAttempt& attempt, ExitCause cause, bool saved);
 
   const std::string id;
@@ -66,12 +70,15 @@
   const std::string type;
   const std::string zone;
   const bool spot;
+  /// Set while the worker receives neither requests nor responses.
   bool loses_incoming_messages = false;
+  /// Set while the worker's heartbeats are lost.
   bool loses_heartbeats = false;
+  /// Set while every task fails as soon as it has fetched its image.
   bool fails_tasks = false;
   bool gone = false;  // set by terminate()
 
-  /// Keeps a copy of a heartbeat, to arrive once more at any time.
+  /// Keeps a copy of the current heartbeat, which redeliver_kept_heartbeat() delivers again later.
   void keep_heartbeat() { kept_heartbeat_ = encode(heartbeat()); }
   void redeliver_kept_heartbeat(const std::string& controller_host);
 
@@ -84,9 +91,11 @@
   void on_change();
   void on_heartbeat_response(int status, const Json& body, uint64_t agent_epoch, double sent_at);
   void on_accepted_heartbeat(const Json& body, uint64_t agent_epoch, double sent_at);
-  /// Follows a redirection or goes on to the next controller; yields seconds until it is asked.
+  /// Follows a redirection or selects the next controller in turn. Returns the delay in seconds
+  /// until the next heartbeat.
   double select_next_controller(int status, const Json& body);
-  /// Names the connection to the controller; one without an answer in time is not used again.
+  /// Names the connection to the controller. A connection with a response that timed out isn't used
+  /// again.
   std::string connection() const;
   void learn_fencing_token(uint64_t fencing_token);
   void restart_lease_timer();
@@ -106,25 +115,26 @@
   void stop(RunningTask& task, double grace_s);
   void exit(RunningTask& task, ExitCause cause, bool saved = false);
   void resume_after_hang(const TaskAttempt& attempt, TaskState state);
-  /// The other tasks of their gangs notice that all tasks here are gone or stand still.
+  /// Reports to the gangs that all running gang tasks of this machine are lost or paused.
   void report_lost_gang_tasks();
   void drop_tasks();
-  /// Calls `then` with the task after so long, unless it ends or gets another timer before.
+  /// Calls `then` with the task after `seconds`, unless the task ends or its timer is replaced
+  /// before.
   void set_timer(RunningTask& task, double seconds, std::function<void(RunningTask&)> then);
   void clear_timer(RunningTask& task);
 
   World& world_;
   SimulatedFleet& fleet_;
   uint64_t agent_epoch_ = 1;
-  uint64_t sequence_ = 0;        // of heartbeats
-  uint64_t fencing_token_ = 0;   // the highest that was seen
-  double lease_started_at_ = 0;  // when the last heartbeat was sent that was accepted
+  uint64_t sequence_ = 0;        // of the last heartbeat
+  uint64_t fencing_token_ = 0;   // the highest one seen
+  double lease_started_at_ = 0;  // when the last accepted heartbeat was sent
   double last_heartbeat_at_ = -1e9;
   double hung_until_ = -1;
-  size_t controller_ = 0;           // that heartbeats go to, by index
-  uint64_t connection_number_ = 0;  // counts the connections
+  size_t controller_ = 0;           // index of the controller that gets the heartbeats
+  uint64_t connection_number_ = 0;  // increases with each new connection
   bool awaits_response_ = false;
-  uint64_t heartbeat_number_ = 0;  // of the one that awaits its answer
+  uint64_t heartbeat_number_ = 0;  // the heartbeat that awaits its response
   World::EventId next_heartbeat_;
   World::EventId lease_end_;
   std::map<TaskAttempt, RunningTask> tasks_;
--- a/simulation/worker_tasks.cpp
+++ b/simulation/worker_tasks.cpp
@@ -1,4 +1,4 @@
-/// The part of a worker that carries out commands and runs tasks.
+/// Executes the commands of a worker and runs its tasks.
 #include <algorithm>
 
 #include "simulation/simulated_fleet.hpp"
@@ -7,9 +7,9 @@
 namespace damsonport::simulation {
 
 namespace {
-constexpr double min_fetch_s = 0.05;  // of an image that the machine has
+constexpr double min_fetch_s = 0.05;  // for a cached image
 constexpr double min_run_s = 0.01;
-constexpr double tolerance = 1e-6;  // of sums of resources
+constexpr double tolerance = 1e-6;  // for sums of resources
 }  // namespace
 
 void Worker::serve(Method method, const std::string& target, const std::string& body,
@@ -109,7 +109,7 @@
   fleet_.count_start(spec.id);
   if (fails_tasks || fleet_.is_broken(spec.id)) return exit(task, ExitCause::error);
   if (fleet_.rules().is_done(attempt.task)) return exit(task, ExitCause::done);
-  // On the machine from now on: the checker counts it as well.
+  // From now on the task occupies the machine, and the rule checker counts it as present.
   task.report.state = TaskState::running;
   fleet_.rules().on_task_started(*this, attempt.task, attempt.number);
   if (spec.kind == JobKind::gang) return wait_for_gang(attempt);
--- a/simulation/world.cpp
+++ b/simulation/world.cpp
@@ -5,7 +5,7 @@
 namespace damsonport::simulation {
 
 namespace {
-constexpr double min_delay_s = 0.0005;  // of a message
+constexpr double min_delay_s = 0.0005;  // bounds of the delay of a message
 constexpr double max_delay_s = 0.002;
 constexpr double held_message_interval_s = 1e-5;
 }  // namespace
--- a/simulation/world.hpp
+++ b/simulation/world.hpp
@@ -1,5 +1,5 @@
-/// Virtual time, and a virtual network between hosts: whole controllers and stand-ins run in one
-/// thread, the same way each time for the same seed.
+/// Virtual time and a virtual network between hosts. Controllers and simulated services run in one
+/// thread, and the same seed gives the same run.
 #pragma once
 #include <deque>
 #include <functional>
@@ -13,14 +13,15 @@
 
 namespace damsonport::simulation {
 
-/// The fields of a request's query, by name.
+/// Returns the fields of a request's query string, by name.
 std::map<std::string, std::string> query_of(const std::string& target);
 
-/// A queue of events and a network. Events happen at their time, and those of one time in the order
-/// in which they were added. All draws come from one generator, so their order decides the run.
+/// An event queue and a network. Events happen in the order of their times; events with equal times
+/// happen in the order in which they were added. All random draws come from one generator, so the
+/// order of the draws determines the run.
 class World {
  public:
-  /// Names an event that may be cancelled. A default one names none.
+  /// Identifies an event that may be cancelled. A default-constructed id refers to no event.
   struct EventId {
     double time = 0;
     uint64_t sequence = 0;
@@ -34,18 +35,18 @@
 
   // --- time and events
 
-  /// Seconds since the beginning.
+  /// Seconds since the start.
   double now() const { return now_; }
-  /// Adds an event at a time, or now if that is past, or after so many seconds.
+  /// Adds an event at `time`, or at the current time if `time` has passed; or `seconds` from now.
   EventId at(double time, std::function<void()> event);
   EventId in(double seconds, std::function<void()> event) {
     return at(now_ + seconds, std::move(event));
   }
-  /// Removes the event, if it has not happened yet.
+  /// Removes the event if it hasn't happened yet.
   void cancel(const EventId& id) { events_.erase(id); }
-  /// Plays all events up to this time.
+  /// Runs all events up to `time`.
   void run_until(double time);
-  /// The controller that runs just now, for the log.
+  /// The name of the controller that is running now, for the log.
   std::string active_controller;
 
   // --- random draws
@@ -57,38 +58,40 @@
 
   // --- the network between hosts, which are named by their address
 
+  /// Called with the response to a request.
   using ResponseHandler = std::function<void(HttpReply)>;
+  /// Handles a request to a host and calls `respond` at most once.
   using RequestHandler =
       std::function<void(const std::string& from, Method method, const std::string& target,
                          const std::string& body, ResponseHandler respond)>;
-  /// The host of a name that may have a connection behind it, "10.1.0.2#7".
+  /// Returns the host of a sender's name, which may end with a connection, as in "10.1.0.2#7".
   static std::string host_of(const std::string& from) { return from.substr(0, from.find('#')); }
-  /// Requests to the host go to this handler from now on.
+  /// Passes the requests to `host` to this handler from now on.
   virtual void serve(const std::string& host, RequestHandler handler) {
     servers_[host] = std::move(handler);
   }
-  /// The host refuses connections from now on.
+  /// Refuses connections to `host` from now on.
   virtual void stop_serving(const std::string& host) { servers_.erase(host); }
-  /// Sends a request and brings back its response; both may be lost. A host that doesn't serve
-  /// refuses: status 0. `from` may name a connection behind the host, so that the server can tell
-  /// it from others.
+  /// Sends a request and delivers the response to `on_response`; both may be lost. A host that
+  /// doesn't serve refuses the connection, which gives status 0. `from` may name a connection of
+  /// the host, so that the server can tell connections apart.
   virtual void send_request(const std::string& from, const std::string& to, Method method,
                             std::string target, std::string body,
                             const ResponseHandler& on_response);
-  /// Sends a one-way message: `arrive` is called at the other end.
+  /// Sends a one-way message; `arrive` is called when it arrives.
   void send(const std::string& from, const std::string& to, std::function<void()> arrive);
 
-  /// What becomes of messages in a cut: they arrive in order when it ends, or never.
+  /// How a partition treats messages: it holds them and delivers them in order when it ends, or it
+  /// drops them.
   enum class Cut : uint8_t { hold, drop };
-  /// Cuts one direction between two hosts.
+  /// Starts or ends the partition of one direction between two hosts.
   void cut(const std::string& from, const std::string& to, Cut how);
   void heal(const std::string& from, const std::string& to);
   bool is_cut(const std::string& from, const std::string& to) const {
     return cuts_.contains({from, to});
   }
 
-  /// Called for every request, response and stream message at the moment it is sent, with its
-  /// bytes.
+  /// Called with the bytes of every request, response and stream message when it is sent.
   using TrafficObserver = std::function<void(const std::string& from, const std::string& to,
                                              std::string_view header, std::string_view body)>;
   void observe_traffic(TrafficObserver observer) { traffic_observer_ = std::move(observer); }
@@ -98,7 +101,7 @@
   }
 
  protected:
-  /// The time of the next event; infinite: there is none.
+  /// Returns the time of the next event, or infinity if there is none.
   double next_event() const {
     return events_.empty() ? std::numeric_limits<double>::infinity() : events_.begin()->first.time;
   }
