--- a/tests/scenarios/fault_scenario.cpp
+++ b/tests/scenarios/fault_scenario.cpp
@@ -6,7 +6,7 @@
 namespace damsonport::simulation {
 
 namespace {
-constexpr double first_poll_after_s = 1;  // of a job that an earlier version has accepted
+constexpr double first_poll_after_s = 1;  // for jobs that an earlier version accepted
 constexpr double last_event_before_end_s = 1e-6;
 }  // namespace
 
@@ -21,7 +21,7 @@
   for (std::string line; std::getline(in, line);) {
     const auto tab = line.find('\t');
     const auto key = line.substr(0, tab);
-    if (key.find('/') == std::string::npos) continue;  // a message, no record
+    if (key.find('/') == std::string::npos) continue;  // not a record but a message
     const Json value = Json::parse(line.substr(tab + 1));
     deployment_.store().store(key, value);
     if (key.starts_with(keys::chunk_prefix)) {
@@ -35,7 +35,7 @@
 void FaultScenario::load_chunk(const std::string& key, const Json& value) {
   const auto chunk = parse_chunk_name(key.substr(keys::chunk_prefix.size()));
   const auto record = decode_chunk(value);
-  // What was done before: below `next`, and neither live nor waiting.
+  // A task below `next` that is neither live nor waiting was done before the scenario.
   std::set<uint32_t> open;
   for (auto& task : record.live) open.insert(task.index);
   for (auto& task : record.waiting) open.insert(task.index);
--- a/tests/scenarios/fault_scenario.hpp
+++ b/tests/scenarios/fault_scenario.hpp
@@ -1,5 +1,5 @@
-/// A fault scenario: whole controllers against the stand-ins, driven by a trace. See
-/// traces/scenarios/README.
+/// Plays a fault scenario: real controllers run against the simulated environment, driven by the
+/// lines of a trace. See traces/scenarios/README.
 #pragma once
 #include <optional>
 #include <string>
@@ -13,29 +13,32 @@
 
 namespace damsonport::simulation {
 
+/// Adds the lines of one trace and then plays the scenario once.
 class FaultScenario {
  public:
-  /// Two scenarios with the same seed and the same lines run alike.
+  /// Two scenarios with the same seed and the same lines run identically.
   explicit FaultScenario(uint64_t seed = 1) : world_(seed) {}
-  /// Where the files with stored records are.
+  /// The directory of the files with stored records. Set before play().
   std::string fixtures_dir;
-  /// Adds one line of a trace; yields what is wrong with it, if anything is.
+  /// Adds one line of a trace. Returns an error if the line is invalid.
   [[nodiscard]] std::optional<std::string> add_line(const std::string& text) {
     return parser_.parse_line(text);
   }
-  /// Plays to the end, once; yields broken rules and expectations that were not met.
+  /// Plays the scenario to its end. May be called once. Returns the violated rules and the
+  /// expectations that were not met.
   std::vector<std::string> play();
   const World& world() const { return world_; }
   World& world() { return world_; }
 
  private:
   void set_up();
-  /// Puts the records of a fixture into the key-value store, and tells the rule checker of them.
+  /// Loads the records of a fixture into the key-value store and reports their jobs and tasks to
+  /// the rule checker.
   void load_records(const std::string& file);
   void load_chunk(const std::string& key, const Json& value);
   void load_job(const std::string& job);
   void apply(const ScenarioEvent& event);
-  /// Compares what controllers claim of replicas with the truth, again and again.
+  /// Checks periodically what controllers claim about replicas against the state of their parts.
   void check_replica_claims();
 
   World world_;
--- a/tests/scenarios/random_replica_scenario.cpp
+++ b/tests/scenarios/random_replica_scenario.cpp
@@ -8,6 +8,7 @@
 
 namespace {
 
+/// Generates the lines of one scenario. The order of the draws determines the scenario of a seed.
 class ReplicaScenarioGenerator {
  public:
   explicit ReplicaScenarioGenerator(uint64_t seed) : draw_(seed) {}
@@ -31,7 +32,7 @@
 
   void add_deployment() {
     has_two_zones_ = draw_.chance(0.5);
-    const bool long_intervals = draw_.chance(0.3);  // seldom reports, long leases
+    const bool long_intervals = draw_.chance(0.3);  // long heartbeat intervals and leases
     parts_per_replica_ = 2 + draw_.below(2);
     add_line("controllers {} zones={}", draw_.chance(0.5) ? 3 : 5, has_two_zones_ ? "a,b" : "a");
     add_line("workers report={} lease={} cancel={}", long_intervals ? 4 : 1.5,
@@ -44,7 +45,8 @@
     add_line("machines {} type=g zone=a", has_two_zones_ ? 4 : 8);
     if (has_two_zones_) add_line("machines 5 type=g zone=b");
     add_line("cloud capacity=18 boot={}", draw_.one_of("1", "6", "15"));
-    // Records of a replica that lie in two chunks, and transactions of few writes.
+    // Small limits of the key-value store divide the records of a replica into two chunks, and
+    // bound transactions to a few writes.
     if (draw_.chance(0.3)) add_line("state kb=1 ops=3");
   }
 
@@ -114,8 +116,7 @@
   RandomDraw draw_;
   bool has_two_zones_ = false;
   int parts_per_replica_ = 2;
-  std::vector<std::pair<std::string, int>>
-      uncancelled_jobs_;  // jobs that nobody cancels, and their replicas
+  std::vector<std::pair<std::string, int>> uncancelled_jobs_;  // id and number of replicas
   std::vector<std::string> lines_;
 };
 
--- a/tests/scenarios/random_replica_scenario.hpp
+++ b/tests/scenarios/random_replica_scenario.hpp
@@ -1,4 +1,4 @@
-// Scenarios drawn from a seed: replicas of several parts under faults of every kind.
+/// Generates random fault scenarios with replicas of several parts.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -6,6 +6,7 @@
 
 namespace damsonport::simulation {
 
+/// Returns the lines of the scenario of this seed, in the language of the traces.
 std::vector<std::string> random_replica_scenario(uint64_t seed);
 
 }  // namespace damsonport::simulation
--- a/tests/scenarios/random_scenario.cpp
+++ b/tests/scenarios/random_scenario.cpp
@@ -11,8 +11,9 @@
 constexpr double last_cancel_s = 110;
 constexpr double last_fault_s = last_cancel_s - 20;
 
-/// Draws the lines of one scenario. The order of the draws decides which scenario a seed gives: new
-/// draws go to `later_draws_`, so that those of before stay as they were.
+/// Generates the lines of one scenario. The order of the draws determines the scenario of a seed.
+/// New kinds of lines draw from `later_draws_`, so that the older lines of each seed stay
+/// unchanged.
 class ScenarioGenerator {
  public:
   explicit ScenarioGenerator(uint64_t seed) : seed_(seed), draw_(seed), later_draws_(~seed) {}
@@ -44,7 +45,7 @@
 
   void draw_deployment() {
     has_two_zones_ = draw_.chance(0.4);
-    const bool long_intervals = draw_.chance(0.4);  // seldom reports, long leases
+    const bool long_intervals = draw_.chance(0.4);  // long heartbeat intervals and leases
     add_line("controllers {} zones={}", draw_.chance(0.5) ? 3 : 5, has_two_zones_ ? "a,b" : "a");
     add_line("workers report={} lease={} cancel={}", long_intervals ? 4 : 1.5,
              long_intervals ? 32 : 12, long_intervals ? 62 : 42);
@@ -59,7 +60,7 @@
   }
 
   void draw_jobs() {
-    // Named so that a word of a trace can mean several.
+    // Jobs are numbered by kind, so that a range in a trace can name several jobs.
     add_line("jobs run-1..run-4 tasks=3 gpus=1 run=40 checkpoint=10 save=2 {}",
              draw_.one_of("", "spot"));
     add_line("jobs run-5..run-7 team=u tasks={} cpus=3 run=25 gb={}", 1 + draw_.below(4),
@@ -72,7 +73,7 @@
     add_line("jobs run-15..run-34 tasks=1 cpus=1 run=6");
   }
 
-  // Gangs, and limits that are lowered at some time.
+  // Adds gangs, and limits of the key-value store that are lowered at some time.
   void draw_gangs() {
     add_line("announced kb=2 ops=4 writes=35");
     add_line("jobs run-35..run-37 gang tasks={} cpus=2 run=25 checkpoint=10 save=2 team=u {}",
@@ -103,10 +104,11 @@
     double for_s = 0;
     std::string machines;
     std::string controllers;
-    std::string cut_kind;  // hold or drop
+    std::string cut_kind;  // `hold` or `drop`
   };
 
-  // All values are drawn, whether the kind of fault needs them or not.
+  // Draws all values for every kind of fault, even those that the kind doesn't need, so that the
+  // later draws don't depend on the kind.
   void draw_fault() {
     Fault fault;
     fault.at_s = draw_.uniform(10, last_fault_s);
@@ -124,8 +126,9 @@
     switch (kind) {
       case 0:
       case 1:
-        // If all that know of a cancellation end in an outage, nobody can know of it: no service
-        // can keep the rule then, and none is asked to.
+        // This fault never crashes all controllers at once. If every controller that knows of a
+        // cancellation crashed during an outage of the key-value store, the cancellation would be
+        // lost, and no implementation could keep the rule.
         add_line("at {:.2f} crash {} for={:.2f}", fault.at_s,
                  fault.controllers == "nodes" ? "n2" : fault.controllers,
                  draw_.one_of("0.3", "3", "9") == "0.3" ? 0.3 : 5.0);
@@ -209,8 +212,8 @@
     }
   }
 
-  // The key-value store refuses the leader, jobs are cancelled elsewhere, and then it is out for
-  // all; with what makes it worse.
+  // The key-value store refuses the leader, jobs are cancelled through other controllers, and then
+  // an outage of the store begins. Further faults may aggravate the case.
   void draw_outage_after_refusal() {
     const double refused_at_s = draw_.uniform(14, 40);
     const double outage_at_s = refused_at_s + draw_.uniform(0.5, 3);
@@ -234,8 +237,8 @@
                draw_.one_of("m1", "m2,m3"), draw_.uniform(5, 60));
   }
 
-  // Processes that pause, jobs submitted with a mistake, machines that boot late or never, and a
-  // burst of small jobs.
+  // Adds paused processes, faulty jobs, machines that boot late or never, and a burst of small
+  // jobs.
   void draw_additional_faults() {
     add_line("jobs run-39..run-40 tasks={} gpus=1 run=20 broken {}", 1 + later_draws_.below(5),
              later_draws_.one_of("", "spot"));
@@ -257,7 +260,7 @@
   const uint64_t seed_;
   RandomDraw draw_;
   RandomDraw later_draws_;
-  bool has_two_zones_ = false;  // two zones, a and b
+  bool has_two_zones_ = false;  // zones a and b instead of a alone
   std::vector<std::string> lines_;
 };
 
--- a/tests/scenarios/random_scenario.hpp
+++ b/tests/scenarios/random_scenario.hpp
@@ -1,4 +1,4 @@
-// A scenario drawn at random from all troubles, as lines of a trace.
+/// Generates random scenarios with faults of all kinds.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -6,6 +6,7 @@
 
 namespace damsonport::simulation {
 
+/// Returns the lines of the scenario of this seed, in the language of the traces.
 std::vector<std::string> random_scenario(uint64_t seed);
 
 }  // namespace damsonport::simulation
--- a/tests/scenarios/scenario_actions.cpp
+++ b/tests/scenarios/scenario_actions.cpp
@@ -5,7 +5,7 @@
 namespace damsonport::simulation {
 
 namespace {
-constexpr double unlimited_duration_s = 1e6;  // of a fault without `for`
+constexpr double unlimited_duration_s = 1e6;  // for a fault without `for`
 constexpr double default_crash_s = 6;
 constexpr double normal_store_delay_s = 0.004;
 
@@ -68,7 +68,7 @@
   });
 }
 
-// repeat JOBS [via=CONTROLLERS]: the submission again, whatever became of the first
+// repeat JOBS [via=CONTROLLERS]: submits the jobs again, regardless of the first submission
 void ScenarioActions::resubmit(const ScenarioEvent& event) {
   for (auto& job : expand_names(event.target))
     for (auto* controller : deployment_.select_controllers(event.options.text("via", "all")))
@@ -83,7 +83,7 @@
   });
 }
 
-// ask JOBS [via=CONTROLLERS] [every=S] [for=S]
+// ask JOBS [via=CONTROLLERS] [every=S] [for=S]: polls the status of the jobs
 void ScenarioActions::poll(const ScenarioEvent& event) {
   const auto via = event.options.text("via", "all");
   const double duration_s = event.options.number("for");
@@ -96,7 +96,7 @@
       });
 }
 
-// odd [every=S] for=S: requests that lack a field, and jobs that can never run
+// odd [every=S] for=S: sends requests without a field, and jobs that can never run
 void ScenarioActions::send_invalid_requests(const ScenarioEvent& event) {
   const double duration_s = duration_of(event);
   const double interval_s = event.options.number("every", 1);
@@ -104,7 +104,7 @@
     world_.in(delay_s, [this] { users_.send_invalid_request(); });
 }
 
-// refuse CONTROLLERS [for=S]: the key-value store refuses their requests
+// refuse CONTROLLERS [for=S]: the key-value store refuses the requests of these controllers
 void ScenarioActions::refuse(const ScenarioEvent& event) {
   for (auto* controller : deployment_.select_controllers(event.target)) {
     deployment_.store().set_refused(controller->host(), true);
@@ -113,13 +113,14 @@
   }
 }
 
-// outage [for=S]: of the key-value store
+// outage [for=S]: the key-value store is unavailable
 void ScenarioActions::store_outage(const ScenarioEvent& event) {
   deployment_.store().set_down(true);
   world_.in(duration_of(event), [this] { deployment_.store().set_down(false); });
 }
 
-// fate late|lost [of=CONTROLLER] [for=S]
+// fate late|lost [of=CONTROLLER] [for=S]: transactions are applied late, or their responses are
+// lost
 void ScenarioActions::set_transaction_fault(const ScenarioEvent& event) {
   const auto of = deployment_.select_controllers(event.options.text("of"));
   deployment_.store().set_transaction_fault(event.target == "late"
@@ -136,7 +137,7 @@
   deployment_.store().set_limits(plan_.announced_store_limits);
 }
 
-// slow by=S [for=S]: the key-value store answers later
+// slow by=S [for=S]: the key-value store responds after a longer delay
 void ScenarioActions::slow_store(const ScenarioEvent& event) {
   deployment_.store().set_delay(event.options.number("by"));
   world_.in(duration_of(event), [this] { deployment_.store().set_delay(normal_store_delay_s); });
@@ -148,14 +149,15 @@
     controller->crash(event.options.number("for", default_crash_s));
 }
 
-// crash_on_write JOB [times=N] [after=S] [for=S]
+// crash_on_write JOB [times=N] [after=S] [for=S]: the next writes to the job's records crash the
+// leader
 void ScenarioActions::crash_on_write(const ScenarioEvent& event) {
   deployment_.crash_leader_on_write(
       {keys::chunk_prefix + event.target + "/", event.options.integer("times", 1),
        event.options.number("after"), event.options.number("for", default_crash_s)});
 }
 
-// old_version CONTROLLERS [for=S]: their records say that they run an older program
+// old_version CONTROLLERS [for=S]: the version records of these controllers name an older version
 void ScenarioActions::write_old_version(const ScenarioEvent& event) {
   for (auto* controller : deployment_.select_controllers(event.target)) {
     const auto key = keys::version(controller->name());
@@ -166,13 +168,13 @@
   }
 }
 
-// stall CONTROLLERS [for=S]: the processes stand still while their clocks run on
+// stall CONTROLLERS [for=S]: pauses the processes while their clocks run on
 void ScenarioActions::stall(const ScenarioEvent& event) {
   for (auto* controller : deployment_.select_controllers(event.target))
     controller->stall(duration_of(event));
 }
 
-// cut HOSTS from=HOSTS [how=hold|drop] [one_way] [for=S]
+// cut HOSTS from=HOSTS [how=hold|drop] [one_way] [for=S]: starts a partition
 void ScenarioActions::cut(const ScenarioEvent& event) {
   const auto how =
       event.options.text("how", "hold") == "hold" ? World::Cut::hold : World::Cut::drop;
@@ -193,13 +195,13 @@
   });
 }
 
-// cloud_outage [for=S]: the cloud's interface answers that it is in trouble
+// cloud_outage [for=S]: the cloud's API responds with errors
 void ScenarioActions::cloud_outage(const ScenarioEvent& event) {
   deployment_.fleet().cloud().set_outage(true);
   world_.in(duration_of(event), [this] { deployment_.fleet().cloud().set_outage(false); });
 }
 
-// boots late|never [in=S] [for=S]: machines that are requested meanwhile
+// boots late|never [in=S] [for=S]: sets the boot time of machines rented in this period
 void ScenarioActions::change_boot_time(const ScenarioEvent& event) {
   deployment_.fleet().cloud().set_boot_time(event.target == "never" ? Cloud::never_boots
                                                                     : event.options.number("in"));
@@ -207,17 +209,17 @@
             [this] { deployment_.fleet().cloud().set_boot_time(plan_.boot_s); });
 }
 
-// hang MACHINES [for=S]: all of the machine stands still
+// hang MACHINES [for=S]: pauses the whole machines
 void ScenarioActions::hang(const ScenarioEvent& event) {
   for (auto* worker : deployment_.select_machines(event.target)) worker->hang(duration_of(event));
 }
 
-// deaf MACHINES [for=S]: nothing reaches the worker
+// deaf MACHINES [for=S]: the workers receive neither requests nor responses
 void ScenarioActions::drop_incoming_messages(const ScenarioEvent& event) {
   set_machine_fault(event, &Worker::loses_incoming_messages);
 }
 
-// mute MACHINES [for=S]: the worker's heartbeats are lost
+// mute MACHINES [for=S]: the workers' heartbeats are lost
 void ScenarioActions::drop_heartbeats(const ScenarioEvent& event) {
   set_machine_fault(event, &Worker::loses_heartbeats);
 }
@@ -236,17 +238,17 @@
   }
 }
 
-// die MACHINES
+// die MACHINES: removes the machines with all their tasks
 void ScenarioActions::terminate_machines(const ScenarioEvent& event) {
   for (auto* worker : deployment_.select_machines(event.target)) worker->terminate();
 }
 
-// keep MACHINES: a copy of the newest heartbeat
+// keep MACHINES: keeps a copy of each worker's current heartbeat
 void ScenarioActions::keep_heartbeat(const ScenarioEvent& event) {
   for (auto* worker : deployment_.select_machines(event.target)) worker->keep_heartbeat();
 }
 
-// late_report MACHINES [to=HOSTS]: the kept heartbeat arrives now
+// late_report MACHINES [to=HOSTS]: delivers the kept heartbeats now
 void ScenarioActions::redeliver_kept_heartbeat(const ScenarioEvent& event) {
   for (auto* worker : deployment_.select_machines(event.target))
     for (auto& host : deployment_.select_hosts(event.options.text("to", "leader")))
--- a/tests/scenarios/scenario_actions.hpp
+++ b/tests/scenarios/scenario_actions.hpp
@@ -1,5 +1,5 @@
-/// Actions of a scenario: requests of users, and faults of every kind. See the list of verbs in
-/// traces/scenarios/README.
+/// The actions of a scenario: requests of users, and faults. traces/scenarios/README lists the
+/// verbs.
 #pragma once
 #include <functional>
 #include <string>
@@ -9,12 +9,13 @@
 
 namespace damsonport::simulation {
 
+/// Applies the actions of a trace to a deployment and its users.
 class ScenarioActions {
  public:
   ScenarioActions(World& world, const ScenarioPlan& plan, ScenarioDeployment& deployment,
                   ScenarioUsers& users)
       : world_(world), plan_(plan), deployment_(deployment), users_(users) {}
-  /// Begins the action now. False: its verb is not known.
+  /// Starts the action now. Returns false if the verb is unknown.
   [[nodiscard]] bool apply(const ScenarioEvent& event);
 
  private:
@@ -51,7 +52,7 @@
   void keep_heartbeat(const ScenarioEvent& event);
   void redeliver_kept_heartbeat(const ScenarioEvent& event);
 
-  /// Calls `request` for each job that the event names, `every` seconds apart.
+  /// Calls `request` for each job that the event names, at intervals of `every` seconds.
   void for_each_job_at_interval(const ScenarioEvent& event,
                                 const std::function<void(const std::string& job)>& request);
 
--- a/tests/scenarios/scenario_checks.cpp
+++ b/tests/scenarios/scenario_checks.cpp
@@ -46,14 +46,14 @@
   if (!mismatches_.empty()) add_failure("at " + std::to_string(world_.now()) + " " + mismatches_);
 }
 
-// returned N, or returned FROM..TO
+// returned N, or returned FROM..TO: the number of machines returned so far
 void ScenarioChecks::check_machines_returned(const ScenarioEvent& event) {
   const int returned = deployment_.fleet().cloud().returned();
   if (!parse_count_range(event.target).contains(returned))
     add_mismatch(event, event.target + ", but " + std::to_string(returned) + " are returned");
 }
 
-// rented N, or rented FROM..TO
+// rented N, or rented FROM..TO: the number of machines rented so far
 void ScenarioChecks::check_machines_rented(const ScenarioEvent& event) {
   const int rented = deployment_.fleet().cloud().rented();
   if (!parse_count_range(event.target).contains(rented))
@@ -69,7 +69,7 @@
   }
 }
 
-// writes JOBS most=N: of all records of a job
+// writes JOBS most=N: bounds the writes to all records of a job
 void ScenarioChecks::check_writes(const ScenarioEvent& event) {
   for (auto& job : expand_names(event.target)) {
     const int writes = deployment_.record_writes(job);
@@ -78,13 +78,14 @@
   }
 }
 
-// refused_for_size N: requests to the key-value store
+// refused_for_size N: the number of requests to the key-value store
 void ScenarioChecks::check_refused_for_size(const ScenarioEvent& event) {
   const auto refused = std::to_string(deployment_.store().refused_for_size());
   if (refused != event.target) add_mismatch(event, event.target + ", but " + refused + " were");
 }
 
-// served: every job that was accepted and not cancelled
+// served: every accepted job that wasn't cancelled is done or runs, and users get responses about
+// it
 void ScenarioChecks::check_served(const ScenarioEvent& event) {
   for (auto& job : deployment_.fleet().rules().jobs_to_serve())
     check_served_job(event, plan_.jobs.at(job));
@@ -93,7 +94,8 @@
 void ScenarioChecks::check_served_job(const ScenarioEvent& event, const JobSpec& spec) {
   RuleChecker& rules = deployment_.fleet().rules();
   if (spec.kind != JobKind::service) {
-    // Not all users who know of a job ask for its end: what counts is what was done.
+    // Users don't poll every job up to its end, so the check counts completed tasks and not the
+    // status in responses.
     for (uint32_t i = 0; i < spec.tasks; ++i)
       if (!rules.is_done({spec.id, i}))
         add_mismatch(event, spec.id + "/" + std::to_string(i) + " is not done");
@@ -108,7 +110,7 @@
     add_mismatch(event, "nobody answers about " + spec.id);
 }
 
-// running JOBS [tasks=N]
+// running JOBS [tasks=N]: the number of running tasks of each job
 void ScenarioChecks::check_running(const ScenarioEvent& event) {
   for (auto& job : expand_names(event.target)) {
     const int running = deployment_.count_tasks(job).running;
@@ -117,14 +119,14 @@
   }
 }
 
-// gone JOBS: none of their tasks is on a machine
+// gone JOBS: none of the jobs' tasks is on a machine
 void ScenarioChecks::check_gone(const ScenarioEvent& event) {
   for (auto& job : expand_names(event.target))
     if (const int present = deployment_.count_tasks(job).present; present > 0)
       add_mismatch(event, job + ", but " + std::to_string(present) + " are there");
 }
 
-// told JOBS done|aborted: what users were answered last
+// told JOBS done|aborted: the final status in the responses to users
 void ScenarioChecks::check_told(const ScenarioEvent& event) {
   const std::string& status = event.options.first_name();
   for (auto& job : expand_names(event.target))
@@ -132,20 +134,20 @@
       add_mismatch(event, fmt::format("{} {}, but it was not", job, status));
 }
 
-// accepted JOBS
+// accepted JOBS: users got the confirmation of the submission
 void ScenarioChecks::check_accepted(const ScenarioEvent& event) {
   for (auto& job : expand_names(event.target))
     if (!deployment_.fleet().rules().is_accepted(job))
       add_mismatch(event, job + ", but it was not");
 }
 
-// unaccepted JOBS
+// unaccepted JOBS: users got no confirmation of the submission
 void ScenarioChecks::check_unaccepted(const ScenarioEvent& event) {
   for (auto& job : expand_names(event.target))
     if (deployment_.fleet().rules().is_accepted(job)) add_mismatch(event, job + ", but it was");
 }
 
-// shown JOB status=S running=N: to a user who asks the leader now
+// shown JOB status=S running=N: the shard leader's response to a user now
 void ScenarioChecks::check_shown(const ScenarioEvent& event) {
   for (auto* leader : deployment_.select_controllers("leader"))
     users_.request_status(
@@ -158,7 +160,7 @@
         });
 }
 
-// starts JOBS most=N: of their tasks that got as far as their image, failed ones too
+// starts JOBS most=N: bounds the task starts that fetched their image, including those that failed
 void ScenarioChecks::check_starts(const ScenarioEvent& event) {
   for (auto& job : expand_names(event.target)) {
     const int starts = deployment_.fleet().starts(job);
@@ -167,13 +169,13 @@
   }
 }
 
-// late_starts N: of tasks whose job was cancelled before
+// late_starts N: the number of task starts after the confirmed cancellation of their job
 void ScenarioChecks::check_late_starts(const ScenarioEvent& event) {
   const auto starts = std::to_string(deployment_.fleet().rules().starts_after_cancellation());
   if (starts != event.target) add_mismatch(event, event.target + ", but " + starts);
 }
 
-// gang_starts JOBS [times=N]
+// gang_starts JOBS [times=N]: the number of attempts that started to run
 void ScenarioChecks::check_gang_starts(const ScenarioEvent& event) {
   for (auto& job : expand_names(event.target)) {
     const int starts = deployment_.fleet().gangs().starts(job);
@@ -182,7 +184,7 @@
   }
 }
 
-// kept JOBS: no progress was lost
+// kept JOBS: the gangs have lost no progress
 void ScenarioChecks::check_progress_kept(const ScenarioEvent& event) {
   for (auto& job : expand_names(event.target)) {
     const double lost_s = deployment_.fleet().gangs().lost_progress_s(job);
@@ -198,13 +200,13 @@
   return count;
 }
 
-// replicas_ready JOBS [count=N]: as the shard leader claims
+// replicas_ready JOBS [count=N]: the replicas that the shard leader claims to be ready
 void ScenarioChecks::check_replicas_ready(const ScenarioEvent& event) {
   for (auto& job : expand_names(event.target))
     check_replica_count(event, job, replicas_claimed_ready(job));
 }
 
-// replicas_whole JOBS [count=N], or total=N of all the jobs: as they truly are
+// replicas_whole JOBS [count=N], or total=N of all the jobs: the replicas with all parts running
 void ScenarioChecks::check_replicas_whole(const ScenarioEvent& event) {
   const bool only_total = event.options.contains("total");
   uint32_t total = 0;
@@ -223,7 +225,8 @@
     mismatches_ += fmt::format("{} of {}: {}; ", event.verb, job, count);
 }
 
-// replicas_repaired JOBS within=S [count=FROM..TO]
+// replicas_repaired JOBS within=S [count=FROM..TO]: the number of repairs, and their maximum
+// duration
 void ScenarioChecks::check_replicas_repaired(const ScenarioEvent& event) {
   const ReplicaChecker& replicas = deployment_.fleet().rules().replicas();
   const CountRange expected = parse_count_range(event.options.text("count", "1..1000"));
--- a/tests/scenarios/scenario_checks.hpp
+++ b/tests/scenarios/scenario_checks.hpp
@@ -1,4 +1,4 @@
-/// Expectations of a scenario. See the list in traces/scenarios/README.
+/// The expectations of a scenario. traces/scenarios/README lists the verbs.
 #pragma once
 #include <string>
 #include <vector>
@@ -8,15 +8,18 @@
 
 namespace damsonport::simulation {
 
+/// Checks the expectations of a trace and collects the failures.
 class ScenarioChecks {
  public:
   ScenarioChecks(World& world, const ScenarioPlan& plan, ScenarioDeployment& deployment,
                  ScenarioUsers& users)
       : world_(world), plan_(plan), deployment_(deployment), users_(users) {}
-  /// Checks what is expected now, or soon after where a user asks for it.
+  /// Checks an expectation. The check happens now, or with the response if it takes a user's
+  /// request.
   void check(const ScenarioEvent& event);
+  /// Adds a failure that is not a mismatch of an expectation, such as an unknown verb.
   void add_failure(const std::string& text) { failures_.push_back(text); }
-  /// Expectations that were not met so far.
+  /// The expectations that were not met so far.
   const std::vector<std::string>& failures() const { return failures_; }
 
  private:
@@ -57,7 +60,7 @@
   const ScenarioPlan& plan_;
   ScenarioDeployment& deployment_;
   ScenarioUsers& users_;
-  std::string mismatches_;  // of the event that is checked just now
+  std::string mismatches_;  // of the expectation that is being checked
   std::vector<std::string> failures_;
 };
 
--- a/tests/scenarios/scenario_deployment.hpp
+++ b/tests/scenarios/scenario_deployment.hpp
@@ -1,5 +1,5 @@
-/// The deployment of a scenario: whole controllers against the stand-ins of the key-value store,
-/// the cloud and the workers, all in one virtual world.
+/// The deployment of a scenario: real controllers and the simulated key-value store, cloud and
+/// workers, in one virtual world.
 #pragma once
 #include <memory>
 #include <string>
@@ -12,12 +12,15 @@
 
 namespace damsonport::simulation {
 
+/// Owns the controllers and the simulated services of a scenario, and selects them by the names in
+/// a trace.
 class ScenarioDeployment {
  public:
-  /// The plan is read by the start functions below and must outlive the deployment.
+  /// The start functions read the plan, which must outlive the deployment.
   ScenarioDeployment(World& world, ScenarioPlan& plan) : world_(world), plan_(plan) {}
 
-  /// First the stand-ins with the machines that are up, then the controllers.
+  /// Starts the simulated services and the initial machines. The controllers are started
+  /// afterwards.
   void start_simulators();
   void start_controllers();
 
@@ -29,23 +32,26 @@
   }
   size_t index_of(const VirtualController& controller) const;
 
-  /// Controllers that a word of a trace means: n0, leader, others, nodes, all, zone:a; several with
-  /// commas. The leader is the one that the key-value store names now.
+  /// Returns the controllers that a trace names: n0, leader, others, nodes, all or zone:a, or
+  /// several of these separated by commas. `leader` is the controller that the key-value store
+  /// names as shard leader now.
   std::vector<VirtualController*> select_controllers(const std::string& word) const;
-  /// Machines: m1 (the first that was up at the start), machines, zone:a, with:JOB, with:JOB/0.
+  /// Returns the machines that a trace names: m1 (the first initial machine), machines, zone:a,
+  /// with:JOB or with:JOB/0.
   std::vector<Worker*> select_machines(const std::string& word) const;
-  /// Hosts of controllers and machines as above, or state, or cloud.
+  /// Returns the hosts that a trace names: controllers and machines as above, state or cloud.
   std::vector<std::string> select_hosts(const std::string& word) const;
 
   struct TaskCounts {
     int running = 0;
-    int present = 0;  // on their machines in any state but exited
+    int present = 0;  // on a machine and not exited
   };
   TaskCounts count_tasks(const std::string& job) const;
-  /// Changes of the job's records in the key-value store so far.
+  /// The number of changes of the job's records in the key-value store so far.
   int record_writes(const std::string& job) const;
 
-  /// The next `times` changes of records whose key starts like this crash the leader.
+  /// The next `times` changes of records with this key prefix crash the shard leader after
+  /// `after_s` seconds, for `down_s` seconds.
   struct CrashOnWrite {
     std::string key_prefix;
     int times = 0;
@@ -70,7 +76,7 @@
   std::vector<ControllerAddress> controller_addresses_;
   std::vector<std::unique_ptr<VirtualController>> controllers_;
   std::vector<std::string> initial_machines_;  // ids, in the order of the trace
-  std::map<std::string, int> writes_;          // changes of records, by key
+  std::map<std::string, int> writes_;          // number of changes, by key
   CrashOnWrite crash_on_write_;
 };
 
--- a/tests/scenarios/scenario_digest.cpp
+++ b/tests/scenarios/scenario_digest.cpp
@@ -1,10 +1,10 @@
-/// Prints a hash over all traffic of fault scenarios on virtual time: requests, responses and
-/// stream messages as bytes, in order, with their virtual times. Two versions of the program whose
-/// digests are equal behave alike in these scenarios. See tests/README.md.
+/// Prints a hash of all traffic of fault scenarios on virtual time: the bytes of requests,
+/// responses and stream messages in order, with their virtual times. Two versions of the program
+/// with equal digests behave identically in these scenarios. See tests/README.md.
 ///
-///   scenario_digest --list          names of all scenarios, one on a line
-///   scenario_digest NAME [NAME...]  a line "NAME HASH" for each
-///   scenario_digest --log NAME      a line for each message, to find the first that differs
+///   scenario_digest --list          prints the names of all scenarios, one on a line
+///   scenario_digest NAME [NAME...]  prints a line "NAME HASH" for each scenario
+///   scenario_digest --log NAME      prints a line for each message, to find the first difference
 #include <spdlog/spdlog.h>
 
 #include <bit>
@@ -21,12 +21,12 @@
 namespace damsonport::simulation {
 namespace {
 
-constexpr uint64_t random_seed_count = 100;  // of each kind of drawn scenario
+constexpr uint64_t random_seed_count = 100;  // for each kind of random scenario
 constexpr std::string_view random_prefix = "drawn/";
 constexpr std::string_view random_replica_prefix = "drawn-replica/";
 using Lines = std::vector<std::string>;
 
-/// FNV-1a, 64 bits.
+/// A 64-bit FNV-1a hash.
 class TrafficHash {
  public:
   void add(std::string_view bytes) {
@@ -35,7 +35,7 @@
       value_ ^= byte;
       value_ *= prime;
     }
-    // Separates the fields from one another.
+    // The length separates a field from the next one.
     value_ ^= bytes.size();
     value_ *= prime;
   }
--- a/tests/scenarios/scenario_parser.cpp
+++ b/tests/scenarios/scenario_parser.cpp
@@ -122,7 +122,7 @@
   return {};
 }
 
-// announced [rps=N] ...: the limits that the key-value store has after `lower_limits`
+// announced [rps=N] ...: the limits of the key-value store after `lower_limits`
 ScenarioParser::Error ScenarioParser::parse_announced_limits(std::istringstream& line) {
   plan_.announced_store_limits = read_limits(Options::read(line), plan_.store_limits);
   return {};
@@ -156,7 +156,7 @@
   return {};
 }
 
-// machines N type=T zone=Z [spot]: up from the start
+// machines N type=T zone=Z [spot]: machines that are up at the start
 ScenarioParser::Error ScenarioParser::parse_machines(std::istringstream& line) {
   int count = 0;
   line >> count;
@@ -178,7 +178,7 @@
   return {};
 }
 
-// tuning ENTRIES, as in the operators' file
+// tuning ENTRIES: in the syntax of the operators' file
 ScenarioParser::Error ScenarioParser::parse_tuning_entries(std::istringstream& line) {
   auto tuning = parse_tuning("(damsonport " + rest_of(line) + ")");
   if (!tuning) return tuning.error();
@@ -186,7 +186,7 @@
   return {};
 }
 
-// replicas ENTRIES, as in the operators' file
+// replicas ENTRIES: in the syntax of the operators' file
 ScenarioParser::Error ScenarioParser::parse_replica_entries(std::istringstream& line) {
   auto replicas = parse_replicas("(replicas " + rest_of(line) + ")");
   if (!replicas) return replicas.error();
@@ -211,31 +211,31 @@
   return {};
 }
 
-// stored FILE: records that an earlier version has left
+// stored FILE: loads records that an earlier version wrote
 ScenarioParser::Error ScenarioParser::parse_stored_records(std::istringstream& line) {
   line >> plan_.stored_records;
   return {};
 }
 
-// quiet: users don't poll by themselves
+// quiet: users don't poll on their own
 ScenarioParser::Error ScenarioParser::parse_quiet(std::istringstream&) {
   plan_.users_poll = false;
   return {};
 }
 
-// close_looks: users ask all controllers right after each change
+// close_looks: users query all controllers right after each change
 ScenarioParser::Error ScenarioParser::parse_query_after_changes(std::istringstream&) {
   plan_.users_query_after_changes = true;
   return {};
 }
 
-// until SECONDS
+// until SECONDS: the end of the scenario
 ScenarioParser::Error ScenarioParser::parse_end(std::istringstream& line) {
   line >> plan_.end_s;
   return {};
 }
 
-// at SECONDS VERB ..., or at SECONDS expect WHAT ...
+// at SECONDS VERB ..., or at SECONDS expect VERB ...
 ScenarioParser::Error ScenarioParser::parse_action(std::istringstream& line) {
   ScenarioEvent event;
   line >> event.at_s >> event.verb;
@@ -247,7 +247,7 @@
   return {};
 }
 
-// expect WHAT ...: at the end
+// expect VERB ...: an expectation at the end of the scenario
 ScenarioParser::Error ScenarioParser::parse_final_expectation(std::istringstream& line) {
   add_expectation(plan_.end_s, line);
   return {};
--- a/tests/scenarios/scenario_parser.hpp
+++ b/tests/scenarios/scenario_parser.hpp
@@ -1,4 +1,4 @@
-/// Reads the language of the scenario traces. See traces/scenarios/README.
+/// Parses the language of the scenario traces. See traces/scenarios/README.
 #pragma once
 #include <optional>
 #include <sstream>
@@ -8,10 +8,11 @@
 
 namespace damsonport::simulation {
 
+/// Builds the plan of a scenario from the lines of its trace.
 class ScenarioParser {
  public:
   explicit ScenarioParser(ScenarioPlan& plan) : plan_(plan) {}
-  /// Adds one line of a trace to the plan; yields what is wrong with it, if anything is.
+  /// Adds one line of a trace to the plan. Returns an error if the line is invalid.
   [[nodiscard]] std::optional<std::string> parse_line(const std::string& text);
 
  private:
--- a/tests/scenarios/scenario_users.cpp
+++ b/tests/scenarios/scenario_users.cpp
@@ -12,7 +12,7 @@
 constexpr double retry_delay_s = 1;
 constexpr double max_retry_s = 60;
 
-// A job that the deployment can't run, or a submission without one of its fields.
+// A job that the deployment can't run, or a submission without a required field.
 struct InvalidRequest {
   Json submission;
   int expected_status;
@@ -27,7 +27,7 @@
   } else if (kind == 2) {
     submission["dock"] = "nowhere";
   } else {
-    // The field of that number, of those that a message must have.
+    // Removes one required field, chosen by `kind`.
     auto field = submission.begin();
     std::advance(field, kind % static_cast<int>(submission.size()));
     submission.erase(field);
@@ -118,7 +118,7 @@
   const auto request = make_invalid_request(spec, kind);
   send_request(controller, Method::post, "/api/jobs", encode(request.submission), submit_timeout_s,
                [this, kind, expected = request.expected_status](const HttpReply& reply, double) {
-                 // A controller that can't decide yet may ask the user to retry; it never accepts.
+                 // A controller that can't decide yet may ask for a retry, but must not accept.
                  if (reply.status != expected && reply.status != 503 && reply.status != 0)
                    deployment_.fleet().rules().report_violation(
                        "odd request " + std::to_string(kind),
@@ -134,7 +134,7 @@
   deployment_.fleet().rules().on_response(job, reply.status, status, requested_at);
   const bool refused = reply.status >= 300;
   if (!refused) begin_polling(job);
-  // All controllers are asked after the first answer, and after the job's final status.
+  // All controllers are queried after the first response, and after the job's final status.
   const bool is_final = status == "done" || status == "aborted";
   std::string& last_queried_status = last_queried_status_[job];
   if (!plan_.users_query_after_changes || refused || (!is_final && !last_queried_status.empty()) ||
--- a/tests/scenarios/scenario_users.hpp
+++ b/tests/scenarios/scenario_users.hpp
@@ -1,5 +1,5 @@
-/// Users of a scenario, who submit, cancel and ask as the protocol says, and report each answer to
-/// the rule checker.
+/// The users of a scenario. They submit, cancel and poll jobs according to the protocol, and report
+/// each response to the rule checker.
 #pragma once
 #include <functional>
 #include <map>
@@ -10,30 +10,33 @@
 
 namespace damsonport::simulation {
 
+/// Sends the requests of all users. Controllers are given by their index.
 class ScenarioUsers {
  public:
   ScenarioUsers(World& world, const ScenarioPlan& plan, ScenarioDeployment& deployment)
       : world_(world), plan_(plan), deployment_(deployment) {}
 
-  /// Whether a user asks the next controller when one refuses or doesn't answer.
+  /// Whether a user tries the next controller after a refusal or a timeout.
   enum class Retry : uint8_t { no, yes };
-  /// Controllers are given by their index. `since`: when the user began to try.
+  /// Submits or cancels a job. `started_at` is the time of the first try, which bounds the retries.
   void submit(const std::string& job, size_t controller, double started_at, Retry retry);
   void cancel(const std::string& job, size_t controller, double started_at);
+  /// Requests the status of a job once.
   void poll(const std::string& job, size_t controller);
-  /// Polls the job from time to time from now on, unless it is polled already or users are quiet.
+  /// Starts to poll the job periodically, unless it is polled already or the scenario is `quiet`.
   void begin_polling(const std::string& job);
-  /// A request that lacks a field, or a job that can never run; drawn at random.
+  /// Sends a random invalid request: a submission without a field, or a job that can never run.
   void send_invalid_request();
-  /// The state of the job, and how many of its tasks run, as a controller shows them now.
+  /// Requests the job's status and number of running tasks from a controller now, and calls `then`
+  /// with the response.
   void request_status(const std::string& job, size_t controller,
                       std::function<void(const Json& status)> then);
-  /// Draws one of the controllers that run, of those that `via` selects; empty: of all.
+  /// Draws one of the running controllers that `via` selects, or one of all if `via` is empty.
   size_t pick_controller(const std::string& via);
 
  private:
   using OnResponse = std::function<void(const HttpReply&, double requested_at)>;
-  /// After `timeout_s` without an answer, `then` gets a reply with status 0.
+  /// Calls `then` with the response, or with status 0 after `timeout_s` seconds without a response.
   void send_request(size_t controller, Method method, const std::string& path,
                     const std::string& body, double timeout_s, OnResponse then);
   size_t next_controller(size_t controller) const;
@@ -46,7 +49,7 @@
   ScenarioDeployment& deployment_;
   std::set<std::string> polled_jobs_;
   std::map<std::string, std::string>
-      last_queried_status_;  // by job: status after which all were asked
+      last_queried_status_;  // by job; the status after which all controllers were queried
 };
 
 }  // namespace damsonport::simulation
--- a/tests/scenarios/trace_variants.hpp
+++ b/tests/scenarios/trace_variants.hpp
@@ -1,4 +1,4 @@
-/// Names and contents of the kept scenario traces.
+/// Names and contents of the scenario traces.
 #pragma once
 #include <istream>
 #include <string>
@@ -6,14 +6,14 @@
 
 namespace damsonport::simulation {
 
-/// Names of the traces below `trace_dir`/scenarios, sorted.
+/// Returns the names of the traces in `trace_dir`/scenarios, sorted.
 std::vector<std::string> trace_scenarios(const std::string& trace_dir);
 
-/// Path of the trace with this name.
+/// Returns the path of the trace with this name.
 std::string scenario_path(const std::string& trace_dir, const std::string& name);
 
-/// The lines of each variant of a trace: a line `vary NAME 1 2 3` plays the trace once for each
-/// value, put where $NAME stands.
+/// Returns the lines of each variant of a trace. A line `vary NAME 1 2 3` gives one variant for
+/// each value, which replaces $NAME in the other lines.
 std::vector<std::vector<std::string>> trace_variants(std::istream& in);
 
 }  // namespace damsonport::simulation
