--- a/simulation/virtual_network.cpp
+++ b/simulation/virtual_network.cpp
@@ -26,7 +26,7 @@
   }
   void on_due() {
     armed_ = false;
-    // Can still be disarmed until the process goes on.
+    // The timer can still be disarmed until the process resumes.
     if (loop_.stalled()) return schedule(loop_.stalled_until());
     loop_.enter();
     fire_(argument_);  // may destroy the timer
@@ -50,18 +50,18 @@
     if (!*alive_) {
       timeout_s = 0;
     } else {
-      world.ask(host_, to.host, method, std::move(target), std::move(body),
-                [exchange, &loop = loop_, alive = alive_](HttpClientResponse reply) {
-                  if (!*alive) return;
-                  loop.when_awake([exchange, &loop, alive, reply = std::move(reply)] {
-                    if (!*alive || exchange->done) return;
-                    loop.enter();
-                    exchange->reply = reply;
-                    exchange->done = true;
-                    loop.world().cancel(exchange->expiry);
-                    if (exchange->waiter) exchange->waiter.resume();
-                  });
-                });
+      world.send_request(host_, to.host, method, std::move(target), std::move(body),
+                         [exchange, &loop = loop_, alive = alive_](HttpClientResponse reply) {
+                           if (!*alive) return;
+                           loop.when_awake([exchange, &loop, alive, reply = std::move(reply)] {
+                             if (!*alive || exchange->done) return;
+                             loop.enter();
+                             exchange->reply = reply;
+                             exchange->done = true;
+                             loop.world().cancel(exchange->expiry);
+                             if (exchange->waiter) exchange->waiter.resume();
+                           });
+                         });
     }
     Wait wait{loop_, exchange, timeout_s};
     co_await wait;
@@ -116,17 +116,17 @@
         alive_(std::move(alive)) {}
   bool bind(const Endpoint&) override {
     loop_.world().serve(
-        host_, [this](auto& from, Method method, auto& target, auto& body, auto answer) {
-          if (body.size() > max_body_) return answer({413, {}});
-          const auto question = target.find('?');
+        host_, [this](auto& from, Method method, auto& target, auto& body, auto respond) {
+          if (body.size() > max_body_) return respond({413, {}});
+          const auto query_start = target.find('?');
           HttpRequest request{
-              method, target.substr(0, question),
-              question == std::string::npos ? std::string() : target.substr(question + 1), body,
-              previous_answer(from)};
-          loop_.when_awake([this, alive = alive_, from, request, answer = std::move(answer)] {
+              method, target.substr(0, query_start),
+              query_start == std::string::npos ? std::string() : target.substr(query_start + 1),
+              body, previous_response(from)};
+          loop_.when_awake([this, alive = alive_, from, request, respond = std::move(respond)] {
             if (!*alive) return;
             loop_.enter();
-            loop_.spawn("request", handle(from, request, answer, alive));
+            loop_.spawn("request", handle(from, request, respond, alive));
           });
         });
     return true;
@@ -136,19 +136,20 @@
   size_t open_connections() const override { return 0; }
 
  private:
-  // When the connection that `from` names was last answered; 0: it names none, or it never was.
-  double previous_answer(const std::string& from) const {
-    auto it = answered_at_.find(from);
-    return it == answered_at_.end() ? 0 : it->second;
+  // Returns the time of the previous response on the connection that `from` names, or 0 if `from`
+  // names no connection or there was no response.
+  double previous_response(const std::string& from) const {
+    auto it = responded_at_.find(from);
+    return it == responded_at_.end() ? 0 : it->second;
   }
-  Task<void> handle(std::string from, HttpRequest request, World::Answer answer,
+  Task<void> handle(std::string from, HttpRequest request, World::ResponseHandler respond,
                     std::shared_ptr<bool> alive) {
     auto response = co_await handler_(std::move(request));
     if (!*alive) co_return;
-    if (from.find('#') != std::string::npos) answered_at_[from] = loop_.now();
-    answer({response.status, std::move(response.body)});
+    if (from.find('#') != std::string::npos) responded_at_[from] = loop_.now();
+    respond({response.status, std::move(response.body)});
   }
-  std::map<std::string, double> answered_at_;  // by connection
+  std::map<std::string, double> responded_at_;  // by connection
   VirtualLoop& loop_;
   std::string host_;
   size_t max_body_;
@@ -199,7 +200,7 @@
 void VirtualNetwork::end() {
   if (!*alive_) return;
   *alive_ = false;
-  loop_.world().vanish(host_);
+  loop_.world().stop_serving(host_);
   std::erase_if(streams_, [&](auto& stream) { return stream.first.starts_with(host_ + ":"); });
 }
 
--- a/tests/fault_scenario_test.cpp
+++ b/tests/fault_scenario_test.cpp
@@ -22,7 +22,7 @@
  public:
   void format(const spdlog::details::log_msg&, const std::tm&, spdlog::memory_buf_t& out) override {
     if (!shown) return;
-    const auto text = fmt::format("{:9.3f} {}", shown->now(), shown->acting);
+    const auto text = fmt::format("{:9.3f} {}", shown->now(), shown->active_controller);
     out.append(text.data(), text.data() + text.size());
   }
   std::unique_ptr<custom_flag_formatter> clone() const override {
@@ -116,7 +116,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Suite, RandomReplicaScenarios, testing::Range(uint64_t{0}, random_groups));
 
-INSTANTIATE_TEST_SUITE_P(Kept, TraceScenarios, testing::ValuesIn(kept_scenarios(TRACE_DIR)),
+INSTANTIATE_TEST_SUITE_P(Kept, TraceScenarios, testing::ValuesIn(trace_scenarios(TRACE_DIR)),
                          [](auto& test) { return test.param; });
 
 }  // namespace
--- a/tests/regions/region_cluster.cpp
+++ b/tests/regions/region_cluster.cpp
@@ -133,13 +133,14 @@
   world_.in(timeout_s, [replied, next] {
     if (!std::exchange(*replied, true)) next();
   });
-  world_.ask(user_host, regions_[region].controllers[controller_index]->host(), Method::post,
-             "/api/jobs", encode(submission_of(jobs_.at(job))),
-             [this, region, job, sent_at, replied, next](const HttpClientResponse& reply) {
-               if (std::exchange(*replied, true)) return;
-               regions_[region].fleet->rules().on_answer(job, reply.status, "queued", sent_at);
-               if (reply.status != 200 && reply.status != 201) next();
-             });
+  world_.send_request(user_host, regions_[region].controllers[controller_index]->host(),
+                      Method::post, "/api/jobs", encode(submission_of(jobs_.at(job))),
+                      [this, region, job, sent_at, replied, next](const HttpClientResponse& reply) {
+                        if (std::exchange(*replied, true)) return;
+                        regions_[region].fleet->rules().on_response(job, reply.status, "queued",
+                                                                    sent_at);
+                        if (reply.status != 200 && reply.status != 201) next();
+                      });
 }
 
 void RegionCluster::cancel(size_t region, const std::string& job) {
@@ -154,9 +155,9 @@
   world_.in(retry_s, [this, region, job, controller_index, done] {
     if (!*done) send_cancellation(region, job, (controller_index + 1) % options_.controllers);
   });
-  world_.ask(user_host, regions_[region].controllers[controller_index]->host(), Method::post,
-             "/api/jobs/" + job + "/cancel", {},
-             [done](const HttpClientResponse& reply) { *done = reply.status == 200; });
+  world_.send_request(user_host, regions_[region].controllers[controller_index]->host(),
+                      Method::post, "/api/jobs/" + job + "/cancel", {},
+                      [done](const HttpClientResponse& reply) { *done = reply.status == 200; });
 }
 
 int RegionCluster::running(const std::string& job) const {
@@ -252,7 +253,7 @@
   double sum = 0;
   for (auto& [id, worker] : regions_[region].fleet->workers())
     for (auto& [attempt, task] : worker->tasks())
-      if (on_machine(task.report)) sum += jobs_.at(attempt.task.job).gpus;
+      if (occupies_machine(task.report)) sum += jobs_.at(attempt.task.job).gpus;
   return sum;
 }
 
