--- a/tests/load_tool_test.cpp
+++ b/tests/load_tool_test.cpp
@@ -1,14 +1,14 @@
 // The load and experiment tool: its plans, its quantiles, and the check of limits over processes.
 #include <gtest/gtest.h>
 
-#include "experiment.hpp"
+#include "experiment_plan.hpp"
 #include "results.hpp"
-#include "team_use.hpp"
+#include "team_usage.hpp"
 
 namespace damsonport::loadtest {
 namespace {
 
-const std::string whole = R"(
+const std::string complete_plan = R"(
 title = "t"
 seconds = 60
 [regions]
@@ -38,13 +38,13 @@
 other = 1
 )";
 
-TEST(Experiment, ParsesCompletePlan) {
-  auto plan = parse_experiment(whole);
+TEST(ExperimentPlan, ParsesCompletePlan) {
+  auto plan = parse_plan(complete_plan);
   ASSERT_TRUE(plan) << plan.error();
   EXPECT_EQ(plan->controllers, (std::vector<size_t>{2, 1}));
   EXPECT_EQ(plan->workers, (std::vector<int>{100, 100}));
   EXPECT_EQ(plan->settings.teams.size(), 3u);
-  EXPECT_EQ(plan->processes(), 1 + 2 * 2 + 3 + 1);
+  EXPECT_EQ(plan->process_count(), 1 + 2 * 2 + 3 + 1);
   ASSERT_EQ(plan->loads.size(), 1u);
   EXPECT_FALSE(plan->loads[0].service);
   EXPECT_EQ(plan->loads[0].regions, std::vector<size_t>{1});
@@ -52,14 +52,14 @@
   EXPECT_EQ(plan->faults[0].kind, FaultKind::cut_regions);
 }
 
-std::string replaced(const std::string& what, const std::string& with) {
-  std::string text = whole;
-  text.replace(text.find(what), what.size(), with);
+std::string replaced(const std::string& old_text, const std::string& new_text) {
+  std::string text = complete_plan;
+  text.replace(text.find(old_text), old_text.size(), new_text);
   return text;
 }
 
-TEST(Experiment, ParseErrorNamesField) {
-  const std::pair<std::string, std::string> bad[] = {
+TEST(ExperimentPlan, ParseErrorNamesField) {
+  const std::pair<std::string, std::string> cases[] = {
       {replaced("seconds = 60", ""), "seconds: is missing"},
       {replaced("seconds = 60", "seconds = -1"), "seconds: must be a number from 1"},
       {replaced("controllers = [2, 1]", "controllers = [2]"), "regions.controllers: must have"},
@@ -69,29 +69,29 @@
       {replaced("\"cut_regions\"", "\"flood\""), "fault[0].kind: must be one of"},
       {replaced("[[machine]]", "[[engine]]"), "machine: is missing"},
       {replaced("title = \"t\"", "title ="), "line 2"}};
-  for (auto& [text, complaint] : bad) {
-    auto plan = parse_experiment(text);
-    ASSERT_FALSE(plan) << complaint;
-    EXPECT_NE(plan.error().find(complaint), std::string::npos) << plan.error();
+  for (auto& [text, expected_error] : cases) {
+    auto plan = parse_plan(text);
+    ASSERT_FALSE(plan) << expected_error;
+    EXPECT_NE(plan.error().find(expected_error), std::string::npos) << plan.error();
   }
 }
 
-TEST(Experiment, ParsesJobCountOfFault) {
+TEST(ExperimentPlan, ParsesJobCountOfFault) {
   const auto plan =
-      parse_experiment(replaced("kind = \"cut_regions\"", "kind = \"cancel_jobs\"\ncount = 2000"));
+      parse_plan(replaced("kind = \"cut_regions\"", "kind = \"cancel_jobs\"\ncount = 2000"));
   ASSERT_TRUE(plan) << plan.error();
   EXPECT_EQ(plan->faults[0].kind, FaultKind::cancel_jobs);
   EXPECT_EQ(plan->faults[0].count, 2000u);
 }
 
-TEST(Experiment, RejectsPlanOverResourceLimits) {
-  auto plan = parse_experiment("max_memory_mb = 100\n" + whole);
+TEST(ExperimentPlan, RejectsPlanOverResourceLimits) {
+  auto plan = parse_plan("max_memory_mb = 100\n" + complete_plan);
   ASSERT_FALSE(plan);
   EXPECT_NE(plan.error().find("of memory, of 100"), std::string::npos) << plan.error();
-  plan = parse_experiment("max_processes = 8\n" + whole);
+  plan = parse_plan("max_processes = 8\n" + complete_plan);
   ASSERT_FALSE(plan);
   EXPECT_NE(plan.error().find("9 processes, of 8"), std::string::npos) << plan.error();
-  plan = parse_experiment("max_processes = 201\n" + whole);
+  plan = parse_plan("max_processes = 201\n" + complete_plan);
   ASSERT_FALSE(plan) << "the bound itself is bounded";
 }
 
@@ -110,27 +110,27 @@
   Results results;
   const Json waits = {
       {"urgent", {{10.0, 0.5}, {19.5, 0.25}, {19.5, 3.0}, {21.0, 1.0}, {30.0, 0.5}}}};
-  results.regions = {{{"waits", waits}}, {{"waits", waits}}};
+  results.region_reports = {{{"waits", waits}}, {{"waits", waits}}};
   FaultRecord killed, outage, cut;
-  killed.at_s = 20, killed.without_holder_s = 2;
+  killed.at_s = 20, killed.without_shard_leader_s = 2;
   outage.at_s = 29, outage.outage_s = 5, outage.region = 1;
   cut.at_s = 10;
   results.faults = {killed, outage, cut};
-  EXPECT_EQ(waits_of(results, WaitsOf::all)["urgent"].size(), 10u);
-  EXPECT_EQ(waits_of(results, WaitsOf::outside_spells)["urgent"],
+  EXPECT_EQ(start_waits(results, WaitFilter::all)["urgent"].size(), 10u);
+  EXPECT_EQ(start_waits(results, WaitFilter::excluding_outages)["urgent"],
             (std::vector<float>{0.5, 0.25, 0.5, 0.5, 0.25, 3.0, 1.0}));
 }
 
-TEST(TeamUse, SumsAndTracksPeak) {
-  TeamUse use(2);
-  use.add(1, 2, 1.5);
-  const auto sum = use.add(1, 4, 0.5);
+TEST(TeamUsage, SumsAndTracksPeak) {
+  TeamUsage usage(2);
+  usage.add(1, 2, 1.5);
+  const auto sum = usage.add(1, 4, 0.5);
   EXPECT_DOUBLE_EQ(sum.cpus, 6);
   EXPECT_DOUBLE_EQ(sum.gpus, 2);
-  use.add(1, -6, -2);
-  EXPECT_DOUBLE_EQ(use.peak(1).cpus, 6);
-  EXPECT_DOUBLE_EQ(use.add(1, 0, 0).cpus, 0);
-  EXPECT_DOUBLE_EQ(use.peak(0).cpus, 0);
+  usage.add(1, -6, -2);
+  EXPECT_DOUBLE_EQ(usage.peak(1).cpus, 6);
+  EXPECT_DOUBLE_EQ(usage.add(1, 0, 0).cpus, 0);
+  EXPECT_DOUBLE_EQ(usage.peak(0).cpus, 0);
 }
 
 }  // namespace
--- a/tools/loadtest/addresses.hpp
+++ b/tools/loadtest/addresses.hpp
@@ -7,10 +7,10 @@
 
 namespace damsonport::loadtest::addresses {
 
-inline constexpr uint16_t state_port = 2379, cloud_port = 8443, api_port = 8080, peer_port = 8081,
-                          region_port = 8082;
+inline constexpr uint16_t key_value_store_port = 2379, cloud_port = 8443, api_port = 8080,
+                          peer_port = 8081, region_port = 8082;
 
-inline std::string state(size_t region) { return fmt::format("127.{}.0.1", 10 + region); }
+inline std::string key_value_store(size_t region) { return fmt::format("127.{}.0.1", 10 + region); }
 inline std::string cloud(size_t region) { return fmt::format("127.{}.0.2", 10 + region); }
 inline std::string controller(size_t region, size_t n) {
   return fmt::format("127.{}.1.{}", 10 + region, n + 1);
--- a/tools/loadtest/child_process.cpp
+++ b/tools/loadtest/child_process.cpp
@@ -23,7 +23,7 @@
 }
 
 // Appends what can be read now; false at the end of the stream.
-bool read_some(int fd, std::string& buffer) {
+bool read_available(int fd, std::string& buffer) {
   char block[65536];
   for (;;) {
     const ssize_t n = read(fd, block, sizeof block);
@@ -46,10 +46,10 @@
 
 }  // namespace
 
-void ParentChannel::tell(const Json& message) const { write_line(messages_fd_, message); }
+void ParentChannel::send(const Json& message) const { write_line(messages_fd_, message); }
 
 bool ParentChannel::read_commands(const std::function<void(const Json&)>& on_command) {
-  const bool open = read_some(commands_fd_, buffer_);
+  const bool open = read_available(commands_fd_, buffer_);
   for (auto& command : take_lines(buffer_)) on_command(command);
   return open;
 }
@@ -84,10 +84,10 @@
   close(messages_fd_);
 }
 
-void ChildProcess::tell(const Json& command) const { write_line(commands_fd_, command); }
+void ChildProcess::send(const Json& command) const { write_line(commands_fd_, command); }
 
 std::vector<Json> ChildProcess::messages() {
-  read_some(messages_fd_, buffer_);
+  read_available(messages_fd_, buffer_);
   return take_lines(buffer_);
 }
 
--- a/tools/loadtest/child_process.hpp
+++ b/tools/loadtest/child_process.hpp
@@ -16,7 +16,7 @@
  public:
   ParentChannel(int commands_fd, int messages_fd)
       : commands_fd_(commands_fd), messages_fd_(messages_fd) {}
-  void tell(const Json& message) const;
+  void send(const Json& message) const;
   int commands_fd() const { return commands_fd_; }
   // Reads what has come; false when the parent is gone.
   bool read_commands(const std::function<void(const Json&)>& on_command);
@@ -37,7 +37,7 @@
 
   const std::string& name() const { return name_; }
   pid_t pid() const { return pid_; }
-  void tell(const Json& command) const;
+  void send(const Json& command) const;
   // What has come since the last call; doesn't wait.
   std::vector<Json> messages();
   void kill();
--- a/tools/loadtest/controllers.cpp
+++ b/tools/loadtest/controller_processes.cpp
@@ -1,4 +1,4 @@
-#include "controllers.hpp"
+#include "controller_processes.hpp"
 
 #include <fcntl.h>
 #include <signal.h>
@@ -32,8 +32,8 @@
 
 }  // namespace
 
-ProcessFigures read_figures(pid_t pid) {
-  ProcessFigures out;
+ProcessUsage read_process_usage(pid_t pid) {
+  ProcessUsage out;
   std::ifstream stat(fmt::format("/proc/{}/stat", pid));
   std::string text;
   if (!std::getline(stat, text)) return out;
@@ -54,53 +54,56 @@
   return out;
 }
 
-Controllers::Controllers(const Experiment& plan, std::string directory, std::string program)
+ControllerProcesses::ControllerProcesses(const ExperimentPlan& plan, std::string directory,
+                                         std::string program)
     : plan_(plan), directory_(std::move(directory)), program_(std::move(program)) {
   if (!plan.settings.replicas.classes.empty()) write_replicas();
   for (size_t r = 0; r < plan.regions; ++r) {
     if (plan.regions > 1 && plan.divide_limits) write_regions(r);
     for (size_t n = 0; n < plan.controllers[r]; ++n) {
-      One one;
-      one.name = addresses::controller_name(r, n);
-      one.region = r;
-      one.host = addresses::controller(r, n);
-      write_settings(one, n);
-      all_.push_back(std::move(one));
+      Process process;
+      process.name = addresses::controller_name(r, n);
+      process.region = r;
+      process.host = addresses::controller(r, n);
+      write_settings(process, n);
+      processes_.push_back(std::move(process));
     }
   }
 }
 
-Controllers::~Controllers() {
-  for (auto& one : all_) kill(one);
+ControllerProcesses::~ControllerProcesses() {
+  for (auto& process : processes_) kill(process);
 }
 
-std::string Controllers::path(const One& one, const char* ending) const {
-  return directory_ + "/" + one.name + ending;
+std::string ControllerProcesses::path(const Process& process, const char* ending) const {
+  return directory_ + "/" + process.name + ending;
 }
 
-void Controllers::write_settings(const One& one, size_t n) const {
+void ControllerProcesses::write_settings(const Process& process, size_t n) const {
   const auto& s = plan_.settings;
   toml::array zones, teams, known;
-  for (size_t z = 0; z < plan_.zones; ++z) zones.push_back(addresses::zone_name(one.region, z));
+  for (size_t z = 0; z < plan_.zones; ++z) zones.push_back(addresses::zone_name(process.region, z));
   for (auto& team : s.teams) teams.push_back(team_table(team));
-  const size_t count = plan_.controllers[one.region];
+  const size_t count = plan_.controllers[process.region];
   for (size_t other = 0; other < count; ++other) {
     if (other == n) continue;
     known.push_back(toml::table{
-        {"node_name", addresses::controller_name(one.region, other)},
-        {"location", addresses::zone_name(one.region, other % plan_.zones)},
-        {"endpoint", endpoint(addresses::controller(one.region, other), addresses::peer_port)}});
+        {"node_name", addresses::controller_name(process.region, other)},
+        {"location", addresses::zone_name(process.region, other % plan_.zones)},
+        {"endpoint",
+         endpoint(addresses::controller(process.region, other), addresses::peer_port)}});
   }
   const auto& limits = s.state_limits.present();
   const toml::table root{
-      {"node_name", one.name},
-      {"location", addresses::zone_name(one.region, n % plan_.zones)},
-      {"listen", endpoint(one.host, addresses::api_port)},
-      {"mesh_addr", endpoint(one.host, addresses::peer_port)},
+      {"node_name", process.name},
+      {"location", addresses::zone_name(process.region, n % plan_.zones)},
+      {"listen", endpoint(process.host, addresses::api_port)},
+      {"mesh_addr", endpoint(process.host, addresses::peer_port)},
       {"known", std::move(known)},
       {"endpoints",
-       toml::table{{"cloud", endpoint(addresses::cloud(one.region), addresses::cloud_port)},
-                   {"state", endpoint(addresses::state(one.region), addresses::state_port)}}},
+       toml::table{{"cloud", endpoint(addresses::cloud(process.region), addresses::cloud_port)},
+                   {"state", endpoint(addresses::key_value_store(process.region),
+                                      addresses::key_value_store_port)}}},
       {"deployment",
        toml::table{{"initial_size", static_cast<int64_t>(count)},
                    {"zones", std::move(zones)},
@@ -115,16 +118,16 @@
                                          {"txn_ops", limits.txn_writes}}},
                    {"cloud", toml::table{{"rps", s.cloud_rps}, {"list_lag_s", s.list_lag_s}}},
                    {"resources", toml::table{{"max_sockets", s.max_sockets}}}}}};
-  std::ofstream(path(one, ".toml")) << root << "\n";
+  std::ofstream(path(process, ".toml")) << root << "\n";
 }
 
-bool Controllers::knows_replicas(size_t region) const {
-  return plan_.replicas_in_force[region] && !plan_.settings.replicas.classes.empty();
+bool ControllerProcesses::gets_replicas_file(size_t region) const {
+  return plan_.replica_policies_enabled[region] && !plan_.settings.replicas.classes.empty();
 }
 
-std::string Controllers::replicas_path() const { return directory_ + "/replicas.sexp"; }
+std::string ControllerProcesses::replicas_path() const { return directory_ + "/replicas.sexp"; }
 
-void Controllers::write_replicas() const {
+void ControllerProcesses::write_replicas() const {
   std::ofstream out(replicas_path());
   out << "(replicas";
   for (auto& policy : plan_.settings.replicas.classes)
@@ -137,7 +140,7 @@
 }
 
 // Controllers of other regions are found by way of the link.
-void Controllers::write_regions(size_t region) const {
+void ControllerProcesses::write_regions(size_t region) const {
   std::ofstream out(fmt::format("{}/{}.regions", directory_, addresses::region_name(region)));
   out << "(regions\n";
   for (size_t r = 0; r < plan_.regions; ++r) {
@@ -155,9 +158,10 @@
   out << ")\n";
 }
 
-void Controllers::start(One& one) {
-  const auto settings = path(one, ".toml"), log = path(one, ".log");
-  const auto regions = fmt::format("{}/{}.regions", directory_, addresses::region_name(one.region));
+void ControllerProcesses::start(Process& process) {
+  const auto settings = path(process, ".toml"), log = path(process, ".log");
+  const auto regions =
+      fmt::format("{}/{}.regions", directory_, addresses::region_name(process.region));
   const pid_t pid = fork();
   if (pid < 0) throw std::runtime_error("no process is to be had");
   if (pid == 0) {
@@ -166,7 +170,8 @@
     dup2(fd, STDERR_FILENO);
     std::vector<std::string> words{program_, "--config", settings};
     if (plan_.regions > 1 && plan_.divide_limits) words.insert(words.end(), {"--regions", regions});
-    if (knows_replicas(one.region)) words.insert(words.end(), {"--replicas", replicas_path()});
+    if (gets_replicas_file(process.region))
+      words.insert(words.end(), {"--replicas", replicas_path()});
     std::vector<char*> arguments;
     arguments.reserve(words.size() + 1);
     for (auto& word : words) arguments.push_back(word.data());
@@ -174,42 +179,43 @@
     execv(program_.c_str(), arguments.data());
     _exit(127);
   }
-  one.pid = pid;
+  process.pid = pid;
 }
 
-void Controllers::kill(One& one) {
-  if (one.pid == 0) return;
-  one.ended_cpu_s += read_figures(one.pid).cpu_s();
-  ::kill(one.pid, SIGKILL);
-  waitpid(one.pid, nullptr, 0);
-  one.pid = 0;
+void ControllerProcesses::kill(Process& process) {
+  if (process.pid == 0) return;
+  process.previous_runs_cpu_s += read_process_usage(process.pid).cpu_s();
+  ::kill(process.pid, SIGKILL);
+  waitpid(process.pid, nullptr, 0);
+  process.pid = 0;
 }
 
-void Controllers::signal(const One& one, int number) {
-  if (one.pid != 0) ::kill(one.pid, number);
+void ControllerProcesses::signal(const Process& process, int number) {
+  if (process.pid != 0) ::kill(process.pid, number);
 }
 
-std::vector<Controllers::One*> Controllers::find(size_t region, const std::string& name) {
-  std::vector<One*> out;
-  for (auto& one : all_)
-    if (one.region == region && (name.empty() || one.name == name)) out.push_back(&one);
+std::vector<ControllerProcesses::Process*> ControllerProcesses::find(size_t region,
+                                                                     const std::string& name) {
+  std::vector<Process*> out;
+  for (auto& process : processes_)
+    if (process.region == region && (name.empty() || process.name == name)) out.push_back(&process);
   return out;
 }
 
-int Controllers::restart_ended(double now) {
+int ControllerProcesses::restart_exited(double now) {
   constexpr double restart_pause_s = 2;
   int ended = 0;
-  for (auto& one : all_) {
-    if (one.pid == 0 || waitpid(one.pid, nullptr, WNOHANG) != one.pid) continue;
-    spdlog::error("{} has ended by itself; its log: {}", one.name, path(one, ".log"));
-    one.pid = 0;
-    one.restart_at = now + restart_pause_s;
+  for (auto& process : processes_) {
+    if (process.pid == 0 || waitpid(process.pid, nullptr, WNOHANG) != process.pid) continue;
+    spdlog::error("{} has ended by itself; its log: {}", process.name, path(process, ".log"));
+    process.pid = 0;
+    process.restart_at = now + restart_pause_s;
     ++ended;
   }
-  for (auto& one : all_) {
-    if (one.restart_at == 0 || one.restart_at > now) continue;
-    one.restart_at = 0;
-    start(one);
+  for (auto& process : processes_) {
+    if (process.restart_at == 0 || process.restart_at > now) continue;
+    process.restart_at = 0;
+    start(process);
   }
   return ended;
 }
--- a/tools/loadtest/emulator_loop.hpp
+++ b/tools/loadtest/emulator_loop.hpp
@@ -21,13 +21,13 @@
   void finish() { event_base_loopbreak(loop_.base()); }
 
  private:
-  void read();
+  void read_commands();
   ParentChannel& parent_;
   std::function<void(const Json&)> on_command_;
   std::function<void()> every_second_;
   EventLoop loop_;
-  event* commands_;
-  event* second_ = nullptr;
+  event* commands_event_;
+  event* second_timer_ = nullptr;
 };
 
 }  // namespace damsonport::loadtest
--- a/tools/loadtest/emulator.hpp
+++ b/tools/loadtest/emulator_processes.hpp
@@ -2,16 +2,16 @@
 // once a second, and once more at the end with all that it has measured.
 #pragma once
 #include "child_process.hpp"
-#include "experiment.hpp"
-#include "team_use.hpp"
+#include "experiment_plan.hpp"
+#include "team_usage.hpp"
 
 namespace damsonport::loadtest {
 
 // One region's state service. Reports each change of the holder, and at the end the budgets.
-void run_state_service(const Experiment& plan, size_t region, ParentChannel& parent);
+void run_key_value_store(const ExperimentPlan& plan, size_t region, ParentChannel& parent);
 // One region's cloud, hollow workers and users.
-void run_region(const Experiment& plan, size_t region, TeamUse& use, ParentChannel& parent);
+void run_region(const ExperimentPlan& plan, size_t region, TeamUsage& usage, ParentChannel& parent);
 // The network between regions: delays, cuts, and counts bytes.
-void run_links(const Experiment& plan, ParentChannel& parent);
+void run_region_links(const ExperimentPlan& plan, ParentChannel& parent);
 
 }  // namespace damsonport::loadtest
--- a/tools/loadtest/experiment.hpp
+++ b/tools/loadtest/experiment_plan.hpp
@@ -27,24 +27,24 @@
 };
 
 enum class FaultKind : uint8_t {
-  kill_holder,   // of a region; started again after `for_s`
-  kill_region,   // all its controllers
-  pause_holder,  // stopped by a signal, and continued
-  cut_regions,   // nothing passes between two regions' controllers
-  hang_zone,     // the workers of one zone stand still
-  state_outage,  // of a region's state service
-  cancel_jobs,   // users call off so many running services within a second
-  kill_machines  // so many, drawn from those with parts of replicas, are lost
+  kill_shard_leader,       // of a region; started again after `for_s`
+  kill_region,             // all its controllers
+  pause_shard_leader,      // stopped by a signal, and continued
+  cut_regions,             // nothing passes between two regions' controllers
+  hang_zone,               // the workers of one zone stand still
+  key_value_store_outage,  // of a region's state service
+  cancel_jobs,             // users call off so many running services within a second
+  kill_machines            // so many, drawn from those with parts of replicas, are lost
 };
 
 struct Fault {
-  FaultKind kind = FaultKind::kill_holder;
+  FaultKind kind = FaultKind::kill_shard_leader;
   double at_s = 0, for_s = 5;
-  size_t region = 0, other = 0, zone = 0;
+  size_t region = 0, other_region = 0, zone = 0;
   size_t count = 0;  // jobs
 };
 
-struct Experiment {
+struct ExperimentPlan {
   std::string title;
   double seconds = 60;
   double warmup_s = 20;  // figures are taken after it
@@ -68,15 +68,15 @@
   std::vector<Fault> faults;
   // By region: whether the controllers are told of the classes whose replicas have several parts.
   // Where they aren't, what becomes of the parts is only measured.
-  std::vector<bool> replicas_in_force;
+  std::vector<bool> replica_policies_enabled;
 
-  int processes() const;
+  int process_count() const;
   // A generous estimate, from the sizes measured.
   double estimated_memory_mb() const;
 };
 
 // Errors name the field.
-Result<Experiment> parse_experiment(const std::string& toml_text);
-Result<Experiment> load_experiment(const std::string& path);
+Result<ExperimentPlan> parse_plan(const std::string& toml_text);
+Result<ExperimentPlan> load_plan(const std::string& path);
 
 }  // namespace damsonport::loadtest
--- a/tools/loadtest/experiment_run.cpp
+++ b/tools/loadtest/experiment_run.cpp
@@ -8,13 +8,13 @@
 #include <algorithm>
 
 #include "addresses.hpp"
-#include "emulator.hpp"
+#include "emulator_processes.hpp"
 
 namespace damsonport::loadtest {
 
 namespace {
 
-constexpr double step_s = 0.05, progress_every_s = 5, finish_patience_s = 30;
+constexpr double poll_interval_s = 0.05, progress_interval_s = 5, final_message_timeout_s = 30;
 
 // Of the clock that all processes share.
 double steady_now() {
@@ -25,52 +25,52 @@
 
 }  // namespace
 
-ExperimentRun::ExperimentRun(const Experiment& plan, const std::string& directory,
+ExperimentRun::ExperimentRun(const ExperimentPlan& plan, const std::string& directory,
                              const std::string& program, std::ostream& progress)
-    : plan_(plan), progress_(progress), use_(plan.settings.teams.size()) {
-  controllers_ = std::make_unique<Controllers>(plan, directory, program);
-  holders_.resize(plan.regions);
-  region_seconds_.resize(plan.regions);
-  results_.regions.resize(plan.regions);
-  results_.states.resize(plan.regions);
+    : plan_(plan), progress_(progress), team_usage_(plan.settings.teams.size()) {
+  controllers_ = std::make_unique<ControllerProcesses>(plan, directory, program);
+  shard_leaders_.resize(plan.regions);
+  latest_region_reports_.resize(plan.regions);
+  results_.region_reports.resize(plan.regions);
+  results_.key_value_store_reports.resize(plan.regions);
   results_.region_roles.resize(plan.regions);
 }
 
-double ExperimentRun::elapsed() const { return steady_now() - begun_; }
+double ExperimentRun::elapsed() const { return steady_now() - started_at_; }
 
 void ExperimentRun::start_all() {
-  begun_ = steady_now();
+  started_at_ = steady_now();
   for (size_t r = 0; r < plan_.regions; ++r)
-    states_.push_back(std::make_unique<ChildProcess>(
+    key_value_stores_.push_back(std::make_unique<ChildProcess>(
         fmt::format("state service {}", r),
-        [this, r](ParentChannel& parent) { run_state_service(plan_, r, parent); }));
+        [this, r](ParentChannel& parent) { run_key_value_store(plan_, r, parent); }));
   if (plan_.regions > 1)
-    links_ = std::make_unique<ChildProcess>(
-        "links", [this](ParentChannel& parent) { run_links(plan_, parent); });
+    region_links_ = std::make_unique<ChildProcess>(
+        "links", [this](ParentChannel& parent) { run_region_links(plan_, parent); });
   for (size_t r = 0; r < plan_.regions; ++r)
     region_processes_.push_back(std::make_unique<ChildProcess>(
         fmt::format("site {}", r),
-        [this, r](ParentChannel& parent) { run_region(plan_, r, use_, parent); }));
-  for (auto& one : controllers_->all()) controllers_->start(one);
+        [this, r](ParentChannel& parent) { run_region(plan_, r, team_usage_, parent); }));
+  for (auto& process : controllers_->all()) controllers_->start(process);
 }
 
 // --- faults
 
 std::string ExperimentRun::describe(const Fault& fault) const {
   switch (fault.kind) {
-    case FaultKind::kill_holder:
+    case FaultKind::kill_shard_leader:
       return fmt::format("holder of region {} killed", fault.region);
     case FaultKind::kill_region:
       return fmt::format("all controllers of region {} killed", fault.region);
-    case FaultKind::pause_holder:
+    case FaultKind::pause_shard_leader:
       return fmt::format("holder of region {} stopped for {:.0f} s", fault.region, fault.for_s);
     case FaultKind::cut_regions:
-      return fmt::format("regions {} and {} cut for {:.0f} s", fault.region, fault.other,
+      return fmt::format("regions {} and {} cut for {:.0f} s", fault.region, fault.other_region,
                          fault.for_s);
     case FaultKind::hang_zone:
       return fmt::format("zone {} of region {} hangs for {:.0f} s", fault.zone, fault.region,
                          fault.for_s);
-    case FaultKind::state_outage:
+    case FaultKind::key_value_store_outage:
       return fmt::format("state service of region {} out for {:.0f} s", fault.region, fault.for_s);
     case FaultKind::kill_machines:
       return fmt::format("{} machines of region {} lost", fault.count, fault.region);
@@ -80,111 +80,113 @@
   return {};
 }
 
-void ExperimentRun::kill_controllers(std::vector<Controllers::One*> victims,
-                                     const std::string& what, double for_s) {
-  for (auto* one : victims) controllers_->kill(*one);
-  const size_t region = victims.empty() ? 0 : victims.front()->region;
-  if (!victims.empty()) open_fault_[region] = results_.faults.size();
-  results_.faults.push_back({what, elapsed(), -1, region, 0});
-  faults_.push_back({elapsed() + for_s, [this, victims] {
-                       for (auto* one : victims) controllers_->start(*one);
-                     }});
+void ExperimentRun::kill_controllers(std::vector<ControllerProcesses::Process*> targets,
+                                     const std::string& description, double for_s) {
+  for (auto* process : targets) controllers_->kill(*process);
+  const size_t region = targets.empty() ? 0 : targets.front()->region;
+  if (!targets.empty()) unresolved_faults_[region] = results_.faults.size();
+  results_.faults.push_back({description, elapsed(), -1, region, 0});
+  scheduled_actions_.push_back({elapsed() + for_s, [this, targets] {
+                                  for (auto* process : targets) controllers_->start(*process);
+                                }});
 }
 
-void ExperimentRun::plan_fault(const Fault& fault) {
-  const auto what = describe(fault);
-  auto note = [this, &fault, what] {
-    const double outage_s = fault.kind == FaultKind::state_outage ? fault.for_s : 0;
-    results_.faults.push_back({what, elapsed(), -1, fault.region, outage_s});
+void ExperimentRun::inject_fault(const Fault& fault) {
+  const auto description = describe(fault);
+  auto record_fault = [this, &fault, description] {
+    const double outage_s = fault.kind == FaultKind::key_value_store_outage ? fault.for_s : 0;
+    results_.faults.push_back({description, elapsed(), -1, fault.region, outage_s});
   };
-  auto later = [this, fault](std::function<void()> act) {
-    faults_.push_back({elapsed() + fault.for_s, std::move(act)});
+  auto schedule_end = [this, fault](std::function<void()> action) {
+    scheduled_actions_.push_back({elapsed() + fault.for_s, std::move(action)});
   };
   switch (fault.kind) {
-    case FaultKind::kill_holder:
-      return kill_controllers(controllers_->find(fault.region, holders_[fault.region]), what,
-                              fault.for_s);
+    case FaultKind::kill_shard_leader:
+      return kill_controllers(controllers_->find(fault.region, shard_leaders_[fault.region]),
+                              description, fault.for_s);
     case FaultKind::kill_region:
-      return kill_controllers(controllers_->find(fault.region), what, fault.for_s);
-    case FaultKind::pause_holder: {
-      auto victims = controllers_->find(fault.region, holders_[fault.region]);
-      for (auto* one : victims) controllers_->signal(*one, SIGSTOP);
-      open_fault_[fault.region] = results_.faults.size();
-      note();
-      return later([this, victims] {
-        for (auto* one : victims) controllers_->signal(*one, SIGCONT);
+      return kill_controllers(controllers_->find(fault.region), description, fault.for_s);
+    case FaultKind::pause_shard_leader: {
+      auto targets = controllers_->find(fault.region, shard_leaders_[fault.region]);
+      for (auto* process : targets) controllers_->signal(*process, SIGSTOP);
+      unresolved_faults_[fault.region] = results_.faults.size();
+      record_fault();
+      return schedule_end([this, targets] {
+        for (auto* process : targets) controllers_->signal(*process, SIGCONT);
       });
     }
     case FaultKind::cut_regions:
-      links_->tell({{"do", "cut"}, {"a", fault.region}, {"b", fault.other}, {"on", true}});
-      note();
-      return later([this, fault] {
-        links_->tell({{"do", "cut"}, {"a", fault.region}, {"b", fault.other}, {"on", false}});
+      region_links_->send(
+          {{"do", "cut"}, {"a", fault.region}, {"b", fault.other_region}, {"on", true}});
+      record_fault();
+      return schedule_end([this, fault] {
+        region_links_->send(
+            {{"do", "cut"}, {"a", fault.region}, {"b", fault.other_region}, {"on", false}});
       });
     case FaultKind::hang_zone:
-      region_processes_[fault.region]->tell(
+      region_processes_[fault.region]->send(
           {{"do", "hang"}, {"zone", fault.zone}, {"for", fault.for_s}});
-      return note();
+      return record_fault();
     case FaultKind::kill_machines:
-      region_processes_[fault.region]->tell({{"do", "kill_machines"}, {"count", fault.count}});
-      return note();
+      region_processes_[fault.region]->send({{"do", "kill_machines"}, {"count", fault.count}});
+      return record_fault();
     case FaultKind::cancel_jobs:
-      region_processes_[fault.region]->tell({{"do", "cancel"}, {"count", fault.count}});
-      return note();
-    case FaultKind::state_outage:
-      states_[fault.region]->tell({{"do", "outage"}, {"on", true}});
-      note();
-      return later([this, fault] {
-        states_[fault.region]->tell({{"do", "outage"}, {"on", false}});
+      region_processes_[fault.region]->send({{"do", "cancel"}, {"count", fault.count}});
+      return record_fault();
+    case FaultKind::key_value_store_outage:
+      key_value_stores_[fault.region]->send({{"do", "outage"}, {"on", true}});
+      record_fault();
+      return schedule_end([this, fault] {
+        key_value_stores_[fault.region]->send({{"do", "outage"}, {"on", false}});
       });
   }
 }
 
-void ExperimentRun::plan_faults() {
+void ExperimentRun::schedule_faults() {
   for (auto& fault : plan_.faults)
-    faults_.push_back({fault.at_s, [this, &fault] { plan_fault(fault); }});
+    scheduled_actions_.push_back({fault.at_s, [this, &fault] { inject_fault(fault); }});
 }
 
 // --- what is heard and measured
 
-void ExperimentRun::hear() {
+void ExperimentRun::read_messages() {
   for (size_t r = 0; r < plan_.regions; ++r) {
-    for (auto& message : states_[r]->messages()) {
+    for (auto& message : key_value_stores_[r]->messages()) {
       const std::string kind = message.at("kind");
       if (kind == "final") {
-        results_.states[r] = message;
-        ++finals_;
+        results_.key_value_store_reports[r] = message;
+        ++final_messages_;
       }
       if (kind != "holder") continue;
-      holders_[r] = message.at("node");
-      const double at = message.at("at").get<double>() - begun_;
-      results_.holder_changes.push_back({r, holders_[r], at});
-      if (auto open = open_fault_.find(r); open != open_fault_.end()) {
-        auto& fault = results_.faults[open->second];
-        fault.without_holder_s = at - fault.at_s;
-        open_fault_.erase(open);
+      shard_leaders_[r] = message.at("node");
+      const double at = message.at("at").get<double>() - started_at_;
+      results_.shard_leader_changes.push_back({r, shard_leaders_[r], at});
+      if (auto unresolved = unresolved_faults_.find(r); unresolved != unresolved_faults_.end()) {
+        auto& fault = results_.faults[unresolved->second];
+        fault.without_shard_leader_s = at - fault.at_s;
+        unresolved_faults_.erase(unresolved);
       }
     }
     for (auto& message : region_processes_[r]->messages()) {
       if (message.at("kind") == "final") {
-        results_.regions[r] = message;
-        ++finals_;
+        results_.region_reports[r] = message;
+        ++final_messages_;
       } else {
-        region_seconds_[r] = message;
+        latest_region_reports_[r] = message;
       }
     }
   }
-  if (!links_) return;
-  for (auto& message : links_->messages()) results_.link_bytes = message.at("bytes");
+  if (!region_links_) return;
+  for (auto& message : region_links_->messages()) results_.link_bytes = message.at("bytes");
 }
 
-void ExperimentRun::sample_process(pid_t pid, double ended_cpu_s, const std::string& key,
+void ExperimentRun::sample_process(pid_t pid, double previous_runs_cpu_s, const std::string& key,
                                    const std::string& role, size_t region, bool measured,
                                    double& memory_mb) {
-  const auto now = read_figures(pid);
+  const auto now = read_process_usage(pid);
   memory_mb += now.resident_mb;
   auto& last = sampled_[key];
-  const double total = ended_cpu_s + now.cpu_s();
+  const double total = previous_runs_cpu_s + now.cpu_s();
   const double used = std::max(total - last.cpu_s, 0.0);
   last.cpu_s = total;
   if (!measured) return;
@@ -194,29 +196,30 @@
 
 // Called once a second.
 void ExperimentRun::sample(bool measured) {
-  double memory_mb = read_figures(getpid()).resident_mb;
-  for (auto& one : controllers_->all()) {
-    const bool holds = holders_[one.region] == one.name;
-    sample_process(one.pid, one.ended_cpu_s, one.name, holds ? "holder" : "other controller",
-                   one.region, measured && one.pid != 0, memory_mb);
+  double memory_mb = read_process_usage(getpid()).resident_mb;
+  for (auto& process : controllers_->all()) {
+    const bool is_leader = shard_leaders_[process.region] == process.name;
+    sample_process(process.pid, process.previous_runs_cpu_s, process.name,
+                   is_leader ? "holder" : "other controller", process.region,
+                   measured && process.pid != 0, memory_mb);
   }
   for (size_t r = 0; r < plan_.regions; ++r) {
-    sample_process(states_[r]->pid(), 0, states_[r]->name(), "state service (stand-in)", r,
-                   measured, memory_mb);
+    sample_process(key_value_stores_[r]->pid(), 0, key_value_stores_[r]->name(),
+                   "state service (stand-in)", r, measured, memory_mb);
     sample_process(region_processes_[r]->pid(), 0, region_processes_[r]->name(),
                    "hollow workers, cloud, users", r, measured, memory_mb);
   }
-  if (links_)
-    sample_process(links_->pid(), 0, links_->name(), "links between regions", 0, measured,
-                   memory_mb);
+  if (region_links_)
+    sample_process(region_links_->pid(), 0, region_links_->name(), "links between regions", 0,
+                   measured, memory_mb);
   results_.peak_memory_mb = std::max(results_.peak_memory_mb, memory_mb);
   double starts = 0, tasks = 0;
-  for (auto& second : region_seconds_) {
+  for (auto& second : latest_region_reports_) {
     if (!second.is_object()) continue;
     starts += second.at("starts").get<double>();
     tasks += second.at("tasks").get<double>();
   }
-  results_.whole_starts_per_s.push_back(starts - last_starts_);
+  results_.starts_per_s_with_warmup.push_back(starts - last_starts_);
   if (measured) {
     results_.starts_per_s.push_back(starts - last_starts_);
     results_.tasks.push_back(tasks);
@@ -225,7 +228,7 @@
   last_starts_ = starts;
 }
 
-void ExperimentRun::show_placement(const Json& second) {
+void ExperimentRun::print_placement(const Json& second) {
   if (!second.is_object() || !second.contains("placement")) return;
   for (auto& [machine, tasks] : second["placement"].items()) {
     progress_ << "         " << machine << ":";
@@ -234,74 +237,75 @@
   }
 }
 
-void ExperimentRun::show_progress() {
+void ExperimentRun::print_progress() {
   double workers = 0, tasks = 0, starts = 0, broken = 0;
-  for (auto& second : region_seconds_) {
+  for (auto& second : latest_region_reports_) {
     if (!second.is_object()) continue;
     workers += second.at("workers").get<double>();
     tasks += second.at("tasks").get<double>();
     starts += second.at("starts").get<double>();
     broken += second.at("broken").get<double>();
   }
-  std::string holders;
-  for (auto& shard_leader : holders_)
-    holders += fmt::format(" {}", shard_leader.empty() ? "-" : shard_leader);
+  std::string leaders;
+  for (auto& shard_leader : shard_leaders_)
+    leaders += fmt::format(" {}", shard_leader.empty() ? "-" : shard_leader);
   progress_ << fmt::format(
                    "{:5.0f} s  {:.0f} workers  {:.0f} tasks on them  {:.0f} started  {:.0f} rules "
                    "broken  holders:{}",
-                   elapsed(), workers, tasks, starts, broken, holders)
+                   elapsed(), workers, tasks, starts, broken, leaders)
             << std::endl;
-  for (auto& second : region_seconds_) show_placement(second);
+  for (auto& second : latest_region_reports_) print_placement(second);
 }
 
 void ExperimentRun::finish() {
-  for (auto& child : states_) child->tell({{"do", "finish"}});
-  for (auto& child : region_processes_) child->tell({{"do", "finish"}});
-  if (links_) links_->tell({{"do", "finish"}});
-  const double until = steady_now() + finish_patience_s;
-  while (finals_ < 2 * plan_.regions && steady_now() < until) {
+  for (auto& child : key_value_stores_) child->send({{"do", "finish"}});
+  for (auto& child : region_processes_) child->send({{"do", "finish"}});
+  if (region_links_) region_links_->send({{"do", "finish"}});
+  const double until = steady_now() + final_message_timeout_s;
+  while (final_messages_ < 2 * plan_.regions && steady_now() < until) {
     usleep(20000);
-    hear();
+    read_messages();
   }
   controllers_.reset();
   for (size_t r = 0; r < plan_.regions; ++r) {
-    if (!results_.regions[r].is_object() || !results_.states[r].is_object()) {
-      results_.broken_rules.push_back(fmt::format("region {} gave no final word", r));
-      results_.regions[r] = {{"waits", Json::object()},
-                             {"accept_times", Json::array()},
-                             {"asked", Json::object()},
-                             {"served", Json::object()}};
-      results_.states[r] = {{"budgets", Json::object()}};
+    if (!results_.region_reports[r].is_object() ||
+        !results_.key_value_store_reports[r].is_object()) {
+      results_.rule_violations.push_back(fmt::format("region {} gave no final word", r));
+      results_.region_reports[r] = {{"waits", Json::object()},
+                                    {"accept_times", Json::array()},
+                                    {"asked", Json::object()},
+                                    {"served", Json::object()}};
+      results_.key_value_store_reports[r] = {{"budgets", Json::object()}};
       continue;
     }
-    for (auto& rule : results_.regions[r].at("broken_rules"))
-      results_.broken_rules.push_back(
+    for (auto& rule : results_.region_reports[r].at("broken_rules"))
+      results_.rule_violations.push_back(
           fmt::format("{}: {}", addresses::region_name(r), rule.get<std::string>()));
   }
 }
 
 Results ExperimentRun::run(const volatile bool& stop) {
-  plan_faults();
+  schedule_faults();
   start_all();
-  double next_sample = 1, next_progress = progress_every_s;
+  double next_sample = 1, next_progress = progress_interval_s;
   while (elapsed() < plan_.seconds && !stop) {
-    usleep(static_cast<useconds_t>(step_s * 1e6));
-    hear();
-    results_.ended_by_themselves += controllers_->restart_ended(elapsed());
+    usleep(static_cast<useconds_t>(poll_interval_s * 1e6));
+    read_messages();
+    results_.unexpected_exits += controllers_->restart_exited(elapsed());
     // A fault may add its own end.
-    for (size_t i = 0; i < faults_.size(); ++i) {
-      if (faults_[i].at_s > elapsed()) continue;
-      auto act = std::move(faults_[i].act);
-      faults_.erase(faults_.begin() + static_cast<std::ptrdiff_t>(i--));
-      act();
+    for (size_t i = 0; i < scheduled_actions_.size(); ++i) {
+      if (scheduled_actions_[i].at_s > elapsed()) continue;
+      auto action = std::move(scheduled_actions_[i].action);
+      scheduled_actions_.erase(scheduled_actions_.begin() + static_cast<std::ptrdiff_t>(i--));
+      action();
     }
     if (elapsed() >= next_sample) {
       sample(elapsed() >= plan_.warmup_s);
       next_sample += 1;
     }
     if (elapsed() >= next_progress) {
-      show_progress();
-      next_progress += progress_every_s;
+      print_progress();
+      next_progress += progress_interval_s;
     }
   }
   finish();
--- a/tools/loadtest/experiment_run.hpp
+++ b/tools/loadtest/experiment_run.hpp
@@ -4,60 +4,61 @@
 #include <ostream>
 
 #include "child_process.hpp"
-#include "controllers.hpp"
+#include "controller_processes.hpp"
 #include "results.hpp"
-#include "team_use.hpp"
+#include "team_usage.hpp"
 
 namespace damsonport::loadtest {
 
 class ExperimentRun {
  public:
-  ExperimentRun(const Experiment& plan, const std::string& directory, const std::string& program,
-                std::ostream& progress);
+  ExperimentRun(const ExperimentPlan& plan, const std::string& directory,
+                const std::string& program, std::ostream& progress);
   // Ends early when `stop` is set.
   Results run(const volatile bool& stop);
 
  private:
   // A process that is sampled, with its figures as of the last second.
-  struct Sampled {
+  struct SampledProcess {
     std::string role;
     size_t region = 0;
     double cpu_s = 0;
   };
-  struct PendingFault {
+  struct ScheduledAction {
     double at_s;
-    std::function<void()> act;
+    std::function<void()> action;
   };
   void start_all();
-  void plan_faults();
-  void plan_fault(const Fault& fault);
-  void kill_controllers(std::vector<Controllers::One*> victims, const std::string& what,
-                        double for_s);
-  void hear();
+  void schedule_faults();
+  void inject_fault(const Fault& fault);
+  void kill_controllers(std::vector<ControllerProcesses::Process*> targets,
+                        const std::string& description, double for_s);
+  void read_messages();
   void sample(bool measured);
-  void sample_process(pid_t pid, double ended_cpu_s, const std::string& key,
+  void sample_process(pid_t pid, double previous_runs_cpu_s, const std::string& key,
                       const std::string& role, size_t region, bool measured, double& memory_mb);
-  void show_progress();
-  void show_placement(const Json& second);
+  void print_progress();
+  void print_placement(const Json& second);
   void finish();
   double elapsed() const;
   std::string describe(const Fault& fault) const;
 
-  const Experiment& plan_;
+  const ExperimentPlan& plan_;
   std::ostream& progress_;
-  TeamUse use_;
-  std::vector<std::unique_ptr<ChildProcess>> states_, region_processes_;
-  std::unique_ptr<ChildProcess> links_;
-  std::unique_ptr<Controllers> controllers_;
-  double begun_ = 0;
-  std::vector<std::string> holders_;  // by region
-  std::vector<Json> region_seconds_;
-  std::map<std::string, Sampled> sampled_;
+  TeamUsage team_usage_;
+  std::vector<std::unique_ptr<ChildProcess>> key_value_stores_, region_processes_;
+  std::unique_ptr<ChildProcess> region_links_;
+  std::unique_ptr<ControllerProcesses> controllers_;
+  double started_at_ = 0;
+  std::vector<std::string> shard_leaders_;  // by region
+  std::vector<Json> latest_region_reports_;
+  std::map<std::string, SampledProcess> sampled_;
   std::map<std::string, std::pair<double, double>> second_of_role_;
-  std::vector<PendingFault> faults_;
-  std::map<size_t, size_t> open_fault_;  // region -> place of a fault that waits for a holder
+  std::vector<ScheduledAction> scheduled_actions_;
+  std::map<size_t, size_t>
+      unresolved_faults_;  // region -> place of a fault that waits for a holder
   double last_starts_ = 0;
-  size_t finals_ = 0;
+  size_t final_messages_ = 0;
   Results results_;
 };
 
--- a/tools/loadtest/link_process.cpp
+++ b/tools/loadtest/link_process.cpp
@@ -12,8 +12,8 @@
 #include <set>
 
 #include "addresses.hpp"
-#include "emulator.hpp"
 #include "emulator_loop.hpp"
+#include "emulator_processes.hpp"
 
 namespace damsonport::loadtest {
 
@@ -29,29 +29,29 @@
   return address;
 }
 
-class Links {
+class RegionLinks {
  public:
-  Links(const Experiment& plan, ParentChannel& parent)
+  RegionLinks(const ExperimentPlan& plan, ParentChannel& parent)
       : plan_(plan),
         parent_(parent),
-        emulator_(parent, [this](const Json& command) { obey(command); }) {
+        emulator_(parent, [this](const Json& command) { handle_command(command); }) {
     for (size_t from = 0; from < plan.regions; ++from)
       for (size_t to = 0; to < plan.regions; ++to)
         for (size_t n = 0; from != to && n < plan.controllers[to]; ++n) listen(from, to, n);
   }
   void run() {
-    emulator_.run([this] { tell("second"); });
+    emulator_.run([this] { send_report("second"); });
   }
 
  private:
   struct Listener {
-    Links* links;
+    RegionLinks* links;
     RegionPair pair;
     std::string target;
   };
   // One direction is enough: controllers only send on the streams that they open.
   struct Stream {
-    Links* links = nullptr;
+    RegionLinks* links = nullptr;
     RegionPair pair;
     bufferevent* in = nullptr;
     bufferevent* out = nullptr;
@@ -68,7 +68,7 @@
     auto& listener =
         listeners_.emplace_back(Listener{this, {from, to}, addresses::controller(to, n)});
     auto address = socket_address(addresses::link(from, to, n));
-    auto* made = evconnlistener_new_bind(
+    auto* bound = evconnlistener_new_bind(
         emulator_.loop().base(),
         [](evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* arg) {
           auto* l = static_cast<Listener*>(arg);
@@ -76,11 +76,11 @@
         },
         &listener, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, 16,
         reinterpret_cast<sockaddr*>(&address), sizeof address);
-    if (!made) spdlog::error("cannot listen on {}", addresses::link(from, to, n));
+    if (!bound) spdlog::error("cannot listen on {}", addresses::link(from, to, n));
   }
 
   void accept(evutil_socket_t fd, const Listener& listener) {
-    if (cut_.contains(listener.pair)) {
+    if (cut_pairs_.contains(listener.pair)) {
       evutil_closesocket(fd);
       return;
     }
@@ -91,14 +91,15 @@
     stream.in = bufferevent_socket_new(base, fd, BEV_OPT_CLOSE_ON_FREE);
     stream.out = bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
     stream.timer = evtimer_new(
-        base, [](evutil_socket_t, short, void* s) { pass_on(*static_cast<Stream*>(s)); }, &stream);
-    auto ended = [](bufferevent*, short what, void* s) {
-      if (what & BEV_EVENT_CONNECTED) return;
-      auto* gone = static_cast<Stream*>(s);
-      gone->links->streams_.remove_if([gone](auto& other) { return &other == gone; });
+        base, [](evutil_socket_t, short, void* s) { forward_due(*static_cast<Stream*>(s)); },
+        &stream);
+    auto ended = [](bufferevent*, short events, void* s) {
+      if (events & BEV_EVENT_CONNECTED) return;
+      auto* closed = static_cast<Stream*>(s);
+      closed->links->streams_.remove_if([closed](auto& other) { return &other == closed; });
     };
     bufferevent_setcb(
-        stream.in, [](bufferevent*, void* s) { take(*static_cast<Stream*>(s)); }, nullptr, ended,
+        stream.in, [](bufferevent*, void* s) { receive(*static_cast<Stream*>(s)); }, nullptr, ended,
         &stream);
     bufferevent_setcb(stream.out, nullptr, nullptr, ended, &stream);
     bufferevent_enable(stream.in, EV_READ);
@@ -107,18 +108,18 @@
     bufferevent_socket_connect(stream.out, reinterpret_cast<sockaddr*>(&address), sizeof address);
   }
 
-  static void take(Stream& stream) {
+  static void receive(Stream& stream) {
     auto* input = bufferevent_get_input(stream.in);
     std::string bytes(evbuffer_get_length(input), '\0');
     evbuffer_remove(input, bytes.data(), bytes.size());
     auto& links = *stream.links;
-    links.bytes_ += bytes.size();
+    links.forwarded_bytes_ += bytes.size();
     stream.delayed.emplace_back(links.emulator_.loop().now() + links.plan_.link_delay_s,
                                 std::move(bytes));
-    if (stream.delayed.size() == 1) pass_on(stream);
+    if (stream.delayed.size() == 1) forward_due(stream);
   }
 
-  static void pass_on(Stream& stream) {
+  static void forward_due(Stream& stream) {
     const double now = stream.links->emulator_.loop().now();
     while (!stream.delayed.empty() && stream.delayed.front().first <= now) {
       auto& bytes = stream.delayed.front().second;
@@ -131,39 +132,41 @@
     event_add(stream.timer, &wait);
   }
 
-  void obey(const Json& command) {
-    const std::string what = command.at("do");
-    if (what == "cut") {
+  void handle_command(const Json& command) {
+    const std::string command_name = command.at("do");
+    if (command_name == "cut") {
       const size_t a = command.at("a"), b = command.at("b");
       for (auto& pair : {RegionPair{a, b}, RegionPair{b, a}}) {
         if (command.at("on").get<bool>()) {
-          cut_.insert(pair);
+          cut_pairs_.insert(pair);
         } else {
-          cut_.erase(pair);
+          cut_pairs_.erase(pair);
         }
       }
-      streams_.remove_if([&](auto& stream) { return cut_.contains(stream.pair); });
+      streams_.remove_if([&](auto& stream) { return cut_pairs_.contains(stream.pair); });
     }
-    if (what != "finish") return;
-    tell("final");
+    if (command_name != "finish") return;
+    send_report("final");
     emulator_.finish();
   }
-  void tell(const char* kind) { parent_.tell({{"kind", kind}, {"bytes", bytes_}}); }
+  void send_report(const char* kind) {
+    parent_.send({{"kind", kind}, {"bytes", forwarded_bytes_}});
+  }
 
-  const Experiment& plan_;
+  const ExperimentPlan& plan_;
   ParentChannel& parent_;
   EmulatorLoop emulator_;
   std::list<Listener> listeners_;
   std::list<Stream> streams_;
-  std::set<RegionPair> cut_;
-  uint64_t bytes_ = 0;
+  std::set<RegionPair> cut_pairs_;
+  uint64_t forwarded_bytes_ = 0;
 };
 
 }  // namespace
 
-void run_links(const Experiment& plan, ParentChannel& parent) {
+void run_region_links(const ExperimentPlan& plan, ParentChannel& parent) {
   // Never taken apart: the process ends with it.
-  auto* links = new Links(plan, parent);
+  auto* links = new RegionLinks(plan, parent);
   links->run();
 }
 
--- a/tools/loadtest/main.cpp
+++ b/tools/loadtest/main.cpp
@@ -52,13 +52,13 @@
     return app.exit(e) == 0 ? 0 : exit_bad_plan;
   }
   spdlog::set_default_logger(spdlog::stderr_logger_st("loadtest"));
-  auto plan = damsonport::loadtest::load_experiment(file);
+  auto plan = damsonport::loadtest::load_plan(file);
   if (!plan) {
     std::cerr << plan.error() << "\n";
     return exit_bad_plan;
   }
   if (check) {
-    std::cout << file << ": ok, " << plan->processes() << " processes, about "
+    std::cout << file << ": ok, " << plan->process_count() << " processes, about "
               << static_cast<int>(plan->estimated_memory_mb()) << " MB\n";
     return 0;
   }
@@ -76,5 +76,5 @@
   damsonport::loadtest::print_table(std::cout, *plan, results);
   if (!results_file.empty())
     std::ofstream(results_file) << results_json(*plan, results).dump(1) << "\n";
-  return results.broken_rules.empty() ? 0 : exit_rule_broken;
+  return results.rule_violations.empty() ? 0 : exit_rule_broken;
 }
--- a/tools/loadtest/real_time_world.cpp
+++ b/tools/loadtest/real_time_world.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 constexpr size_t max_body = size_t{1024} * 1024, max_connections = 256;
-constexpr double idle_s = 120, patience_s = 15;
+constexpr double idle_timeout_s = 120, request_timeout_s = 15;
 
 // "/api/jobs/run-1/cancel" and its like are one kind.
-std::string kind_of(Method method, const std::string& target) {
+std::string traffic_kind(Method method, const std::string& target) {
   const auto path = target.substr(0, target.find('?'));
   if (path.starts_with("/api/jobs/")) return path.ends_with("/cancel") ? "cancellation" : "poll";
   if (path == "/api/jobs") return "submission";
@@ -31,7 +31,7 @@
 }
 
 // The answer of a handler that may come later.
-struct RealTimeWorld::Reply {
+struct RealTimeWorld::PendingReply {
   std::coroutine_handle<> waiter;
   HttpReply value;
   bool done = false;
@@ -39,8 +39,8 @@
 
 // Waits for it. Holds the reply by pointer: an awaiter that is awaited through one is copied by
 // this compiler.
-struct RealTimeWorld::ReplyWait {
-  std::shared_ptr<Reply> reply;
+struct RealTimeWorld::ReplyAwaiter {
+  std::shared_ptr<PendingReply> reply;
 
   bool await_ready() const { return reply->done; }
   void await_suspend(std::coroutine_handle<> handle) const { reply->waiter = handle; }
@@ -48,9 +48,10 @@
 };
 
 RealTimeWorld::RealTimeWorld(EventLoop& loop, uint64_t seed)
-    : World(seed), loop_(loop), begun_(loop.now()) {
-  timer_ = loop.timer([](void* self) { static_cast<RealTimeWorld*>(self)->act([] {}); }, this);
-  arm();
+    : World(seed), loop_(loop), started_at_(loop.now()) {
+  timer_ =
+      loop.timer([](void* self) { static_cast<RealTimeWorld*>(self)->run_in_world([] {}); }, this);
+  arm_timer();
 }
 
 RealTimeWorld::~RealTimeWorld() = default;
@@ -60,16 +61,16 @@
   return {host, it == ports_.end() ? default_port : it->second};
 }
 
-void RealTimeWorld::arm() {
+void RealTimeWorld::arm_timer() {
   // What is asked for from outside `act` waits for the next look at the least.
-  constexpr double longest_s = 0.01;
-  timer_->arm(std::clamp(next_event() - elapsed(), 0.0, longest_s));
+  constexpr double max_delay_s = 0.01;
+  timer_->arm(std::clamp(next_event() - elapsed(), 0.0, max_delay_s));
 }
 
-void RealTimeWorld::act(const std::function<void()>& what) {
+void RealTimeWorld::run_in_world(const std::function<void()>& action) {
   run_until(elapsed());
-  what();
-  arm();
+  action();
+  arm_timer();
 }
 
 void RealTimeWorld::serve(const std::string& host, Serve handler) {
@@ -77,7 +78,7 @@
   auto& server = servers_[host];
   if (server) return;
   server = std::make_unique<EventHttpServer>(
-      loop_, max_body, max_connections, idle_s,
+      loop_, max_body, max_connections, idle_timeout_s,
       [this, host](HttpRequest request) { return answer_request(host, std::move(request)); });
   if (!server->bind(endpoint(host))) spdlog::error("cannot listen on {}", endpoint(host).text());
 }
@@ -93,11 +94,11 @@
 }
 
 Task<HttpResponse> RealTimeWorld::answer_request(std::string host, HttpRequest request) {
-  auto reply = std::make_shared<Reply>();
+  auto reply = std::make_shared<PendingReply>();
   auto target = request.path + (request.query.empty() ? "" : "?" + request.query);
-  const auto kind = kind_of(request.method, target);
-  const size_t asked_bytes = request.body.size();
-  act([&] {
+  const auto kind = traffic_kind(request.method, target);
+  const size_t request_bytes = request.body.size();
+  run_in_world([&] {
     auto it = handlers_.find(host);
     if (it == handlers_.end()) {
       reply->done = true;
@@ -111,9 +112,9 @@
       if (reply->waiter) reply->waiter.resume();
     });
   });
-  ReplyWait wait{reply};
+  ReplyAwaiter wait{reply};
   co_await wait;
-  served_[kind] += {1, asked_bytes, reply->value.body.size()};
+  server_traffic_[kind] += {1, request_bytes, reply->value.body.size()};
   co_return HttpResponse{reply->value.status, std::move(reply->value.body), 0};
 }
 
@@ -127,12 +128,12 @@
 
 Task<void> RealTimeWorld::exchange(EventHttpClient& client, Endpoint to, Method method,
                                    std::string target, std::string body, Answer answer) {
-  const auto kind = kind_of(method, target);
-  const size_t asked_bytes = body.size();
+  const auto kind = traffic_kind(method, target);
+  const size_t request_bytes = body.size();
   auto reply = co_await client.request(std::move(to), method, std::move(target), std::move(body),
-                                       patience_s);
-  asked_[kind] += {1, reply.body.size(), asked_bytes};
-  act([&] { answer(reply); });
+                                       request_timeout_s);
+  client_traffic_[kind] += {1, reply.body.size(), request_bytes};
+  run_in_world([&] { answer(reply); });
 }
 
 }  // namespace damsonport::loadtest
--- a/tools/loadtest/real_time_world.hpp
+++ b/tools/loadtest/real_time_world.hpp
@@ -42,29 +42,29 @@
            std::string body, const Answer& answer) override;
 
   // Plays what is due. Whoever comes from outside the world calls it first, and goes by `act`.
-  void act(const std::function<void()>& what);
+  void run_in_world(const std::function<void()>& action);
   // By kind of request: what was asked of this world's servers, and what its clients asked.
-  const TrafficByKind& served() const { return served_; }
-  const TrafficByKind& asked() const { return asked_; }
+  const TrafficByKind& server_traffic() const { return server_traffic_; }
+  const TrafficByKind& client_traffic() const { return client_traffic_; }
 
  private:
-  struct Reply;
-  struct ReplyWait;
+  struct PendingReply;
+  struct ReplyAwaiter;
   Endpoint endpoint(const std::string& host) const;
-  double elapsed() const { return loop_.now() - begun_; }
-  void arm();
+  double elapsed() const { return loop_.now() - started_at_; }
+  void arm_timer();
   Task<HttpResponse> answer_request(std::string host, HttpRequest request);
   Task<void> exchange(EventHttpClient& client, Endpoint to, Method method, std::string target,
                       std::string body, Answer answer);
 
   EventLoop& loop_;
-  double begun_;
+  double started_at_;
   std::unique_ptr<Timer> timer_;
   std::map<std::string, uint16_t> ports_;
   std::map<std::string, Serve> handlers_;
   std::map<std::string, std::unique_ptr<EventHttpServer>> servers_;
   std::map<std::string, std::unique_ptr<EventHttpClient>> clients_;
-  TrafficByKind served_, asked_;
+  TrafficByKind server_traffic_, client_traffic_;
 };
 
 }  // namespace damsonport::loadtest
--- a/tools/loadtest/region_process.cpp
+++ b/tools/loadtest/region_process.cpp
@@ -1,8 +1,8 @@
 #include <spdlog/spdlog.h>
 
 #include "addresses.hpp"
-#include "emulator.hpp"
 #include "emulator_loop.hpp"
+#include "emulator_processes.hpp"
 #include "simulation/simulated_fleet.hpp"
 #include "users.hpp"
 
@@ -10,16 +10,16 @@
 
 namespace {
 
-constexpr double eps = 1e-6;
+constexpr double quota_tolerance = 1e-6;
 
 class RegionProcess {
  public:
-  RegionProcess(const Experiment& plan, size_t region, TeamUse& use, ParentChannel& parent)
+  RegionProcess(const ExperimentPlan& plan, size_t region, TeamUsage& usage, ParentChannel& parent)
       : plan_(plan),
         region_(region),
-        use_(use),
+        team_usage_(usage),
         parent_(parent),
-        emulator_(parent, [this](const Json& command) { obey(command); }),
+        emulator_(parent, [this](const Json& command) { handle_command(command); }),
         world_(emulator_.loop(), plan.seed * 1000 + region),
         settings_(region_settings(plan, region)),
         types_(plan.machines) {
@@ -36,26 +36,26 @@
     fleet_->cloud().set_capacity(plan.workers[region]);
     users_ = std::make_unique<Users>(plan, region, world_, *fleet_);
     auto& rules = fleet_->rules();
-    rules.on_start = [this](const TaskId& task) { users_->started(task); };
+    rules.on_start = [this](const TaskId& task) { users_->on_task_started(task); };
     rules.on_use = [this](const std::string& team, double cpus, double gpus) {
-      count_use(team, cpus, gpus);
+      record_team_usage(team, cpus, gpus);
     };
-    if (!plan.replicas_in_force[region]) rules.replicas().only_measure();
+    if (!plan.replica_policies_enabled[region]) rules.replicas().only_measure();
     add_workers();
-    users_->begin();
+    users_->start();
   }
 
   void run() {
-    emulator_.run([this] { report(); });
+    emulator_.run([this] { send_report(); });
   }
 
  private:
-  static Settings region_settings(const Experiment& plan, size_t region) {
+  static Settings region_settings(const ExperimentPlan& plan, size_t region) {
     Settings s = plan.settings;
     s.zones.clear();
     for (size_t z = 0; z < plan.zones; ++z) s.zones.push_back(addresses::zone_name(region, z));
     s.cloud = {addresses::cloud(region), addresses::cloud_port};
-    s.state = {addresses::state(region), addresses::state_port};
+    s.state = {addresses::key_value_store(region), addresses::key_value_store_port};
     return s;
   }
 
@@ -63,22 +63,25 @@
   void add_workers() {
     double all = 0;
     for (double share : plan_.machine_share) all += share;
-    std::vector<double> due(plan_.machine_share.size());
+    std::vector<double> pending_shares(plan_.machine_share.size());
     for (int i = 0; i < plan_.workers[region_]; ++i) {
-      for (size_t t = 0; t < due.size(); ++t) due[t] += plan_.machine_share[t] / all;
-      const auto type = std::max_element(due.begin(), due.end()) - due.begin();
-      due[static_cast<size_t>(type)] -= 1;
+      for (size_t t = 0; t < pending_shares.size(); ++t)
+        pending_shares[t] += plan_.machine_share[t] / all;
+      const auto type =
+          std::max_element(pending_shares.begin(), pending_shares.end()) - pending_shares.begin();
+      pending_shares[static_cast<size_t>(type)] -= 1;
       fleet_->add_up(types_[static_cast<size_t>(type)].name,
                      settings_.zones[static_cast<size_t>(i) % settings_.zones.size()], false);
     }
   }
 
-  void count_use(const std::string& team, double cpus, double gpus) {
+  void record_team_usage(const std::string& team, double cpus, double gpus) {
     const size_t index = std::stoul(team.substr(team.find('-') + 1));
-    const auto now = use_.add(index, cpus, gpus);
+    const auto now = team_usage_.add(index, cpus, gpus);
     const auto& limits = settings_.teams[index];
-    const bool over = (limits.cpus_max > 0 && cpus > 0 && now.cpus > limits.cpus_max + eps) ||
-                      (limits.gpus_max > 0 && gpus > 0 && now.gpus > limits.gpus_max + eps);
+    const bool over =
+        (limits.cpus_max > 0 && cpus > 0 && now.cpus > limits.cpus_max + quota_tolerance) ||
+        (limits.gpus_max > 0 && gpus > 0 && now.gpus > limits.gpus_max + quota_tolerance);
     if (over)
       fleet_->rules().report_violation("quota", team + " uses " + std::to_string(now.cpus) +
                                                     " CPUs and " + std::to_string(now.gpus) +
@@ -97,7 +100,7 @@
           });
       if (has_part) candidates.push_back(worker.get());
     }
-    world_.act([&] {
+    world_.run_in_world([&] {
       for (; count > 0 && !candidates.empty(); --count) {
         const auto drawn = static_cast<std::ptrdiff_t>(world_.random64() % candidates.size());
         candidates[static_cast<size_t>(drawn)]->vanish();
@@ -106,50 +109,50 @@
     });
   }
 
-  void obey(const Json& command) {
-    const std::string what = command.at("do");
-    if (what == "hang") {
+  void handle_command(const Json& command) {
+    const std::string command_name = command.at("do");
+    if (command_name == "hang") {
       const auto zone = settings_.zones.at(command.at("zone").get<size_t>());
-      world_.act([&] {
+      world_.run_in_world([&] {
         for (auto& [id, worker] : fleet_->workers())
           if (!worker->gone && worker->zone == zone) worker->hang(command.at("for").get<double>());
       });
     }
-    if (what == "kill_machines") kill_machines(command.at("count").get<size_t>());
-    if (what == "cancel") users_->cancel_services(command.at("count").get<size_t>());
-    if (what != "finish") return;
+    if (command_name == "kill_machines") kill_machines(command.at("count").get<size_t>());
+    if (command_name == "cancel") users_->cancel_services(command.at("count").get<size_t>());
+    if (command_name != "finish") return;
     Json waits = Json::object();
     for (auto& [load, values] : users_->waits()) {
       Json list = Json::array();
       for (auto& wait : values) list.push_back({wait.submitted_at, wait.seconds});
       waits[load] = std::move(list);
     }
-    auto message = progress("final");
+    auto message = progress_message("final");
     message["waits"] = std::move(waits);
     message["accept_times"] = users_->accept_times();
-    message["answers"] = users_->answers();
-    message["asked"] = traffic_json(world_.asked());
-    message["served"] = traffic_json(world_.served());
+    message["answers"] = users_->response_counts();
+    message["asked"] = traffic_json(world_.client_traffic());
+    message["served"] = traffic_json(world_.server_traffic());
     message["broken_rules"] = fleet_->rules().violations();
     const auto replicas = fleet_->rules().replicas().figures();
     message["replicas"] = {{"whole_again_s", replicas.whole_again_s},
                            {"complete_again_s", replicas.complete_again_s},
                            {"half_s", replicas.half_s},
                            {"not_whole", replicas.not_whole}};
-    parent_.tell(message);
+    parent_.send(message);
     emulator_.finish();
   }
 
-  Json progress(const char* kind) const {
-    size_t up = 0, tasks = 0, sessions_lost = 0;
+  Json progress_message(const char* kind) const {
+    size_t worker_count = 0, tasks = 0, sessions_lost = 0;
     for (auto& [id, worker] : fleet_->workers()) {
       if (worker->gone) continue;
-      ++up;
+      ++worker_count;
       sessions_lost += worker->agent_epoch() - 1;
       for (auto& [attempt, task] : worker->tasks()) tasks += simulation::on_machine(task.report);
     }
     return {{"kind", kind},
-            {"workers", up},
+            {"workers", worker_count},
             {"tasks", tasks},
             {"starts", users_->starts()},
             {"submitted", users_->submitted()},
@@ -159,11 +162,11 @@
             {"returned", fleet_->cloud().returned()},
             {"broken", fleet_->rules().violations().size()}};
   }
-  void report() {
-    constexpr int most_shown = 50;
-    auto message = progress("second");
-    if (plan_.workers[region_] <= most_shown) message["placement"] = placement();
-    parent_.tell(message);
+  void send_report() {
+    constexpr int max_workers_shown = 50;
+    auto message = progress_message("second");
+    if (plan_.workers[region_] <= max_workers_shown) message["placement"] = placement();
+    parent_.send(message);
   }
   // Tasks by machine, for plans small enough to be looked at.
   Json placement() const {
@@ -178,9 +181,9 @@
     return out;
   }
 
-  const Experiment& plan_;
+  const ExperimentPlan& plan_;
   size_t region_;
-  TeamUse& use_;
+  TeamUsage& team_usage_;
   ParentChannel& parent_;
   EmulatorLoop emulator_;
   RealTimeWorld world_;
@@ -192,9 +195,10 @@
 
 }  // namespace
 
-void run_region(const Experiment& plan, size_t region, TeamUse& use, ParentChannel& parent) {
+void run_region(const ExperimentPlan& plan, size_t region, TeamUsage& usage,
+                ParentChannel& parent) {
   // Never taken apart: the process ends with it.
-  auto* process = new RegionProcess(plan, region, use, parent);
+  auto* process = new RegionProcess(plan, region, usage, parent);
   process->run();
 }
 
--- a/tools/loadtest/results.hpp
+++ b/tools/loadtest/results.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "experiment.hpp"
+#include "experiment_plan.hpp"
 #include "storage/quota_record.hpp"
 
 namespace damsonport::loadtest {
@@ -18,7 +18,7 @@
 Quantiles quantiles(std::vector<float> values);
 
 // Over the seconds after the warm-up.
-struct RoleFigures {
+struct RoleUsage {
   double seconds = 0;
   double cpu_s = 0;
   double peak_cpu = 0;  // of a core, in the busiest second
@@ -27,43 +27,43 @@
   double mean_cpu() const { return seconds > 0 ? cpu_s / seconds : 0; }
 };
 
-struct HolderChange {
+struct ShardLeaderChange {
   size_t region = 0;
-  std::string node;
+  std::string controller;
   double at_s = 0;
 };
 
 struct FaultRecord {
-  std::string what;
+  std::string description;
   double at_s = 0;
-  double without_holder_s = -1;  // until another held; negative: no change was needed
+  double without_shard_leader_s = -1;  // until another held; negative: no change was needed
   size_t region = 0;
   double outage_s = 0;  // of the state service
   // Nothing can be started in the region while it has no holder or no state service.
-  bool stops_starts(double from_s, double until_s) const;
+  bool blocks_starts(double from_s, double until_s) const;
 };
 
 struct Results {
   double measured_s = 0;
-  std::map<std::string, RoleFigures> roles;  // all regions' processes of a role together
-  std::vector<std::map<std::string, RoleFigures>> region_roles;
-  double peak_memory_mb = 0;               // of all processes together
-  std::vector<double> starts_per_s;        // in each second, all regions
-  std::vector<double> whole_starts_per_s;  // the same from the beginning on
-  std::vector<double> tasks;               // on machines, in each second
-  std::vector<HolderChange> holder_changes;
+  std::map<std::string, RoleUsage> roles;  // all regions' processes of a role together
+  std::vector<std::map<std::string, RoleUsage>> region_roles;
+  double peak_memory_mb = 0;                     // of all processes together
+  std::vector<double> starts_per_s;              // in each second, all regions
+  std::vector<double> starts_per_s_with_warmup;  // the same from the beginning on
+  std::vector<double> tasks;                     // on machines, in each second
+  std::vector<ShardLeaderChange> shard_leader_changes;
   std::vector<FaultRecord> faults;
-  std::vector<Json> regions, states;  // final messages, by region
+  std::vector<Json> region_reports, key_value_store_reports;  // final messages, by region
   uint64_t link_bytes = 0;
-  int ended_by_themselves = 0;
-  std::vector<std::string> broken_rules;
+  int unexpected_exits = 0;
+  std::vector<std::string> rule_violations;
 };
 
-enum class WaitsOf : uint8_t { all, outside_spells };
+enum class WaitFilter : uint8_t { all, excluding_outages };
 // Seconds until tasks ran, by load; all, or without those that waited while nothing could start.
-std::map<std::string, std::vector<float>> waits_of(const Results& results, WaitsOf which);
+std::map<std::string, std::vector<float>> start_waits(const Results& results, WaitFilter filter);
 
-Json results_json(const Experiment& plan, const Results& results);
-void print_table(std::ostream& out, const Experiment& plan, const Results& results);
+Json results_json(const ExperimentPlan& plan, const Results& results);
+void print_table(std::ostream& out, const ExperimentPlan& plan, const Results& results);
 
 }  // namespace damsonport::loadtest
--- a/tools/loadtest/team_use.hpp
+++ b/tools/loadtest/team_usage.hpp
@@ -7,13 +7,13 @@
 
 namespace damsonport::loadtest {
 
-class TeamUse {
+class TeamUsage {
  public:
   // Maps the memory; processes forked later share it.
-  explicit TeamUse(size_t teams);
-  ~TeamUse();
-  TeamUse(const TeamUse&) = delete;
-  TeamUse& operator=(const TeamUse&) = delete;
+  explicit TeamUsage(size_t teams);
+  ~TeamUsage();
+  TeamUsage(const TeamUsage&) = delete;
+  TeamUsage& operator=(const TeamUsage&) = delete;
 
   struct Amounts {
     double cpus = 0, gpus = 0;
@@ -24,12 +24,12 @@
 
  private:
   // In thousandths.
-  struct Row {
+  struct Counters {
     std::atomic<int64_t> cpus, gpus, peak_cpus, peak_gpus;
   };
   static_assert(std::atomic<int64_t>::is_always_lock_free);
   size_t bytes_;
-  Row* rows_;
+  Counters* counters_;
 };
 
 }  // namespace damsonport::loadtest
--- a/tools/loadtest/users.cpp
+++ b/tools/loadtest/users.cpp
@@ -12,33 +12,35 @@
 
 namespace {
 
-constexpr double retry_s = 1, users_try_s = 60;
+constexpr double retry_delay_s = 1, submission_timeout_s = 60;
 const std::string user_host = "users";
 
 }  // namespace
 
-Users::Users(const Experiment& plan, size_t region, RealTimeWorld& world,
+Users::Users(const ExperimentPlan& plan, size_t region, RealTimeWorld& world,
              simulation::SimulatedFleet& fleet)
     : plan_(plan), region_(region), world_(world), fleet_(fleet) {}
 
-std::string Users::node_host(size_t node) const { return addresses::controller(region_, node); }
+std::string Users::controller_host(size_t controller) const {
+  return addresses::controller(region_, controller);
+}
 
-void Users::begin() {
+void Users::start() {
   for (auto& load : plan_.loads) {
     auto& in = load.regions;
     if (!in.empty() && std::find(in.begin(), in.end(), region_) == in.end()) continue;
-    if (load.jobs_per_s > 0) world_.at(load.from_s, [this, &load] { schedule(load); });
+    if (load.jobs_per_s > 0) world_.at(load.from_s, [this, &load] { schedule_next_job(load); });
   }
   if (plan_.polls_per_s[region_] > 0) world_.in(1, [this] { poll(); });
 }
 
 // Arrivals are independent of one another.
-void Users::schedule(const Load& load) {
+void Users::schedule_next_job(const Load& load) {
   const double gap = -std::log(world_.uniform(1e-9, 1)) / load.jobs_per_s;
   world_.in(gap, [this, &load] {
     if (world_.now() >= load.until_s) return;
     submit(load);
-    schedule(load);
+    schedule_next_job(load);
   });
 }
 
@@ -67,57 +69,60 @@
   fleet_.rules().on_submission(spec);
   auto& job = jobs_[spec.id];
   job.load = &load;
-  job.at = world_.now();
+  job.submitted_at = world_.now();
   job.started.resize(spec.tasks);
-  send(spec.id, world_.random64() % plan_.controllers[region_], world_.now());
+  send_submission(spec.id, world_.random64() % plan_.controllers[region_], world_.now());
 }
 
-void Users::send(const std::string& id, size_t node, double since) {
-  const double asked = world_.now();
-  world_.ask(user_host, node_host(node), Method::post, "/api/jobs",
+void Users::send_submission(const std::string& id, size_t controller, double first_attempt_at) {
+  const double sent_at = world_.now();
+  world_.ask(user_host, controller_host(controller), Method::post, "/api/jobs",
              encode(simulation::submission_of(*fleet_.rules().spec(id))),
-             [this, id, node, since, asked](const HttpReply& reply) {
-               ++answers_[fmt::format("submission {}", reply.status)];
-               fleet_.rules().on_answer(id, reply.status, "queued", asked);
+             [this, id, controller, first_attempt_at, sent_at](const HttpReply& reply) {
+               ++response_counts_[fmt::format("submission {}", reply.status)];
+               fleet_.rules().on_answer(id, reply.status, "queued", sent_at);
                auto& job = jobs_.at(id);
                if (reply.status == 200 || reply.status == 201) {
                  if (std::exchange(job.accepted, true)) return;
                  ++accepted_;
-                 known_.push_back(id);
-                 if (measured()) accept_times_.push_back(static_cast<float>(world_.now() - job.at));
+                 accepted_jobs_.push_back(id);
+                 if (measured())
+                   accept_times_.push_back(static_cast<float>(world_.now() - job.submitted_at));
                  if (world_.uniform(0, 1) < job.load->cancelled_share)
                    world_.in(world_.uniform(2, 20), [this, id] { cancel(id, 0); });
                  return;
                }
-               const bool final = reply.status == 400 || reply.status == 422;
-               if (final || world_.now() - since > users_try_s) return;
-               world_.in(retry_s, [this, id, node, since] {
-                 send(id, (node + 1) % plan_.controllers[region_], since);
+               const bool rejected = reply.status == 400 || reply.status == 422;
+               if (rejected || world_.now() - first_attempt_at > submission_timeout_s) return;
+               world_.in(retry_delay_s, [this, id, controller, first_attempt_at] {
+                 send_submission(id, (controller + 1) % plan_.controllers[region_],
+                                 first_attempt_at);
                });
              });
 }
 
-void Users::cancel(const std::string& id, size_t node) {
+void Users::cancel(const std::string& id, size_t controller) {
   if (!jobs_.at(id).cancelled) fleet_.rules().on_cancel_request(id);
   jobs_.at(id).cancelled = true;
-  const double asked = world_.now();
-  world_.ask(user_host, node_host(node), Method::post, "/api/jobs/" + id + "/cancel", {},
-             [this, id, node, asked](const HttpReply& reply) {
+  const double sent_at = world_.now();
+  world_.ask(user_host, controller_host(controller), Method::post, "/api/jobs/" + id + "/cancel",
+             {}, [this, id, controller, sent_at](const HttpReply& reply) {
                if (reply.status == 200) {
                  auto m = decode_map(reply.body);
-                 fleet_.rules().on_answer(id, 200, m.value("status", std::string()), asked);
+                 fleet_.rules().on_answer(id, 200, m.value("status", std::string()), sent_at);
                  return;
                }
-               world_.in(retry_s,
-                         [this, id, node] { cancel(id, (node + 1) % plan_.controllers[region_]); });
+               world_.in(retry_delay_s, [this, id, controller] {
+                 cancel(id, (controller + 1) % plan_.controllers[region_]);
+               });
              });
 }
 
 void Users::cancel_services(size_t count) {
   constexpr double within_s = 1;
-  for (auto& id : known_) {
+  for (auto& id : accepted_jobs_) {
     if (count == 0) return;
-    const Submitted& job = jobs_.at(id);
+    const SubmittedJob& job = jobs_.at(id);
     if (job.cancelled || !job.load->service) continue;
     --count;
     world_.in(world_.uniform(0, within_s), [this, id] { cancel(id, 0); });
@@ -126,28 +131,29 @@
 
 void Users::poll() {
   world_.in(1 / plan_.polls_per_s[region_], [this] { poll(); });
-  if (known_.empty()) return;
-  const auto id = known_[world_.random64() % known_.size()];
-  const size_t node = world_.random64() % plan_.controllers[region_];
-  const double asked = world_.now();
-  world_.ask(user_host, node_host(node), Method::get, "/api/jobs/" + id, {},
-             [this, id, asked](const HttpReply& reply) {
-               ++answers_[fmt::format("poll {}", reply.status)];
+  if (accepted_jobs_.empty()) return;
+  const auto id = accepted_jobs_[world_.random64() % accepted_jobs_.size()];
+  const size_t controller = world_.random64() % plan_.controllers[region_];
+  const double sent_at = world_.now();
+  world_.ask(user_host, controller_host(controller), Method::get, "/api/jobs/" + id, {},
+             [this, id, sent_at](const HttpReply& reply) {
+               ++response_counts_[fmt::format("poll {}", reply.status)];
                if (reply.status != 200 && reply.status != 404) return;
                auto m = decode_map(reply.body);
                const auto status = m.is_object() ? m.value("status", std::string()) : std::string();
-               fleet_.rules().on_answer(id, reply.status, status, asked);
+               fleet_.rules().on_answer(id, reply.status, status, sent_at);
              });
 }
 
-void Users::started(const TaskId& task) {
+void Users::on_task_started(const TaskId& task) {
   ++starts_;
   auto it = jobs_.find(task.job);
   if (it == jobs_.end() || it->second.started[task.index]) return;
   it->second.started[task.index] = true;
-  if (it->second.at >= plan_.warmup_s)
+  if (it->second.submitted_at >= plan_.warmup_s)
     waits_[it->second.load->name].push_back(
-        {static_cast<float>(it->second.at), static_cast<float>(world_.now() - it->second.at)});
+        {static_cast<float>(it->second.submitted_at),
+         static_cast<float>(world_.now() - it->second.submitted_at)});
 }
 
 }  // namespace damsonport::loadtest
--- a/tools/loadtest/users.hpp
+++ b/tools/loadtest/users.hpp
@@ -5,24 +5,24 @@
 #include <string>
 #include <vector>
 
-#include "experiment.hpp"
+#include "experiment_plan.hpp"
 #include "real_time_world.hpp"
 #include "simulation/simulated_fleet.hpp"
 
 namespace damsonport::loadtest {
 
 // Measured values, kept whole so that quantiles are exact.
-using Values = std::vector<float>;
+using Samples = std::vector<float>;
 
 class Users {
  public:
-  Users(const Experiment& plan, size_t region, RealTimeWorld& world,
+  Users(const ExperimentPlan& plan, size_t region, RealTimeWorld& world,
         simulation::SimulatedFleet& fleet);
-  void begin();
+  void start();
   // Calls off so many services that run, the oldest first, within a second.
   void cancel_services(size_t count);
   // Called when a task is on its machine.
-  void started(const TaskId& task);
+  void on_task_started(const TaskId& task);
 
   uint64_t starts() const { return starts_; }
   uint64_t submitted() const { return next_job_; }
@@ -33,35 +33,35 @@
   };
   // By load; after the warm-up.
   const std::map<std::string, std::vector<Wait>>& waits() const { return waits_; }
-  const Values& accept_times() const { return accept_times_; }
+  const Samples& accept_times() const { return accept_times_; }
   // Answers by status, of submissions and of polls.
-  const std::map<std::string, uint64_t>& answers() const { return answers_; }
+  const std::map<std::string, uint64_t>& response_counts() const { return response_counts_; }
 
  private:
-  struct Submitted {
+  struct SubmittedJob {
     const Load* load;
-    double at;
+    double submitted_at;
     bool accepted = false, cancelled = false;
     std::vector<bool> started;
   };
-  void schedule(const Load& load);
+  void schedule_next_job(const Load& load);
   void submit(const Load& load);
-  void send(const std::string& job, size_t node, double since);
-  void cancel(const std::string& job, size_t node);
+  void send_submission(const std::string& job, size_t controller, double first_attempt_at);
+  void cancel(const std::string& job, size_t controller);
   void poll();
   bool measured() const { return world_.now() >= plan_.warmup_s; }
-  std::string node_host(size_t node) const;
+  std::string controller_host(size_t controller) const;
 
-  const Experiment& plan_;
+  const ExperimentPlan& plan_;
   size_t region_;
   RealTimeWorld& world_;
   simulation::SimulatedFleet& fleet_;
-  std::map<std::string, Submitted> jobs_;
-  std::vector<std::string> known_;  // accepted jobs, to be polled
+  std::map<std::string, SubmittedJob> jobs_;
+  std::vector<std::string> accepted_jobs_;  // accepted jobs, to be polled
   uint64_t next_job_ = 0, starts_ = 0, accepted_ = 0;
   std::map<std::string, std::vector<Wait>> waits_;
-  Values accept_times_;
-  std::map<std::string, uint64_t> answers_;
+  Samples accept_times_;
+  std::map<std::string, uint64_t> response_counts_;
 };
 
 }  // namespace damsonport::loadtest
