--- a/tools/fit_slopes.py
+++ b/tools/fit_slopes.py
@@ -1,7 +1,10 @@
 #!/usr/bin/env python3
-"""Least squares over the results of experiments/ that vary one thing; prints tables for docs/CAPACITY.md.
+"""Fits a line by least squares to the results of the experiments that vary one quantity.
 
-    tools/fit_slopes.py      (from the root of the repository)
+Reads experiments/results/slope-*.json and prints the tables for docs/CAPACITY.md. Run at the root
+of the repository:
+
+    tools/fit_slopes.py
 """
 import json
 import pathlib
@@ -10,7 +13,7 @@
 
 
 def fit(points):
-    """Slope, intercept and the largest residual."""
+    """Returns slope, intercept and the largest absolute residual of the points (x, y)."""
     n = len(points)
     mean_x = sum(x for x, _ in points) / n
     mean_y = sum(y for _, y in points) / n
@@ -22,14 +25,17 @@
 
 
 def role(name, field):
+    """Returns a function that reads a field of a role in region `r` of the results `d`."""
     return lambda d, r: d["regions"][r]["roles"].get(name, {}).get(field, 0)
 
 
 def watch_bytes(d, r):
+    """Bytes a second that the simulated key-value store sends in responses to watches."""
     return d["regions"][r]["state"]["traffic"].get("watch", [0, 0, 0])[2] / d["seconds"]
 
 
 def worker_bytes(d, r):
+    """Bytes a second of one worker's heartbeats and commands, both directions, headers included."""
     site = d["regions"][r]["site"]
     header_bytes = 230
     sums = [site["asked"].get("hello", [0, 0, 0]), site["served"].get("commands", [0, 0, 0])]
@@ -51,6 +57,7 @@
 
 
 def table(name, sizes):
+    """Prints one experiment; `sizes` are the values of the varied quantity, one for each region."""
     run = json.loads((RESULTS / f"slope-{name}.json").read_text())
     print(f"\n### {name}\n")
     print("| figure | " + " | ".join(f"{x:.0f}" for x in sizes)
--- a/tools/make_experiments.py
+++ b/tools/make_experiments.py
@@ -1,7 +1,9 @@
 #!/usr/bin/env python3
-"""Writes the plans of experiments/ that differ only in size, so that their figures can be compared.
+"""Writes the plans of experiments/ that differ only in size, so that their results can be compared.
 
-    tools/make_experiments.py      (from the root of the repository)
+Run at the root of the repository:
+
+    tools/make_experiments.py
 """
 import pathlib
 
@@ -94,7 +96,11 @@
 
 
 def mix(workers, fill_s, starts_per_s, urgent_per_s=1.0, more=""):
-    """Loads of one region: standing replicas, batch arrays and urgent work; 24 tasks a worker."""
+    """Loads of one region: services with and without accelerators, batch jobs and short urgent jobs.
+
+    Together they fill the region with about 24 tasks for each worker. The services are submitted in
+    the first `fill_s` seconds; batch jobs then start `starts_per_s` tasks a second.
+    """
     gpu_tasks = workers * 5 / 16 * 8 * 0.9
     batch_run = 30
     batch_tasks = starts_per_s * batch_run
@@ -124,7 +130,7 @@
 
 
 def slopes():
-    """Four sizes of one thing side by side: regions that have nothing to do with one another."""
+    """Experiments with four independent regions that differ in the size of one quantity."""
     def side_by_side(name, title, workers, controllers, polls, starts, fill_s, seconds):
         loads = "".join(mix(workers[r], fill_s, starts[r], 1, more=f"regions = [{r}]")
                         for r in range(4))
@@ -142,19 +148,19 @@
 
 
 def peak():
-    """The target's peak of starts, all in one region of its size."""
+    """The peak rate of task starts that is the target, all in one region of the target's size."""
     for rate in (800, 1600, 3200):
         fill_s = 2500 * 24 / rate
         plan(f"peak-{rate}.toml", f"one region, 2,500 workers, {rate} starts a second", 2500, 2,
              seconds=round(fill_s) + 25, warmup=4, rps=4000, write_rps=2000,
              loads=mix(2500, fill_s, 0, 2))
-    # A region that carries a third more, since another one is lost.
+    # A region with a third more workers, because it takes over the load of a lost region.
     plan("lost-3334.toml", "one region, 3,334 workers, 1,600 starts a second", 3334, 2, seconds=85,
          warmup=4, rps=4000, write_rps=2000, loads=mix(3334, 3334 * 24 / 1600, 0, 2))
 
 
 def region():
-    """One region of the size that the operators run, and half as large again."""
+    """One region of the size that the operators run, and one that is half as large again."""
     for workers in (4000, 6000):
         loads = mix(workers, 60, workers * 0.08, 1)
         faults = "".join(
@@ -171,6 +177,7 @@
 
 
 def scale():
+    """Four regions with shared team limits, 1,000 to 10,000 workers, with faults and without."""
     for workers in (250, 625, 1250, 2500):
         busy = load("busy-team", "normal", 60, workers / 2500 * 0.8, run=25, start=60,
                     more="teams = [0]")
--- a/tools/make_replica_experiment.py
+++ b/tools/make_replica_experiment.py
@@ -1,6 +1,10 @@
 #!/usr/bin/env python3
-"""Writes experiments/replicas.toml: five regions whose controllers know of replicas of two parts, and
-five whose controllers don't, with the same faults at times drawn for each pair."""
+"""Prints the plan experiments/replicas.toml on standard output.
+
+In five regions the controllers have the replicas file with replicas of two parts, in five others
+they don't. Each region of the first five is paired with one of the others: both get the same faults
+at the same random times.
+"""
 
 import random
 import sys
--- a/tools/scale_site.py
+++ b/tools/scale_site.py
@@ -1,21 +1,22 @@
 #!/usr/bin/env python3
-"""Makes a copy of a bench site file with higher counts: machines, capacity, jobs and teams' limits.
+"""Copies a bench site file and multiplies its counts: machines, capacity, jobs and teams' limits.
 
     tools/scale_site.py SITE.toml FACTOR OUT.toml [--state] [--core]
 
---state: the state service's rates are multiplied, too. --core: each controller has a whole core.
-The copy stays outside the repository, beside the files that the site names.
+--state also multiplies the request rates of the key-value store. --core gives each controller a
+whole core. Write the copy outside the repository, beside the files that the site file names.
 """
 import argparse
 import re
 
-# Fields to be multiplied, by section.
+# The fields to multiply, by section of the site file.
 COUNTS = {"capacity": ("count", "spot"), "machines": ("count",), "teams": ("gpus", "gpus_max",
           "cpus", "cpus_max"), "jobs": ("initial",), "nodes": ("max_connections", "memory_mb")}
 STATE = {"state": ("rps", "write_rps")}
 
 
 def multiplied(line, fields, factor):
+    """Returns the line with its number multiplied if it assigns one of the fields."""
     match = re.match(r"(\w+) = ([0-9.]+)\s*$", line)
     if not match or match.group(1) not in fields:
         return line
