--- a/tests/load_tool_test.cpp
+++ b/tests/load_tool_test.cpp
@@ -1,4 +1,5 @@
-// The load and experiment tool: its plans, its quantiles, and the check of limits over processes.
+// Tests of the load tool: plans, quantiles, waits outside outages, and the usage of teams that is
+// summed over processes.
 #include <gtest/gtest.h>
 
 #include "experiment_plan.hpp"
@@ -52,6 +53,7 @@
   EXPECT_EQ(plan->faults[0].kind, FaultKind::cut_regions);
 }
 
+// The complete plan with the first occurrence of `old_text` replaced.
 std::string replaced(const std::string& old_text, const std::string& new_text) {
   std::string text = complete_plan;
   text.replace(text.find(old_text), old_text.size(), new_text);
@@ -92,7 +94,7 @@
   ASSERT_FALSE(plan);
   EXPECT_NE(plan.error().find("9 processes, of 8"), std::string::npos) << plan.error();
   plan = parse_plan("max_processes = 201\n" + complete_plan);
-  ASSERT_FALSE(plan) << "the bound itself is bounded";
+  ASSERT_FALSE(plan) << "a plan must not raise the limit of 200 processes";
 }
 
 TEST(Quantiles, AreExactOrderStatistics) {
--- a/tools/loadtest/child_process.cpp
+++ b/tools/loadtest/child_process.cpp
@@ -17,12 +17,12 @@
   size_t done = 0;
   while (done < line.size()) {
     const ssize_t n = write(fd, line.data() + done, line.size() - done);
-    if (n <= 0) return;  // the other side is gone
+    if (n <= 0) return;  // other end closed
     done += static_cast<size_t>(n);
   }
 }
 
-// Appends what can be read now; false at the end of the stream.
+// Appends all bytes that can be read without blocking. Returns false at the end of the stream.
 bool read_available(int fd, std::string& buffer) {
   char block[65536];
   for (;;) {
@@ -33,6 +33,7 @@
   }
 }
 
+// Removes the complete lines from the buffer and parses each as JSON.
 std::vector<Json> take_lines(std::string& buffer) {
   std::vector<Json> out;
   size_t from = 0;
@@ -57,9 +58,9 @@
 ChildProcess::ChildProcess(std::string name, const Body& body) : name_(std::move(name)) {
   int commands[2], messages[2];
   if (pipe2(commands, O_CLOEXEC) != 0 || pipe2(messages, O_CLOEXEC) != 0)
-    throw std::runtime_error("no pipe is to be had");
+    throw std::runtime_error("cannot create a pipe");
   pid_ = fork();
-  if (pid_ < 0) throw std::runtime_error("no process is to be had");
+  if (pid_ < 0) throw std::runtime_error("cannot fork a child process");
   if (pid_ == 0) {
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     signal(SIGINT, SIG_IGN);
--- a/tools/loadtest/controller_processes.cpp
+++ b/tools/loadtest/controller_processes.cpp
@@ -37,7 +37,7 @@
   std::ifstream stat(fmt::format("/proc/{}/stat", pid));
   std::string text;
   if (!std::getline(stat, text)) return out;
-  // Behind the name, which may have blanks in it.
+  // The fields after the process name, which ends at the last ')' and may contain spaces.
   std::istringstream fields(text.substr(text.rfind(')') + 2));
   std::string skipped;
   constexpr int before_times = 11;
@@ -139,7 +139,8 @@
   out << ")\n";
 }
 
-// Controllers of other regions are found by way of the link.
+// Gives the addresses of the region's own controllers as they are, and those of other regions'
+// controllers as the addresses of the link process, which adds the delay between regions.
 void ControllerProcesses::write_regions(size_t region) const {
   std::ofstream out(fmt::format("{}/{}.regions", directory_, addresses::region_name(region)));
   out << "(regions\n";
@@ -163,7 +164,7 @@
   const auto regions =
       fmt::format("{}/{}.regions", directory_, addresses::region_name(process.region));
   const pid_t pid = fork();
-  if (pid < 0) throw std::runtime_error("no process is to be had");
+  if (pid < 0) throw std::runtime_error("cannot fork a controller process");
   if (pid == 0) {
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     const int fd = open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
@@ -207,7 +208,8 @@
   int ended = 0;
   for (auto& process : processes_) {
     if (process.pid == 0 || waitpid(process.pid, nullptr, WNOHANG) != process.pid) continue;
-    spdlog::error("{} has ended by itself; its log: {}", process.name, path(process, ".log"));
+    spdlog::error("controller {} exited unexpectedly; log file: {}", process.name,
+                  path(process, ".log"));
     process.pid = 0;
     process.restart_at = now + restart_pause_s;
     ++ended;
--- a/tools/loadtest/controller_processes.hpp
+++ b/tools/loadtest/controller_processes.hpp
@@ -1,4 +1,5 @@
-// The real controller processes of an experiment: their files, their lives and what they take.
+/// The real controller processes of an experiment: writes their settings files, starts, signals and
+/// restarts them, and reads their processor time and memory.
 #pragma once
 #include <sys/types.h>
 
@@ -10,37 +11,45 @@
 
 namespace damsonport::loadtest {
 
-// What a process has taken, as the kernel counts it.
+/// Processor time since the start of a process and its present resident memory, from /proc.
 struct ProcessUsage {
   double user_s = 0, system_s = 0, resident_mb = 0;
   double cpu_s() const { return user_s + system_s; }
 };
-// Nothing where the process is gone.
+/// All figures are 0 if the process doesn't exist.
 ProcessUsage read_process_usage(pid_t pid);
 
+/// Owns the controller processes of all regions and kills them when it is destroyed.
 class ControllerProcesses {
  public:
-  // `directory`: for settings and logs. `program`: the controller.
+  /// Writes the settings files of all controllers, but starts none. `plan` must outlive this
+  /// object. `directory` receives settings and logs; `program` is the path of the controller's
+  /// executable.
   ControllerProcesses(const ExperimentPlan& plan, std::string directory, std::string program);
   ~ControllerProcesses();
   ControllerProcesses(const ControllerProcesses&) = delete;
   ControllerProcesses& operator=(const ControllerProcesses&) = delete;
 
+  /// One controller, which may be started several times in a run.
   struct Process {
     std::string name;
     size_t region = 0;
     std::string host;
-    pid_t pid = 0;
-    double previous_runs_cpu_s = 0;  // of its earlier lives
-    double restart_at = 0;           // ended by itself; 0: no
+    pid_t pid = 0;                   // 0 while not running
+    double previous_runs_cpu_s = 0;  // of earlier processes of this controller
+    double restart_at = 0;           // after an unexpected exit; 0 if none
   };
+  /// Throws if no child process can be forked.
   void start(Process& process);
+  /// Kills with SIGKILL and waits for the end. Does nothing if the controller isn't running.
   void kill(Process& process);
+  /// Does nothing if the controller isn't running.
   void signal(const Process& process, int number);
-  // Of a region; without a name, all of it.
+  /// The region's controllers with this name; all controllers of the region if the name is empty.
   std::vector<Process*> find(size_t region, const std::string& name = {});
   std::vector<Process>& all() { return processes_; }
-  // Those that ended by themselves since the last call; started again after a while.
+  /// Returns how many controllers have exited unexpectedly since the last call, and starts each
+  /// again after a pause. `now` is in seconds since the start of the run.
   int restart_exited(double now);
 
  private:
--- a/tools/loadtest/emulator_loop.hpp
+++ b/tools/loadtest/emulator_loop.hpp
@@ -1,4 +1,4 @@
-// What the emulator's processes have in common: a loop that hears the parent.
+/// The event loop of the load tool's child processes, which also reads the parent's commands.
 #pragma once
 #include <event2/event.h>
 
@@ -9,14 +9,16 @@
 
 namespace damsonport::loadtest {
 
+/// Finishes by itself when the parent is gone.
 class EmulatorLoop {
  public:
+  /// `parent` must outlive the loop. `on_command` is called in `run` for each command.
   EmulatorLoop(ParentChannel& parent, std::function<void(const Json&)> on_command);
   ~EmulatorLoop();
   EmulatorLoop(const EmulatorLoop&) = delete;
   EmulatorLoop& operator=(const EmulatorLoop&) = delete;
   EventLoop& loop() { return loop_; }
-  // Until `finish`; `every_second` is called once a second.
+  /// Runs until `finish` is called, and calls `every_second` once a second.
   void run(std::function<void()> every_second);
   void finish() { event_base_loopbreak(loop_.base()); }
 
--- a/tools/loadtest/experiment_plan.cpp
+++ b/tools/loadtest/experiment_plan.cpp
@@ -15,21 +15,22 @@
 
 constexpr int max_process_limit = 200;
 constexpr double max_memory_share = 0.5;
-// Estimates of what one worker, task and controller take, from experiments/results.
+// Memory of one worker, task and process; estimated from the runs in experiments/results.
 constexpr double worker_kb = 220, task_kb = 3.5, process_mb = 40;
 
+// Of the host that the tool runs on.
 double host_memory_mb() {
   struct sysinfo info {};
   sysinfo(&info);
   return static_cast<double>(info.totalram) * info.mem_unit / (1024 * 1024);
 }
 
-// What plans have beside the fields of settings.
+// Adds the kinds of fields that plans have and controllers' settings don't.
 class PlanReader : public TomlReader {
  public:
   using TomlReader::TomlReader;
 
-  // One number for all, or a list with one for each.
+  // Reads one number for all regions or a list with one number for each region.
   std::vector<double> numbers_by_region(const TomlTable& t, const char* key, size_t count,
                                         double low, double high) {
     auto* list = (*t.values)[key].as_array();
@@ -43,6 +44,7 @@
     out.resize(count, low);
     return out;
   }
+  // Reads a list of indexes below `count`. Empty if the field is missing.
   std::vector<size_t> indexes(const TomlTable& t, const char* key, size_t count) {
     std::vector<size_t> out;
     if (!t.contains(key)) return out;
@@ -59,7 +61,7 @@
     }
     return out;
   }
-  // A word of a list.
+  // Reads a text that must be one of the keys of `choices`.
   template <class T>
   T one_of(const TomlTable& t, const char* key, const std::map<std::string, T>& choices) {
     auto it = choices.find(text(t, key));
@@ -75,6 +77,7 @@
                                                     {"normal", Priority::normal},
                                                     {"high", Priority::high},
                                                     {"production", Priority::production}};
+// Plans say "holder" for the shard leader and "state" for the key-value store.
 const std::map<std::string, FaultKind> fault_kinds = {
     {"kill_holder", FaultKind::kill_shard_leader},
     {"kill_region", FaultKind::kill_region},
@@ -189,7 +192,7 @@
   }
 }
 
-// `file`: the entries of the operators' file.
+// The field `file` has the entries of the replicas file that operators write.
 void read_replicas(PlanReader& r, const TomlTable& root, ExperimentPlan& out) {
   out.replica_policies_enabled.assign(out.regions, true);
   if (!root.contains("replicas")) return;
@@ -222,7 +225,8 @@
 
 int ExperimentPlan::process_count() const {
   const size_t all = std::accumulate(controllers.begin(), controllers.end(), size_t{0});
-  // This one, one for each region's workers and one for its state service, one for the links.
+  // The tool itself, two for each region (workers with cloud and users, key-value store), the
+  // controllers, and one for the links if there are several regions.
   return static_cast<int>(1 + 2 * regions + all + (regions > 1 ? 1 : 0));
 }
 
--- a/tools/loadtest/experiment_plan.hpp
+++ b/tools/loadtest/experiment_plan.hpp
@@ -1,4 +1,4 @@
-// The plan of an experiment, as its file says. See experiments/README.md for the fields.
+/// The plan of an experiment, parsed from a TOML file. experiments/README.md describes the fields.
 #pragma once
 #include <string>
 #include <vector>
@@ -9,74 +9,81 @@
 
 namespace damsonport::loadtest {
 
-// Jobs of one kind that come to some regions at a steady rate.
+/// Jobs of one kind that users submit at a constant mean rate. Times are in seconds since the start
+/// of the run.
 struct Load {
   std::string name;
   Priority priority = Priority::normal;
   bool service = false;
-  uint32_t tasks = 1;       // of a job on average
-  double tasks_spread = 0;  // a job's number lies within this share of it
+  uint32_t tasks = 1;       // mean of a job
+  double tasks_spread = 0;  // largest deviation from `tasks`, as a share of it
   double cpus = 0, gpus = 0, memory_gb = 0;
   double image_gb = 1;
-  double run_s = 0;       // of a task, give or take a quarter; 0 for services
+  double run_s = 0;       // of a task, varied by up to a quarter; 0 for services
   double jobs_per_s = 0;  // in each region
   double from_s = 0, until_s = 0;
-  std::vector<size_t> regions;  // empty: all
-  double cancelled_share = 0;   // jobs that their users cancel
-  std::vector<size_t> teams;    // positions; empty: all
+  std::vector<size_t> regions;  // all if empty
+  double cancelled_share = 0;   // of the jobs, by their users
+  std::vector<size_t> teams;    // indexes; all if empty
 };
 
+/// "Holder" in plans is the shard leader of a region.
 enum class FaultKind : uint8_t {
-  kill_shard_leader,       // of a region; started again after `for_s`
-  kill_region,             // all its controllers
-  pause_shard_leader,      // stopped by a signal, and continued
-  cut_regions,             // nothing passes between two regions' controllers
-  hang_zone,               // the workers of one zone stand still
-  key_value_store_outage,  // of a region's state service
-  cancel_jobs,             // users call off so many running services within a second
-  kill_machines            // so many, drawn from those with parts of replicas, are lost
+  kill_shard_leader,       // of a region; restarted after `for_s`
+  kill_region,             // all controllers of a region
+  pause_shard_leader,      // SIGSTOP, then SIGCONT after `for_s`
+  cut_regions,             // no traffic between the controllers of two regions
+  hang_zone,               // the workers of one zone stop responding for `for_s`
+  key_value_store_outage,  // of a region
+  cancel_jobs,             // `count` running services, by their users, within 1 s
+  kill_machines            // loss of `count` random machines with parts of replicas
 };
 
+/// A fault to inject at `at_s` seconds after the start of the run.
 struct Fault {
   FaultKind kind = FaultKind::kill_shard_leader;
   double at_s = 0, for_s = 5;
   size_t region = 0, other_region = 0, zone = 0;
-  size_t count = 0;  // jobs
+  size_t count = 0;  // jobs or machines
 };
 
+/// A valid plan, in which all region indexes are in range and the resource limits are kept.
 struct ExperimentPlan {
   std::string title;
-  double seconds = 60;
-  double warmup_s = 20;  // figures are taken after it
+  double seconds = 60;   // duration of the run with its warm-up
+  double warmup_s = 20;  // measurements begin after it
   uint64_t seed = 1;
-  // Bounds on the tool and all that it starts.
+  // Limits on the tool together with all processes that it starts.
   double max_memory_mb = 0;
   int max_processes = 0;
 
   size_t regions = 1, zones = 1;
   std::vector<size_t> controllers;  // by region
   std::vector<int> workers;         // by region
-  std::vector<double> polls_per_s;  // of jobs drawn at random, by region
+  std::vector<double> polls_per_s;  // of random accepted jobs, by region
   double link_delay_s = 0.04;       // one way, between regions
   bool divide_limits = true;
 
-  // What all controllers are told; addresses and names are filled in for each.
+  /// The settings that all controllers share; addresses and names are added for each controller.
   Settings settings;
   std::vector<MachineType> machines;
-  std::vector<double> machine_share;  // of the workers, by type
+  std::vector<double> machine_share;  // of the workers, by index in `machines`; any scale
   std::vector<Load> loads;
   std::vector<Fault> faults;
-  // By region: whether the controllers are told of the classes whose replicas have several parts.
-  // Where they aren't, what becomes of the parts is only measured.
+  /// By region: whether the controllers get the replicas file, which lists the classes of jobs
+  /// whose replicas have several parts. Without the file, the states of the parts are only measured
+  /// and not checked. The plan's field is `replicas.in_force`.
   std::vector<bool> replica_policies_enabled;
 
+  /// All processes of a run, including the tool itself.
   int process_count() const;
-  // A generous estimate, from the sizes measured.
+  /// An upper estimate for all processes together.
   double estimated_memory_mb() const;
 };
 
-// Errors name the field.
+/// An error names the field that is wrong, or the line if the text isn't TOML.
 Result<ExperimentPlan> parse_plan(const std::string& toml_text);
+/// Reads the file and parses it.
 Result<ExperimentPlan> load_plan(const std::string& path);
 
 }  // namespace damsonport::loadtest
--- a/tools/loadtest/experiment_run.cpp
+++ b/tools/loadtest/experiment_run.cpp
@@ -16,7 +16,7 @@
 
 constexpr double poll_interval_s = 0.05, progress_interval_s = 5, final_message_timeout_s = 30;
 
-// Of the clock that all processes share.
+// Seconds of CLOCK_MONOTONIC, which is the same in all processes.
 double steady_now() {
   timespec ts{};
   clock_gettime(CLOCK_MONOTONIC, &ts);
@@ -147,7 +147,7 @@
     scheduled_actions_.push_back({fault.at_s, [this, &fault] { inject_fault(fault); }});
 }
 
-// --- what is heard and measured
+// --- messages and measurements
 
 void ExperimentRun::read_messages() {
   for (size_t r = 0; r < plan_.regions; ++r) {
@@ -194,7 +194,7 @@
   results_.region_roles[region][role].add_second(used, now.resident_mb);
 }
 
-// Called once a second.
+// Must be called once a second: the processor time since the last call counts as that of a second.
 void ExperimentRun::sample(bool measured) {
   double memory_mb = read_process_usage(getpid()).resident_mb;
   for (auto& process : controllers_->all()) {
@@ -270,7 +270,7 @@
   for (size_t r = 0; r < plan_.regions; ++r) {
     if (!results_.region_reports[r].is_object() ||
         !results_.key_value_store_reports[r].is_object()) {
-      results_.rule_violations.push_back(fmt::format("region {} gave no final word", r));
+      results_.rule_violations.push_back(fmt::format("region {} sent no final report", r));
       results_.region_reports[r] = {{"waits", Json::object()},
                                     {"accept_times", Json::array()},
                                     {"asked", Json::object()},
@@ -292,7 +292,7 @@
     usleep(static_cast<useconds_t>(poll_interval_s * 1e6));
     read_messages();
     results_.unexpected_exits += controllers_->restart_exited(elapsed());
-    // A fault may add its own end.
+    // By index, because an action may append further ones, such as the end of a fault.
     for (size_t i = 0; i < scheduled_actions_.size(); ++i) {
       if (scheduled_actions_[i].at_s > elapsed()) continue;
       auto action = std::move(scheduled_actions_[i].action);
--- a/tools/loadtest/key_value_store_process.cpp
+++ b/tools/loadtest/key_value_store_process.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Keys and bytes of the records, by the prefix of their names.
+// Number and bytes of the records, by the prefix of their keys.
 Json stored_json(const simulation::KeyValueStore& store) {
   std::map<std::string, std::pair<size_t, size_t>> sums;
   for (auto& [key, record] : store.all()) {
--- a/tools/loadtest/link_process.cpp
+++ b/tools/loadtest/link_process.cpp
@@ -1,5 +1,5 @@
-// The network between regions: each stream is passed on with a delay; a cut closes the streams
-// between two regions and takes no new ones.
+// The network between regions: a TCP proxy that forwards bytes with the delay of the link. While
+// two regions are cut, their streams are closed and new connections are refused.
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
 #include <event2/listener.h>
@@ -29,6 +29,7 @@
   return address;
 }
 
+// Listens at one address for each pair of a region and a controller of another region.
 class RegionLinks {
  public:
   RegionLinks(const ExperimentPlan& plan, ParentChannel& parent)
@@ -44,18 +45,20 @@
   }
 
  private:
+  // Accepts connections of the pair's first region to one controller of its second region.
   struct Listener {
     RegionLinks* links;
     RegionPair pair;
-    std::string target;
+    std::string target;  // address of the controller
   };
-  // One direction is enough: controllers only send on the streams that they open.
+  // A forwarded connection. One direction is enough, because controllers only send on the streams
+  // that they open.
   struct Stream {
     RegionLinks* links = nullptr;
     RegionPair pair;
     bufferevent* in = nullptr;
     bufferevent* out = nullptr;
-    std::deque<std::pair<double, std::string>> delayed;
+    std::deque<std::pair<double, std::string>> delayed;  // due time in seconds, bytes
     event* timer = nullptr;
     ~Stream() {
       if (in) bufferevent_free(in);
@@ -119,6 +122,7 @@
     if (stream.delayed.size() == 1) forward_due(stream);
   }
 
+  // Forwards the bytes whose delay is over, and sets the timer for the next ones.
   static void forward_due(Stream& stream) {
     const double now = stream.links->emulator_.loop().now();
     while (!stream.delayed.empty() && stream.delayed.front().first <= now) {
@@ -165,7 +169,7 @@
 }  // namespace
 
 void run_region_links(const ExperimentPlan& plan, ParentChannel& parent) {
-  // Never taken apart: the process ends with it.
+  // Leaked on purpose: the process ends when `run` returns.
   auto* links = new RegionLinks(plan, parent);
   links->run();
 }
--- a/tools/loadtest/main.cpp
+++ b/tools/loadtest/main.cpp
@@ -1,5 +1,4 @@
-// damsonport-loadtest: plays an experiment with real controllers and hollow workers on this
-// machine.
+// damsonport-loadtest: runs an experiment with real controllers and simulated workers on this host.
 #include <signal.h>
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
@@ -19,13 +18,14 @@
 
 volatile bool stop_requested = false;
 
-// The one beside this tool, as CMake builds both.
+// Path of the controller in the build directory of this tool.
 std::string default_controller() {
   std::error_code ignored;
   const auto self = std::filesystem::read_symlink("/proc/self/exe", ignored);
   return (self.parent_path() / ".." / ".." / "damsonport").lexically_normal().string();
 }
 
+// Creates the wanted directory, or a new temporary one if the path is empty. Returns its path.
 std::string make_directory(const std::string& wanted) {
   if (!wanted.empty()) {
     std::filesystem::create_directories(wanted);
@@ -38,14 +38,17 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"damsonport-loadtest: plays an experiment with real controllers and hollow workers"};
+  CLI::App app{
+      "damsonport-loadtest: runs an experiment with real controllers and simulated workers"};
   std::string file, results_file, directory, program = default_controller();
   bool check = false;
-  app.add_option("experiment", file, "the plan (TOML), see experiments/README.md")->required();
-  app.add_option("--results", results_file, "where the figures go (JSON)");
-  app.add_option("--directory", directory, "for settings and logs; a new one by default");
-  app.add_option("--controller", program, "the controllers' program");
-  app.add_flag("--check", check, "check the plan and end");
+  app.add_option("experiment", file, "plan of the experiment (TOML), see experiments/README.md")
+      ->required();
+  app.add_option("--results", results_file, "output file for the results (JSON)");
+  app.add_option("--directory", directory,
+                 "directory for settings and logs; a new temporary one by default");
+  app.add_option("--controller", program, "path of the controller's executable");
+  app.add_flag("--check", check, "check the plan and exit");
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
@@ -63,7 +66,7 @@
     return 0;
   }
   if (!std::filesystem::exists(program)) {
-    std::cerr << "--controller: there is no " << program << "\n";
+    std::cerr << "--controller: no such file: " << program << "\n";
     return exit_bad_plan;
   }
   damsonport::ensure_open_files(std::numeric_limits<int>::max());
--- a/tools/loadtest/real_time_world.cpp
+++ b/tools/loadtest/real_time_world.cpp
@@ -11,7 +11,7 @@
 constexpr size_t max_body = size_t{1024} * 1024, max_connections = 256;
 constexpr double idle_timeout_s = 120, request_timeout_s = 15;
 
-// "/api/jobs/run-1/cancel" and its like are one kind.
+// The kind under which a request is counted; paths that differ only in ids are of one kind.
 std::string traffic_kind(Method method, const std::string& target) {
   const auto path = target.substr(0, target.find('?'));
   if (path.starts_with("/api/jobs/")) return path.ends_with("/cancel") ? "cancellation" : "poll";
@@ -30,15 +30,15 @@
   return out;
 }
 
-// The answer of a handler that may come later.
+// The reply of a handler, which may come after the handler returns.
 struct RealTimeWorld::PendingReply {
   std::coroutine_handle<> waiter;
   HttpReply value;
   bool done = false;
 };
 
-// Waits for it. Holds the reply by pointer: an awaiter that is awaited through one is copied by
-// this compiler.
+// Waits for a pending reply. Holds the reply by shared pointer, because this compiler copies an
+// awaiter that is awaited through a pointer, and the copies must share one reply.
 struct RealTimeWorld::ReplyAwaiter {
   std::shared_ptr<PendingReply> reply;
 
@@ -62,7 +62,7 @@
 }
 
 void RealTimeWorld::arm_timer() {
-  // What is asked for from outside `act` waits for the next look at the least.
+  // Events that were added outside `run_in_world` don't set the timer, so it must expire regularly.
   constexpr double max_delay_s = 0.01;
   timer_->arm(std::clamp(next_event() - elapsed(), 0.0, max_delay_s));
 }
@@ -85,7 +85,7 @@
 
 void RealTimeWorld::vanish(const std::string& host) {
   handlers_.erase(host);
-  // Not from inside one of its requests.
+  // The server is destroyed later, because this call may come from inside one of its requests.
   if (auto it = servers_.find(host); it != servers_.end()) {
     auto server = std::make_shared<std::unique_ptr<EventHttpServer>>(std::move(it->second));
     servers_.erase(it);
--- a/tools/loadtest/region_process.cpp
+++ b/tools/loadtest/region_process.cpp
@@ -10,8 +10,10 @@
 
 namespace {
 
+// CPUs and accelerators; covers rounding in the sums of a team's usage.
 constexpr double quota_tolerance = 1e-6;
 
+// The simulated cloud, workers and users of one region.
 class RegionProcess {
  public:
   RegionProcess(const ExperimentPlan& plan, size_t region, TeamUsage& usage, ParentChannel& parent)
@@ -59,7 +61,7 @@
     return s;
   }
 
-  // By type in their shares, and in the zones by turns.
+  // Adds the planned number of workers: machine types in proportion to their shares, zones in turn.
   void add_workers() {
     double all = 0;
     for (double share : plan_.machine_share) all += share;
@@ -75,6 +77,8 @@
     }
   }
 
+  // Called when a task starts or ends; reports a violation if a start takes the team over its limit
+  // in all regions together.
   void record_team_usage(const std::string& team, double cpus, double gpus) {
     const size_t index = std::stoul(team.substr(team.find('-') + 1));
     const auto now = team_usage_.add(index, cpus, gpus);
@@ -88,7 +92,7 @@
                                                     " accelerators over all regions");
   }
 
-  // Drawn from those with parts of replicas.
+  // Removes up to `count` random machines that have running parts of replicas.
   void kill_machines(size_t count) {
     std::vector<simulation::Worker*> candidates;
     for (auto& [id, worker] : fleet_->workers()) {
@@ -168,7 +172,7 @@
     if (plan_.workers[region_] <= max_workers_shown) message["placement"] = placement();
     parent_.send(message);
   }
-  // Tasks by machine, for plans small enough to be looked at.
+  // The tasks on each machine, for plans that are small enough to print them.
   Json placement() const {
     Json out = Json::object();
     for (auto& [id, worker] : fleet_->workers()) {
@@ -197,7 +201,7 @@
 
 void run_region(const ExperimentPlan& plan, size_t region, TeamUsage& usage,
                 ParentChannel& parent) {
-  // Never taken apart: the process ends with it.
+  // Leaked on purpose: the process ends when `run` returns.
   auto* process = new RegionProcess(plan, region, usage, parent);
   process->run();
 }
--- a/tools/loadtest/results.cpp
+++ b/tools/loadtest/results.cpp
@@ -23,7 +23,7 @@
   return out;
 }
 
-// Of one region, by load.
+// Quantiles of the waits of one region, by load, from the region's final message.
 Json waits_json(const Json& region) {
   Json out = Json::object();
   for (auto& [load, values] : region.at("waits").items()) {
@@ -43,7 +43,7 @@
   return values.empty() ? 0 : *std::max_element(values.begin(), values.end());
 }
 
-// The largest mean over so many values in a row.
+// The largest mean of `count` consecutive values; 0 if there are fewer values.
 double max_window_mean(const std::vector<double>& values, size_t count) {
   double best = 0, sum = 0;
   for (size_t i = 0; i < values.size(); ++i) {
@@ -60,7 +60,7 @@
   return sum;
 }
 
-// Bytes a second to and from one worker for control, headers included.
+// Bytes a second of one worker's heartbeats and commands, both directions, headers included.
 double worker_bytes_per_s(const ExperimentPlan& plan, const Results& results) {
   double bytes = 0, workers = 0;
   for (auto& region : results.region_reports) {
@@ -75,7 +75,8 @@
   return workers > 0 ? bytes / workers / plan.seconds : 0;
 }
 
-// Sum of all regions' parts of each team's limit: all of them where nothing is under way.
+// Checks the sums of each team's quota units over all regions: all units if no transfer is in
+// flight, fewer if one is, and never more.
 Json quotas_json(const Results& results) {
   std::map<std::string, std::pair<uint64_t, uint64_t>> quota_sums;
   uint64_t pairs_with_transfers = 0;
@@ -146,7 +147,8 @@
 }
 
 namespace {
-// Of replicas that lost a part, over all regions whose controllers know of them, or don't.
+// Figures of replicas that lost a part, over the regions whose controllers have the replicas file,
+// or over those whose controllers don't.
 Json replicas_json(const ExperimentPlan& plan, const Results& results, bool enabled) {
   std::vector<float> whole, complete;
   double half_s = 0;
--- a/tools/loadtest/team_usage.cpp
+++ b/tools/loadtest/team_usage.cpp
@@ -14,6 +14,7 @@
 
 int64_t to_thousandths(double amount) { return std::llround(amount * thousandths_per_unit); }
 
+// Sets the peak to the value if the value is larger.
 void raise_to(std::atomic<int64_t>& peak, int64_t value) {
   int64_t seen = peak.load();
   while (seen < value && !peak.compare_exchange_weak(seen, value)) {
@@ -24,7 +25,7 @@
 
 TeamUsage::TeamUsage(size_t teams) : bytes_(sizeof(Counters) * teams) {
   void* memory = mmap(nullptr, bytes_, PROT_READ | PROT_WRITE, MAP_SHARED | MAP_ANONYMOUS, -1, 0);
-  if (memory == MAP_FAILED) throw std::runtime_error("no shared memory is to be had");
+  if (memory == MAP_FAILED) throw std::runtime_error("cannot map shared memory");
   counters_ = static_cast<Counters*>(memory);
   for (size_t i = 0; i < teams; ++i) new (counters_ + i) Counters{};
 }
--- a/tools/loadtest/users.cpp
+++ b/tools/loadtest/users.cpp
@@ -34,7 +34,7 @@
   if (plan_.polls_per_s[region_] > 0) world_.in(1, [this] { poll(); });
 }
 
-// Arrivals are independent of one another.
+// Arrivals are a Poisson process: the gaps are exponentially distributed.
 void Users::schedule_next_job(const Load& load) {
   const double gap = -std::log(world_.uniform(1e-9, 1)) / load.jobs_per_s;
   world_.in(gap, [this, &load] {
@@ -45,6 +45,7 @@
 }
 
 void Users::submit(const Load& load) {
+  // Job ids are unique across regions.
   constexpr uint64_t jobs_of_a_region = 10000000;
   JobSpec spec;
   spec.id = fmt::format("run-{}", (region_ + 1) * jobs_of_a_region + next_job_++);
