--- a/src/protocol/frame.hpp
+++ b/src/protocol/frame.hpp
@@ -9,9 +9,9 @@
 
 /// State of the frame at the front of the buffered bytes of a stream.
 enum class FrameStatus : uint8_t {
-  partial,  ///< more bytes are needed
-  whole,    ///< all bytes of the frame are buffered
-  bad,      ///< the bytes are not a valid frame, and the stream must be closed
+  incomplete,  ///< more bytes are needed
+  complete,    ///< all bytes of the frame are buffered
+  malformed,   ///< the bytes are not a valid frame, and the stream must be closed
 };
 
 /// Returns the frame with this body.
--- a/src/protocol/peer_heartbeat.hpp
+++ b/src/protocol/peer_heartbeat.hpp
@@ -21,8 +21,8 @@
   uint64_t writes_per_s = 0;        ///< write rate that the sender needs from the key-value store
   uint64_t fencing_token = 0;       ///< token of the shard lease that the sender holds; 0: none
 
-  // Echo of the receiver's own clock. From it, the receiver determines a time on its own clock
-  // before which every cancellation that was sent to it has arrived.
+  // Fields for one receiver. From the echo of its own clock, the receiver determines a time before
+  // which every cancellation that was sent to it has arrived.
   uint64_t sent_ms = 0;           ///< time of sending on the sender's steady clock
   uint64_t echo_incarnation = 0;  ///< incarnation of the receiver to which `echo_ms` belongs
   uint64_t echo_ms = 0;           ///< newest `sent_ms` that the sender got from the receiver
--- a/src/protocol/region_message.hpp
+++ b/src/protocol/region_message.hpp
@@ -30,8 +30,8 @@
   std::string receiver;        ///< name of the receiver's region
   std::string controller;      ///< name of the sending controller, the leader of `region`
   uint64_t fencing_token = 0;  ///< token of the region's leader
-  uint64_t sequence_number =
-      0;  ///< grows within one token; together they order a region's messages
+  /// Grows within one fencing token. Fencing token and sequence number order a region's messages.
+  uint64_t sequence_number = 0;
   std::vector<TeamExchange> teams;
 };
 
--- a/src/protocol/user_messages.hpp
+++ b/src/protocol/user_messages.hpp
@@ -26,9 +26,9 @@
 /// Specification of a job: the fields that a user submits, and the fields that the controller adds
 /// when it accepts the job.
 struct JobSpec {
-  std::string id;         ///< "ref"; see valid_job_id()
-  std::string job_class;  ///< "berth": class of the job; objectives apply to classes
-  std::string team;       ///< "owner"
+  std::string id;                        ///< "ref"; see valid_job_id()
+  std::string job_class;                 ///< "berth": class of the job; objectives apply to classes
+  std::string team;                      ///< "owner"
   JobKind kind = JobKind::batch;         ///< "shape"
   Priority priority = Priority::normal;  ///< "rank"
   uint32_t tasks = 1;                    ///< "hands": number of tasks
--- a/src/transport/loop.hpp
+++ b/src/transport/loop.hpp
@@ -13,7 +13,7 @@
 
 namespace damsonport {
 
-/// One-shot timer. It belongs to a loop and calls its callback once after it was armed.
+/// One-shot timer of a loop. It calls its callback once each time that it is armed.
 class Timer {
  public:
   using Callback = void (*)(void*);
