--- a/src/protocol/cloud_messages.cpp
+++ b/src/protocol/cloud_messages.cpp
@@ -47,7 +47,7 @@
 }
 
 // Returns the wire name of the first required field that is missing or invalid, or nullptr if all
-// required fields are valid. An invalid optional field counts as absent.
+// required fields are valid. Errors in optional fields are not reported.
 const char* decode_machine_type(const Json& map, MachineType& out) {
   if (!map.is_object() || !cbor::read(map, wire::type_name, out.name)) return wire::type_name;
   if (!cbor::read(map, wire::cpus, out.cpus)) return wire::cpus;
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -174,7 +174,7 @@
     listener = std::make_unique<EventStreamListener>(loop, endpoint, 2, receive);
   }
   ASSERT_TRUE(listener->listening());
-  EventStreamLink link(loop, at);
+  EventStreamLink link(loop, endpoint);
   auto stop_after_timeout = [&]() -> Task<void> {
     co_await Sleep(loop, 20, loop.stop_token());
     loop.stop();
