--- a/simulation/cloud.cpp
+++ b/simulation/cloud.cpp
@@ -12,7 +12,7 @@
 constexpr double rate_burst_s = 2;  // calls in a burst, in seconds of the rate
 constexpr double min_snapshot_interval_s = 0.5;
 
-std::string field_of(const std::map<std::string, std::string>& query, const std::string& name) {
+std::string query_field(const std::map<std::string, std::string>& query, const std::string& name) {
   auto it = query.find(name);
   return it == query.end() ? std::string() : it->second;
 }
@@ -72,9 +72,9 @@
 
 HttpReply Cloud::list(const std::string& target) {
   const auto query = query_of(target);
-  const auto limit = field_of(query, "limit");
+  const auto limit = query_field(query, "limit");
   const size_t most = limit.empty() ? page_size_ : std::min<size_t>(page_size_, std::stoul(limit));
-  return {200, encode(list_page(field_of(query, "since"), most))};
+  return {200, encode(list_page(query_field(query, "since"), most))};
 }
 
 Json Cloud::list_now() const {
--- a/simulation/key_value_store.cpp
+++ b/simulation/key_value_store.cpp
@@ -14,12 +14,12 @@
 constexpr std::string_view record_path = "/keys/";
 constexpr std::string_view lease_path = "/grants/";
 
-std::string field_of(const std::map<std::string, std::string>& query, const std::string& name) {
+std::string query_field(const std::map<std::string, std::string>& query, const std::string& name) {
   auto it = query.find(name);
   return it == query.end() ? std::string() : it->second;
 }
 
-uint64_t lease_of_write(const Json& write) {
+uint64_t lease_id_of(const Json& write) {
   return write.contains("permit") ? write["permit"].get<uint64_t>() : 0;
 }
 }  // namespace
@@ -78,17 +78,17 @@
   world_.cancel(it->second.expiry);
   leases_.erase(it);
   ++revision_;
-  std::vector<std::string> ended_keys;
-  for (auto& [key, lease] : lease_of_)
-    if (lease == id) ended_keys.push_back(key);
-  for (auto& key : ended_keys) remove(key);
+  std::vector<std::string> expired_keys;
+  for (auto& [key, lease] : lease_by_key_)
+    if (lease == id) expired_keys.push_back(key);
+  for (auto& key : expired_keys) remove(key);
   respond_to_watches();
 }
 
 void KeyValueStore::put(const std::string& key, const Json& value, uint64_t lease) {
   records_[key] = {value, revision_};
-  lease_of_.erase(key);
-  if (lease) lease_of_[key] = lease;
+  lease_by_key_.erase(key);
+  if (lease) lease_by_key_[key] = lease;
   changes_.push_back({key, value, revision_});
   if (on_change) on_change(key, value);
 }
@@ -101,7 +101,7 @@
 
 void KeyValueStore::remove(const std::string& key) {
   records_.erase(key);
-  lease_of_.erase(key);
+  lease_by_key_.erase(key);
   changes_.push_back({key, Json(), revision_});
   if (on_change) on_change(key, Json());
 }
@@ -172,17 +172,17 @@
 HttpReply KeyValueStore::get(const std::string& key) const {
   auto record = records_.find(key);
   if (record == records_.end()) return {404, encode({{"ledger", revision_}})};
-  auto lease = lease_of_.find(key);
+  auto lease = lease_by_key_.find(key);
   return {200, encode({{"path", key},
                        {"data", record->second.value},
                        {"stamp", record->second.revision},
-                       {"permit", lease == lease_of_.end() ? 0 : lease->second}})};
+                       {"permit", lease == lease_by_key_.end() ? 0 : lease->second}})};
 }
 
 HttpReply KeyValueStore::list(const Query& query) const {
-  const auto prefix = field_of(query, "starts");
-  const auto since = field_of(query, "since");
-  const auto limit_text = field_of(query, "limit");
+  const auto prefix = query_field(query, "starts");
+  const auto since = query_field(query, "since");
+  const auto limit_text = query_field(query, "limit");
   const size_t limit = limit_text.empty() ? default_list_limit : std::stoul(limit_text);
   Json pairs = Json::array();
   bool more = false;
@@ -202,7 +202,7 @@
   const bool misses_changes =
       changes_.size() >= max_kept_changes && changes_.front().revision > since + 1;
   if (misses_changes) return respond({410, {}});
-  const Watch watch{++last_watch_id_, from, field_of(query, "starts"), since, respond};
+  const Watch watch{++last_watch_id_, from, query_field(query, "starts"), since, respond};
   if (respond_to_watch(watch, ResponseCondition::only_with_changes)) return;
   watches_.push_back(watch);
   const double wait_s = std::stod(query.at("block_ms")) / 1000;
@@ -267,7 +267,7 @@
   if (!write.contains("set")) return std::nullopt;
   if (static_cast<double>(write["data"].dump().size()) > limits_.value_bytes())
     return refuse_for_size();
-  if (write.contains("permit") && !leases_.contains(lease_of_write(write)))
+  if (write.contains("permit") && !leases_.contains(lease_id_of(write)))
     return HttpReply{400, encode({{"error", "no such lease"}})};
   return std::nullopt;
 }
@@ -291,7 +291,7 @@
   if (!writes.empty()) ++revision_;
   for (auto& write : writes) {
     if (write.contains("set")) {
-      put(write["set"], write["data"], lease_of_write(write));
+      put(write["set"], write["data"], lease_id_of(write));
     } else if (records_.contains(write.at("remove"))) {
       remove(write.at("remove"));
     }
--- a/simulation/key_value_store.hpp
+++ b/simulation/key_value_store.hpp
@@ -124,7 +124,7 @@
   std::string transaction_fault_host_;
   double delay_s_ = 0.004;
   std::map<std::string, Record> records_;
-  std::map<std::string, uint64_t> lease_of_;  // lease id by key
+  std::map<std::string, uint64_t> lease_by_key_;
   std::map<uint64_t, Lease> leases_;
   std::deque<Change> changes_;  // the newest changes, oldest first, for watches
   uint64_t revision_ = 100;
--- a/simulation/replica_checker.hpp
+++ b/simulation/replica_checker.hpp
@@ -18,7 +18,7 @@
 class ReplicaChecker {
  public:
   /// Called with the name of the violated rule and a description.
-  using OnViolation = std::function<void(const std::string& rule, const std::string& what)>;
+  using OnViolation = std::function<void(const std::string& rule, const std::string& description)>;
   ReplicaChecker(World& world, OnViolation on_violation)
       : world_(world), on_violation_(std::move(on_violation)) {}
 
@@ -46,8 +46,8 @@
   uint32_t whole(const JobSpec& spec) const;
   /// The number of claims that were checked.
   int claims() const { return claims_; }
-  /// The number of repairs of the job, which are replicas that became whole again after the loss of
-  /// a part, and the duration of the longest repair in seconds.
+  /// The number of repairs of the job, and the duration of the longest one in seconds. A repair ends
+  /// when a replica that lost a part is whole again.
   int repairs(const std::string& job) const;
   double longest_repair_s(const std::string& job) const;
 
--- a/simulation/rule_checker.cpp
+++ b/simulation/rule_checker.cpp
@@ -23,8 +23,8 @@
   return it == specs_.end() ? nullptr : &it->second;
 }
 
-void RuleChecker::report_violation(const std::string& rule, const std::string& what) {
-  violations_.push_back(rule + " at " + std::to_string(world_.now()) + ": " + what);
+void RuleChecker::report_violation(const std::string& rule, const std::string& description) {
+  violations_.push_back(rule + " at " + std::to_string(world_.now()) + ": " + description);
 }
 
 bool RuleChecker::ended_as(const std::string& job, const std::string& state) const {
--- a/simulation/rule_checker.hpp
+++ b/simulation/rule_checker.hpp
@@ -27,9 +27,9 @@
  public:
   /// `settings` must outlive the checker.
   RuleChecker(World& world, const Settings& settings)
-      : world_(world),
-        settings_(settings),
-        replicas_(world, [this](auto& rule, auto& what) { report_violation(rule, what); }) {}
+      : world_(world), settings_(settings), replicas_(world, [this](auto& rule, auto& description) {
+          report_violation(rule, description);
+        }) {}
 
   // --- called by users
 
@@ -58,7 +58,7 @@
   // --- results
 
   /// Records the violation of a rule with the current time of the world.
-  void report_violation(const std::string& rule, const std::string& what);
+  void report_violation(const std::string& rule, const std::string& description);
   const std::vector<std::string>& violations() const { return violations_; }
   ReplicaChecker& replicas() { return replicas_; }
   /// Returns the job as its user submitted it, or null if nobody has submitted it.
--- a/simulation/simulated_fleet.cpp
+++ b/simulation/simulated_fleet.cpp
@@ -5,29 +5,29 @@
 namespace damsonport::simulation {
 
 namespace {
-constexpr int first_id = 100000;
-constexpr int machines_in_a_subnet = 200;
+constexpr int first_machine_id = 100000;
+constexpr int machines_per_subnet = 200;
 
 MachineInfo make_machine(int number, const std::string& address_prefix) {
   MachineInfo machine;
-  machine.id = "i-" + std::to_string(first_id + number);
-  machine.address = address_prefix + std::to_string(number / machines_in_a_subnet) + "." +
-                    std::to_string(number % machines_in_a_subnet) + ":9000";
+  machine.id = "i-" + std::to_string(first_machine_id + number);
+  machine.address = address_prefix + std::to_string(number / machines_per_subnet) + "." +
+                    std::to_string(number % machines_per_subnet) + ":9000";
   return machine;
 }
 }  // namespace
 
-SimulatedFleet::SimulatedFleet(World& world, const Settings& own_settings,
+SimulatedFleet::SimulatedFleet(World& world, const Settings& shared_settings,
                                std::vector<MachineType> machine_types,
-                               std::vector<ControllerAddress> own_controllers,
+                               std::vector<ControllerAddress> all_controllers,
                                std::string address_prefix)
-    : settings(own_settings),
-      controllers(std::move(own_controllers)),
+    : settings(shared_settings),
+      controllers(std::move(all_controllers)),
       world_(world),
       address_prefix_(std::move(address_prefix)),
-      rules_(world, own_settings),
+      rules_(world, shared_settings),
       gangs_(world, *this),
-      cloud_(world, own_settings, std::move(machine_types), *this) {}
+      cloud_(world, shared_settings, std::move(machine_types), *this) {}
 
 Worker& SimulatedFleet::add(const std::string& type, const std::string& zone, bool spot) {
   MachineInfo machine = make_machine(++last_number_, address_prefix_);
--- a/simulation/virtual_controller.cpp
+++ b/simulation/virtual_controller.cpp
@@ -16,13 +16,13 @@
 }
 
 void VirtualController::start() {
-  constexpr double max_wall_error_s = 0.02;
+  constexpr double max_wall_offset_s = 0.02;
   auto& process = *processes_.emplace_back(std::make_unique<Process>(Process{settings_, regions_}));
   loop_ = std::make_unique<VirtualLoop>(world_, name(),
                                         std::seed_seq{static_cast<unsigned>(world_.random64()),
                                                       static_cast<unsigned>(world_.random64())},
                                         clock_rate_,
-                                        world_.uniform(-max_wall_error_s, max_wall_error_s));
+                                        world_.uniform(-max_wall_offset_s, max_wall_offset_s));
   network_ = std::make_unique<VirtualNetwork>(*loop_, host(), streams_);
   controller_ = std::make_unique<Controller>(*loop_, *network_, process.settings,
                                              process.regions ? &*process.regions : nullptr);
@@ -37,14 +37,14 @@
   return claims;
 }
 
-void VirtualController::crash(double for_s) {
+void VirtualController::crash(double downtime_s) {
   if (!controller_) return;
   network_->end();
   loop_->stop();
   ended_loops_.push_back(std::move(loop_));
   ended_networks_.push_back(std::move(network_));
   ended_controllers_.push_back(std::move(controller_));
-  world_.in(for_s, [this] { start(); });
+  world_.in(downtime_s, [this] { start(); });
 }
 
 }  // namespace damsonport::simulation
--- a/simulation/virtual_controller.hpp
+++ b/simulation/virtual_controller.hpp
@@ -23,8 +23,8 @@
   /// Starts a new controller process with the current settings.
   void start();
   /// Ends the process at once, so that none of its messages reaches the world any more, and starts
-  /// a new one after `for_s` seconds.
-  void crash(double for_s);
+  /// a new one after `downtime_s` seconds.
+  void crash(double downtime_s);
   bool running() const { return controller_ != nullptr; }
   /// Pauses the process while its clocks run on.
   void stall(double seconds) {
--- a/simulation/virtual_network.hpp
+++ b/simulation/virtual_network.hpp
@@ -12,13 +12,13 @@
 namespace damsonport::simulation {
 
 /// The event loop of one controller. Its steady clock advances by `rate` seconds in a second of the
-/// world. Its wall clock is off by `wall_off` seconds.
+/// world. Its wall clock is off by `wall_offset` seconds.
 class VirtualLoop : public Loop {
  public:
-  VirtualLoop(World& world, std::string name, std::seed_seq&& seed, double rate, double wall_off)
-      : Loop(seed), world_(world), name_(std::move(name)), rate_(rate), wall_off_(wall_off) {}
+  VirtualLoop(World& world, std::string name, std::seed_seq&& seed, double rate, double wall_offset)
+      : Loop(seed), world_(world), name_(std::move(name)), rate_(rate), wall_offset_(wall_offset) {}
   double now() const override { return 1000 + world_.now() * rate_; }
-  double wall() const override { return 1.7e9 + world_.now() + wall_off_; }
+  double wall() const override { return 1.7e9 + world_.now() + wall_offset_; }
   std::unique_ptr<Timer> timer(Timer::Fire fire, void* argument) override;
   double rate() const { return rate_; }
   World& world() { return world_; }
@@ -36,7 +36,7 @@
   World& world_;
   std::string name_;
   double rate_;
-  double wall_off_;
+  double wall_offset_;
   double stalled_until_ = 0;
 };
 
--- a/simulation/worker.hpp
+++ b/simulation/worker.hpp
@@ -61,7 +61,7 @@
   bool is_ready_for_gang(const TaskAttempt& attempt) const;
   /// Marks a waiting task as running.
   void run_gang_task(const TaskAttempt& attempt);
-  /// Ends the task, or on a hung machine when the machine resumes.
+  /// Ends the task at once, or when a hung machine resumes.
   void end_gang_task(const TaskAttempt& attempt, ExitCause cause, bool saved);
 
   const std::string id;
--- a/tests/scenarios/scenario_checks.cpp
+++ b/tests/scenarios/scenario_checks.cpp
@@ -41,7 +41,7 @@
   if (const Handler handler = handler_of(event.verb)) {
     (this->*handler)(event);
   } else {
-    add_mismatch(event, "is not known");
+    add_mismatch(event, "is an unknown expectation");
   }
   if (!mismatches_.empty()) add_failure("at " + std::to_string(world_.now()) + " " + mismatches_);
 }
@@ -50,14 +50,16 @@
 void ScenarioChecks::check_machines_returned(const ScenarioEvent& event) {
   const int returned = deployment_.fleet().cloud().returned();
   if (!parse_count_range(event.target).contains(returned))
-    add_mismatch(event, event.target + ", but " + std::to_string(returned) + " are returned");
+    add_mismatch(event, event.target + " expected, but " + std::to_string(returned) +
+                            " machines were returned");
 }
 
 // rented N, or rented FROM..TO: the number of machines rented so far
 void ScenarioChecks::check_machines_rented(const ScenarioEvent& event) {
   const int rented = deployment_.fleet().cloud().rented();
   if (!parse_count_range(event.target).contains(rented))
-    add_mismatch(event, event.target + ", but " + std::to_string(rented) + " were");
+    add_mismatch(
+        event, event.target + " expected, but " + std::to_string(rented) + " machines were rented");
 }
 
 // sessions N [of=MACHINES]: the agent epoch of each worker
@@ -65,7 +67,8 @@
   for (auto* worker : deployment_.select_machines(event.options.text("of", "machines"))) {
     const auto epoch = std::to_string(worker->agent_epoch());
     if (epoch != event.target)
-      add_mismatch(event, event.target + ", but " + worker->id + " is in " + epoch);
+      add_mismatch(event,
+                   event.target + " expected, but " + worker->id + " is in agent epoch " + epoch);
   }
 }
 
@@ -74,14 +77,15 @@
   for (auto& job : expand_names(event.target)) {
     const int writes = deployment_.record_writes(job);
     if (writes == 0 || writes > event.options.integer("most"))
-      add_mismatch(event, "of " + job + ": " + std::to_string(writes));
+      add_mismatch(event, "to records of " + job + ": " + std::to_string(writes));
   }
 }
 
 // refused_for_size N: the number of requests to the key-value store
 void ScenarioChecks::check_refused_for_size(const ScenarioEvent& event) {
   const auto refused = std::to_string(deployment_.store().refused_for_size());
-  if (refused != event.target) add_mismatch(event, event.target + ", but " + refused + " were");
+  if (refused != event.target)
+    add_mismatch(event, event.target + " expected, but " + refused + " requests were refused");
 }
 
 // served: every accepted job that wasn't cancelled is done or runs, and users get responses about
@@ -107,7 +111,7 @@
                             std::to_string(spec.tasks) + " replicas run");
   const auto responded_at = rules.last_response_at(spec.id);
   if (!responded_at || world_.now() - *responded_at > max_response_age_s)
-    add_mismatch(event, "nobody answers about " + spec.id);
+    add_mismatch(event, "without a recent response to users about " + spec.id);
 }
 
 // running JOBS [tasks=N]: the number of running tasks of each job
@@ -123,7 +127,7 @@
 void ScenarioChecks::check_gone(const ScenarioEvent& event) {
   for (auto& job : expand_names(event.target))
     if (const int present = deployment_.count_tasks(job).present; present > 0)
-      add_mismatch(event, job + ", but " + std::to_string(present) + " are there");
+      add_mismatch(event, job + ", but " + std::to_string(present) + " tasks are on machines");
 }
 
 // told JOBS done|aborted: the final status in the responses to users
@@ -131,20 +135,21 @@
   const std::string& status = event.options.first_name();
   for (auto& job : expand_names(event.target))
     if (!deployment_.fleet().rules().ended_as(job, status))
-      add_mismatch(event, fmt::format("{} {}, but it was not", job, status));
+      add_mismatch(event, fmt::format("{} {} expected, but the final status differs", job, status));
 }
 
 // accepted JOBS: users got the confirmation of the submission
 void ScenarioChecks::check_accepted(const ScenarioEvent& event) {
   for (auto& job : expand_names(event.target))
     if (!deployment_.fleet().rules().is_accepted(job))
-      add_mismatch(event, job + ", but it was not");
+      add_mismatch(event, job + " expected, but it was not accepted");
 }
 
 // unaccepted JOBS: users got no confirmation of the submission
 void ScenarioChecks::check_unaccepted(const ScenarioEvent& event) {
   for (auto& job : expand_names(event.target))
-    if (deployment_.fleet().rules().is_accepted(job)) add_mismatch(event, job + ", but it was");
+    if (deployment_.fleet().rules().is_accepted(job))
+      add_mismatch(event, job + " expected, but it was accepted");
 }
 
 // shown JOB status=S running=N: the shard leader's response to a user now
@@ -172,7 +177,7 @@
 // late_starts N: the number of task starts after the confirmed cancellation of their job
 void ScenarioChecks::check_late_starts(const ScenarioEvent& event) {
   const auto starts = std::to_string(deployment_.fleet().rules().starts_after_cancellation());
-  if (starts != event.target) add_mismatch(event, event.target + ", but " + starts);
+  if (starts != event.target) add_mismatch(event, event.target + " expected, but " + starts);
 }
 
 // gang_starts JOBS [times=N]: the number of attempts that started to run
@@ -216,7 +221,7 @@
     if (!only_total) check_replica_count(event, job, whole);
   }
   if (only_total && total != static_cast<uint32_t>(event.options.number("total")))
-    mismatches_ += fmt::format("{} of {}: {} in all; ", event.verb, event.target, total);
+    mismatches_ += fmt::format("{} of {}: {} in total; ", event.verb, event.target, total);
 }
 
 void ScenarioChecks::check_replica_count(const ScenarioEvent& event, const std::string& job,
--- a/tests/scenarios/scenario_options.cpp
+++ b/tests/scenarios/scenario_options.cpp
@@ -53,9 +53,9 @@
 
 CountRange parse_count_range(const std::string& text) {
   const auto dots = text.find("..");
-  const int least = std::stoi(text);
-  if (dots == std::string::npos) return {least, least};
-  return {least, std::stoi(text.substr(dots + 2))};
+  const int min = std::stoi(text);
+  if (dots == std::string::npos) return {min, min};
+  return {min, std::stoi(text.substr(dots + 2))};
 }
 
 }  // namespace damsonport::simulation
--- a/tests/scenarios/scenario_options.hpp
+++ b/tests/scenarios/scenario_options.hpp
@@ -33,9 +33,9 @@
 
 /// An inclusive range of counts, written as "3" or "3..5".
 struct CountRange {
-  int least;
-  int most;
-  bool contains(int count) const { return least <= count && count <= most; }
+  int min;
+  int max;
+  bool contains(int count) const { return min <= count && count <= max; }
 };
 CountRange parse_count_range(const std::string& text);
 
