--- a/simulation/replica_checker.hpp
+++ b/simulation/replica_checker.hpp
@@ -46,8 +46,8 @@
   uint32_t whole(const JobSpec& spec) const;
   /// The number of claims that were checked.
   int claims() const { return claims_; }
-  /// The number of repairs of the job, and the duration of the longest one in seconds. A repair ends
-  /// when a replica that lost a part is whole again.
+  /// The number of repairs of the job, and the duration of the longest one in seconds. A repair
+  /// ends when a replica that lost a part is whole again.
   int repairs(const std::string& job) const;
   double longest_repair_s(const std::string& job) const;
 
