--- a/src/coordination/controller.cpp
+++ b/src/coordination/controller.cpp
@@ -135,7 +135,7 @@
   peer_network_.on_cancelled = [this](const std::string& job) {
     shard_leader_.on_peer_cancellation(job);
   };
-  regions_.on_records_due = [this] { shard_leader_.on_quota_update(); };
+  regions_.on_quota_changes_due = [this] { shard_leader_.on_quota_changes_due(); };
   cache_.events().on_assignment = [this](const std::string& machine, const Job& job,
                                          AssignmentChange change) {
     shard_leader_.assignment_changed(machine, job, change == AssignmentChange::added);
--- a/src/coordination/quotas/region_network.cpp
+++ b/src/coordination/quotas/region_network.cpp
@@ -52,7 +52,7 @@
     consumed += static_cast<long>(used);
     records_due |= quotas_.receive_message(message, loop_.now());
   }
-  if (records_due && on_records_due) on_records_due();
+  if (records_due && on_quota_changes_due) on_quota_changes_due();
   return consumed;
 }
 
--- a/src/coordination/quotas/region_network.hpp
+++ b/src/coordination/quotas/region_network.hpp
@@ -31,7 +31,7 @@
   /// Sends the next message without waiting for the period to end.
   void wake() { wake_.notify(); }
   /// Called when a received message requires a change of the quota records.
-  std::function<void()> on_records_due;
+  std::function<void()> on_quota_changes_due;
 
  private:
   // Handles all complete messages in `bytes`. Returns the number of bytes consumed, or -1 if the
--- a/src/coordination/shard_leader/shard_leader.cpp
+++ b/src/coordination/shard_leader/shard_leader.cpp
@@ -150,7 +150,7 @@
   next_scaling_at_ =
       lease_.acquired_at() + (is_first_lease ? 0 : 2 * settings_.heartbeat_interval_s);
   deps_.quotas.begin_lease();
-  quota_update_pending_ = true;
+  quota_changes_due_ = true;
   snapshot_builder_.begin_lease();
   finalizable_jobs_.clear();
   for (auto& [id, assigned] : cache_.assignments()) machine(id);
--- a/src/coordination/shard_leader/shard_leader.hpp
+++ b/src/coordination/shard_leader/shard_leader.hpp
@@ -98,7 +98,7 @@
   /// The job's record has been removed; the object is about to be destroyed.
   void job_gone(Job* job);
   /// Another region has transferred quota to this one, or requests some.
-  void on_quota_update();
+  void on_quota_changes_due();
   /// A peer reports that the job is cancelled, possibly before the records show it.
   void on_peer_cancellation(const std::string& job);
   /// States of all replicas of several parts; empty unless this controller leads the shard.
@@ -321,7 +321,7 @@
   std::vector<autoscaling::ResourceDemand> unschedulable_;
   uint64_t pending_tasks_ = 0;
   size_t jobs_with_uncommitted_starts_ = 0;  // number of jobs whose decided starts were postponed
-  bool quota_update_pending_ = false, deficit_announced_ = false;
+  bool quota_changes_due_ = false, deficit_announced_ = false;
   double next_quota_check_at_ = 0;
   double next_machine_list_at_ = 0, next_scaling_at_ = 0;
   bool scheduling_requested_ = true;
--- a/src/coordination/shard_leader/shard_leader_quotas.cpp
+++ b/src/coordination/shard_leader/shard_leader_quotas.cpp
@@ -19,8 +19,8 @@
   // If a controller of an older version took over, it would use the teams' whole limits.
   if (!deps_.versions.all_have_recorded(VersionRegistry::quotas)) co_return StepResult::idle;
   const double now = loop_.now();
-  if (!quota_update_pending_ && now < next_quota_check_at_) co_return StepResult::idle;
-  quota_update_pending_ = false;
+  if (!quota_changes_due_ && now < next_quota_check_at_) co_return StepResult::idle;
+  quota_changes_due_ = false;
   next_quota_check_at_ = now + settings_.heartbeat_interval_s * quota_check_intervals;
   deps_.quotas.measure(now);
   // One write fewer than the store accepts in a transaction.
@@ -35,7 +35,7 @@
   const CommitResult result =
       co_await commit_and_apply(std::move(transaction), stop_token, std::move(options));
   if (result == CommitResult::committed) scheduling_requested_ = true;
-  quota_update_pending_ = true;  // more changes may be due
+  quota_changes_due_ = true;  // more changes may be due
   deps_.regions.wake();
   co_return StepResult::busy;
 }
@@ -48,8 +48,8 @@
   deficit_announced_ = has_deficit;
 }
 
-void ShardLeader::on_quota_update() {
-  quota_update_pending_ = true;
+void ShardLeader::on_quota_changes_due() {
+  quota_changes_due_ = true;
   deps_.changed.notify();
 }
 
