--- a/src/coordination/replicas/replica_manager.cpp
+++ b/src/coordination/replicas/replica_manager.cpp
@@ -51,8 +51,9 @@
   std::vector<PartStatus> parts;
   for (auto& task : job.live_tasks(replica)) {
     PartStatus part{true, task.attempt, false, 0};
-    const Machine* machine = facts_.find_machine(task.machine);
-    const bool has_heartbeat = machine && machine->agent_epoch != 0 && !facts_.has_ended(task);
+    const Machine* machine = task_states_.find_machine(task.machine);
+    const bool has_heartbeat =
+        machine && machine->agent_epoch != 0 && !task_states_.has_ended(task);
     if (has_heartbeat) {
       auto reported = machine->tasks.find(task.id);
       part.running = reported != machine->tasks.end() && reported->second.attempt == task.attempt &&
@@ -173,7 +174,7 @@
 bool ReplicaManager::on_draining_machine(const Job& job, TaskRange replica) const {
   const auto parts = job.live_tasks(replica);
   return std::any_of(parts.begin(), parts.end(), [&](const PlacedTask& part) {
-    const Machine* machine = facts_.find_machine(part.machine);
+    const Machine* machine = task_states_.find_machine(part.machine);
     return machine && (machine->draining || machine->preempted_at);
   });
 }
@@ -207,7 +208,7 @@
     const Job* job = cache_.job(replica_id.job);
     if (!job || job->cancelled) continue;
     for (auto& part : job->live_tasks(gang_range(job->spec, replica_id.number))) {
-      const Machine* machine = facts_.find_machine(part.machine);
+      const Machine* machine = task_states_.find_machine(part.machine);
       if (machine && machine->agent_epoch != 0 && machine->tasks_as_of < before)
         out.insert(part.machine);
     }
--- a/src/coordination/replicas/replica_manager.hpp
+++ b/src/coordination/replicas/replica_manager.hpp
@@ -34,8 +34,8 @@
   };
 
   ReplicaManager(Loop& loop, const Settings& settings, RecordCache& cache,
-                 const TaskStateProvider& facts, GangTracker& gangs)
-      : loop_(loop), settings_(settings), cache_(cache), facts_(facts), gangs_(gangs) {}
+                 const TaskStateProvider& task_states, GangTracker& gangs)
+      : loop_(loop), settings_(settings), cache_(cache), task_states_(task_states), gangs_(gangs) {}
 
   /// Starts a shard lease: removes all replicas.
   void clear();
@@ -115,7 +115,7 @@
   Loop& loop_;
   const Settings& settings_;
   RecordCache& cache_;
-  const TaskStateProvider& facts_;
+  const TaskStateProvider& task_states_;
   GangTracker& gangs_;
   std::map<ReplicaId, History> replicas_;
   std::set<ReplicaId> unready_;  // keys in replicas_ that are not ready
