--- a/src/coordination/shard_leader/shard_leader_commit.cpp
+++ b/src/coordination/shard_leader/shard_leader_commit.cpp
@@ -29,21 +29,21 @@
                                                               std::stop_token stop_token,
                                                               CommitOptions options) {
   auto writes = transaction.writes;
-  auto reply = co_await deps_.store.commit_until_resolved(std::move(transaction),
-                                                          RequestPriority::scheduling, stop_token);
-  if (reply.outcome == TransactionOutcome::committed) {
+  auto result = co_await deps_.store.commit_until_resolved(std::move(transaction),
+                                                           RequestPriority::scheduling, stop_token);
+  if (result.outcome == TransactionOutcome::committed) {
     if (options.on_committed) options.on_committed();
     const bool was_requested = scheduling_requested_;
-    cache_.apply_writes(writes, reply.revision);
+    cache_.apply_writes(writes, result.revision);
     if (options.after == AfterCommit::keep_cycle_request) scheduling_requested_ = was_requested;
     co_return CommitResult::committed;
   }
-  if (reply.outcome == TransactionOutcome::conflict) {
+  if (result.outcome == TransactionOutcome::conflict) {
     spdlog::debug("commit conflicts with a change of key {}",
-                  reply.failed_keys.empty() ? "?" : reply.failed_keys.front());
-    co_await reread_keys(std::move(reply.failed_keys));
+                  result.failed_keys.empty() ? "?" : result.failed_keys.front());
+    co_await reread_keys(std::move(result.failed_keys));
   }
-  if (reply.outcome == TransactionOutcome::invalid) {
+  if (result.outcome == TransactionOutcome::invalid) {
     // This outcome is definite: nothing was written, and the same transaction would be rejected
     // again.
     spdlog::error("the key-value store refuses a transaction with {} as invalid",
@@ -60,12 +60,12 @@
   uint64_t records = 0;
   std::string job;
   uint32_t chunk = 0;
-  for (auto& [name, exit] : exits_) {
-    const Job* known = cache_.job(name.job);
-    const uint32_t of_task = known ? name.index / known->chunk_size : 0;
-    if (records > 0 && job == name.job && chunk == of_task) continue;
-    job = name.job;
-    chunk = of_task;
+  for (auto& [task, exit] : exits_) {
+    const Job* cached_job = cache_.job(task.job);
+    const uint32_t chunk_of_task = cached_job ? task.index / cached_job->chunk_size : 0;
+    if (records > 0 && job == task.job && chunk == chunk_of_task) continue;
+    job = task.job;
+    chunk = chunk_of_task;
     ++records;
   }
   return records + jobs_with_uncommitted_starts_;
@@ -84,11 +84,11 @@
 
 void ShardLeader::process_committed_exits(const std::vector<TaskId>& tasks) {
   bool any_error = false;
-  for (auto& name : tasks) {
-    auto it = exits_.find(name);
+  for (auto& task : tasks) {
+    auto it = exits_.find(task);
     if (it == exits_.end()) continue;
     any_error |= it->second.cause == ExitCause::error;
-    process_committed_exit(it->second, name);
+    process_committed_exit(it->second, task);
     exits_.erase(it);
   }
   // Called once for all exits, because it examines the whole fleet.
@@ -100,12 +100,12 @@
   ChunkEdits edits(cache_, limits());
   std::vector<TaskId> other_exits, job_ending_exits;
   for (auto it = exits_.begin(); it != exits_.end();) {
-    auto& [name, exit] = *it;
-    Job* job = cache_.job(name.job);
-    uint32_t chunk = job ? name.index / job->chunk_size : 0;
+    auto& [task, exit] = *it;
+    Job* job = cache_.job(task.job);
+    uint32_t chunk = job ? task.index / job->chunk_size : 0;
     const LiveTask* live = nullptr;
     if (job && job->chunks.contains(chunk))
-      live = job->chunks[chunk].record.find_live(name.index % job->chunk_size);
+      live = job->chunks[chunk].record.find_live(task.index % job->chunk_size);
     // A task of a gang may have been placed on another machine under the same attempt.
     if (!live || live->attempt != exit.attempt || live->machine != exit.machine) {
       it = exits_.erase(it);  // no longer the attempt in the records
@@ -117,29 +117,29 @@
     }
     auto* record = edits.edit(*job, chunk);
     if (!record) break;
-    record->end_attempt(name.index % job->chunk_size,
+    record->end_attempt(task.index % job->chunk_size,
                         exit.cause == ExitCause::done ? TaskEnd::done : TaskEnd::restart);
     const bool ends = exit_ends_job(*job, *record, exit) && edits.end_job(*job);
-    (ends ? job_ending_exits : other_exits).push_back(name);
+    (ends ? job_ending_exits : other_exits).push_back(task);
     ++it;
   }
   if (edits.empty()) co_return StepResult::idle;
   // Runs while the job is still in the cache; applying the commit removes its records there.
-  std::function<void()> committed = [&] {
+  std::function<void()> on_committed = [&] {
     std::set<std::string> ended;
-    for (auto& name : job_ending_exits) ended.insert(name.job);
+    for (auto& task : job_ending_exits) ended.insert(task.job);
     std::vector<TaskId> exits_of_ended_jobs = job_ending_exits;
-    for (auto& name : other_exits)
-      if (ended.contains(name.job)) exits_of_ended_jobs.push_back(name);
+    for (auto& task : other_exits)
+      if (ended.contains(task.job)) exits_of_ended_jobs.push_back(task);
     process_committed_exits(exits_of_ended_jobs);
   };
-  CommitOptions options{AfterCommit::request_cycle, std::move(committed)};
+  CommitOptions options{AfterCommit::request_cycle, std::move(on_committed)};
   const CommitResult result =
       co_await commit_and_apply(edits.finish(), stop_token, std::move(options));
   if (result == CommitResult::committed) {
-    for (auto& name : job_ending_exits) {
-      cache_.cache_final_state(name.job, FinalState::done);
-      spdlog::info("job {} is done", name.job);
+    for (auto& task : job_ending_exits) {
+      cache_.cache_final_state(task.job, FinalState::done);
+      spdlog::info("job {} is done", task.job);
     }
     process_committed_exits(other_exits);
     scheduling_requested_ = true;
@@ -208,13 +208,13 @@
 void ShardLeader::refresh_snapshot() {
   for (auto& id : replicas_.grant_repair_turns())
     if (Job* job = cache_.job(id)) snapshot_builder_.mark_job_changed(*job);
-  std::vector<SnapshotBuilder::BootingMachine> expected;
+  std::vector<SnapshotBuilder::BootingMachine> booting_machines;
   autoscaler_.for_each_expected_machine([&](auto&, auto& booting, auto& type) {
     const scheduling::Resources total{type.cpus, type.gpus, type.memory_gb};
-    expected.push_back({booting.kind.type, booting.kind.zone, booting.kind.spot, total});
+    booting_machines.push_back({booting.kind.type, booting.kind.zone, booting.kind.spot, total});
   });
   snapshot_builder_.refresh(machines_, failure_detector_.unreachable_zones(machines_, loop_.now()),
-                            expected);
+                            booting_machines);
 }
 
 Task<ShardLeader::StepResult> ShardLeader::rechunk(std::stop_token stop_token) {
@@ -249,7 +249,7 @@
   last_cycle_s_ = loop_.now() - now;
   next_cycle_at_ = std::max(next_cycle_at_, now + 2 * last_cycle_s_);
 
-  // Decisions refer to jobs and machines by name from here on, since indexes into the snapshot are
+  // Decisions refer to jobs and machines by id from here on, since indexes into the snapshot are
   // reused while the commits are under way.
   std::vector<DecidedStart> singles;
   for (auto& start : decided.placements)
@@ -286,10 +286,10 @@
     const auto& machine = snapshot_builder_.snapshot().machines[s.machine];
     const auto& live = machine.running_tasks[s.running_task_index];
     const std::string& machine_id = machine.id;
-    const TaskId name{snapshot_builder_.job_at(live.job).spec.id, live.index};
-    spdlog::info("stopping {} attempt {} on {} to make room", name.text(), live.attempt,
+    const TaskId task{snapshot_builder_.job_at(live.job).spec.id, live.index};
+    spdlog::info("stopping {} attempt {} on {} to make room", task.text(), live.attempt,
                  machine_id);
-    stop_task({name, live.attempt, machine_id}, s.grace_s);
+    stop_task({task, live.attempt, machine_id}, s.grace_s);
   }
 }
 
@@ -382,8 +382,8 @@
       if (!found.record) continue;
       found.record->start(found.index, found.attempt, s.machine);
       edits.require_unchanged(*job);
-      const uint32_t in_job = found.chunk * job->chunk_size + found.index;
-      started.push_back({{s.job, in_job}, found.attempt, s.machine, s.image_cached});
+      const uint32_t task_index = found.chunk * job->chunk_size + found.index;
+      started.push_back({{s.job, task_index}, found.attempt, s.machine, s.image_cached});
     }
     if (started.empty()) break;
     any = true;
