--- a/src/coordination/api/job_status.hpp
+++ b/src/coordination/api/job_status.hpp
@@ -18,6 +18,7 @@
 
 /// Status of a job.
 struct JobStatus {
+  /// State of a job. Users see the names of the states other than `unavailable` and `unknown`.
   enum class State : uint8_t {
     unavailable,  ///< can't be determined at the moment
     unknown,      ///< no job with this id was accepted
--- a/src/coordination/autoscaling/scale_in.hpp
+++ b/src/coordination/autoscaling/scale_in.hpp
@@ -1,5 +1,5 @@
 /// Scale-in: returns machines to the cloud. The tombstone of a machine is written first, so that no
-/// controller uses the machine again and a delayed return call does no harm. The only exception are
+/// controller uses the machine again and a delayed return call does no harm. The only exception is
 /// machines that keep a cancelled task during an outage of the key-value store.
 #pragma once
 #include <functional>
--- a/src/coordination/leadership/cancellation_gossip.hpp
+++ b/src/coordination/leadership/cancellation_gossip.hpp
@@ -23,6 +23,7 @@
 /// receives the heartbeats.
 class CancellationGossip {
  public:
+  /// A cancelled job and the time of its cancellation.
   struct Cancellation {
     std::string job;
     double since = 0;  // steady time of the cancellation, or earlier
@@ -42,6 +43,7 @@
   /// Fills in the heartbeat's fields about cancellations for this peer.
   void add_to(PeerHeartbeat& heartbeat, const std::string& peer, double now) const;
 
+  /// Result of merge().
   struct MergeResult {
     std::vector<std::string> new_jobs;  // received for the first time
     // A part of a longer list has been received or acknowledged. The next part is only sent after
--- a/src/coordination/leadership/shard_lease_keeper.hpp
+++ b/src/coordination/leadership/shard_lease_keeper.hpp
@@ -38,8 +38,9 @@
     RecordCache& cache;
     Election& election;
     PeerNetwork& peer_network;
-    uint64_t incarnation;  ///< Of this process.
+    uint64_t incarnation;  ///< of this process
   };
+  /// Called by renew() when the state of the lease changes.
   struct Callbacks {
     /// A lease with a new fencing token is held.
     std::function<void()> on_acquired;
--- a/src/coordination/machines/machine_capacity.hpp
+++ b/src/coordination/machines/machine_capacity.hpp
@@ -8,7 +8,7 @@
 
 namespace damsonport {
 
-/// All resources of the machine; zero if the catalogue doesn't list its type.
+/// All resources of the machine; zero if the catalog doesn't list its type.
 scheduling::Resources total_resources(const Machine& machine, const MachineTypeCatalog& catalog);
 
 /// The resources of the machine that no task occupies. The tasks that the records place on the
--- a/src/coordination/quotas/initial_units.hpp
+++ b/src/coordination/quotas/initial_units.hpp
@@ -9,7 +9,7 @@
 namespace damsonport::quotas {
 
 /// The quota units of a limit that each region starts with, in the order of the regions file. Their
-/// sum is exactly `all_quota_units`. They depend only on the regions' shares, since regions may
+/// sum is exactly `total_quota_units`. They depend only on the regions' shares, since regions may
 /// write their first records under different limits. At least one share must be above 0.
 std::vector<uint64_t> initial_units(const std::vector<Region>& regions);
 
--- a/src/coordination/quotas/team_demand.hpp
+++ b/src/coordination/quotas/team_demand.hpp
@@ -19,7 +19,8 @@
   scheduling::Resources smallest_need;
 };
 
-using Demands = std::map<std::string, TeamDemand>;  // by team
+/// The demand of each team, by team.
+using Demands = std::map<std::string, TeamDemand>;
 
 /// Measures all teams that have an unfinished job.
 Demands measure_demands(const RecordCache& cache);
--- a/src/coordination/replicas/replica_manager.hpp
+++ b/src/coordination/replicas/replica_manager.hpp
@@ -15,7 +15,8 @@
 
 namespace damsonport::replicas {
 
-/// State and readiness of one replica, as shown in a job's status.
+/// State and readiness of one replica. Users don't see them: the response to a status request is
+/// made from the records alone (api/job_status.hpp). The replica manager logs changes of the state.
 struct ReplicaStatus {
   std::string job;
   uint32_t number = 0;  ///< index within the job, from 0
--- a/src/coordination/replicas/replica_state.hpp
+++ b/src/coordination/replicas/replica_state.hpp
@@ -9,7 +9,8 @@
 
 namespace damsonport::replicas {
 
-/// State of a replica, as shown in a job's status.
+/// State of a replica. The replica manager logs changes of the state; the status of a job that
+/// users request doesn't contain it.
 enum class ReplicaState : uint8_t {
   queued,     ///< never started
   starting,   ///< the first attempt has been started and isn't ready yet
@@ -18,7 +19,7 @@
   stopping,   ///< the attempt is over, and some part may still run
   repairing,  ///< a later attempt is pending, or is started and isn't ready yet
 };
-/// The state's name in the status of a job.
+/// The state's name in the log.
 std::string_view name_of(ReplicaState state);
 
 /// Status of one part of a replica, by the records and heartbeats.
--- a/src/coordination/shard_leader/shard_leader.hpp
+++ b/src/coordination/shard_leader/shard_leader.hpp
@@ -97,7 +97,8 @@
   void job_changed(Job* job);
   /// The job's record has been removed; the object is about to be destroyed.
   void job_gone(Job* job);
-  /// Another region has transferred quota to this one, or requests some.
+  /// A message from another region requires a change of the quota records: it reports a transfer to
+  /// this region, or requests one from it.
   void on_quota_changes_due();
   /// A peer reports that the job is cancelled, possibly before the records show it.
   void on_peer_cancellation(const std::string& job);
@@ -221,7 +222,7 @@
   void stop_task(const PlacedTask& task, double grace_s);
 
   SnapshotBuilder::Callbacks snapshot_callbacks();
-  /// See SnapshotBuilder::Facts.
+  /// See SnapshotBuilder::Callbacks.
   double running_since(const TaskId& task, uint64_t attempt) const;
   void refresh_snapshot();
   void forget_machine(const std::string& id);
--- a/src/storage/removed_keys.hpp
+++ b/src/storage/removed_keys.hpp
@@ -1,5 +1,5 @@
-/// Versions of recently removed keys. An outdated copy of a record, read before the
-/// record's removal and applied later, must not restore the record.
+/// Versions of recently removed keys. An outdated copy of a record, read before the record's
+/// removal and applied later, must not restore the record.
 #pragma once
 #include <algorithm>
 #include <cstdint>
