--- a/src/coordination/autoscaling/scale_in_tracker.hpp
+++ b/src/coordination/autoscaling/scale_in_tracker.hpp
@@ -28,8 +28,8 @@
 /// Invariants: `returned` is final within a lease, and confirming a return clears the flags that
 /// mark the machine as declared dead or as keeping a cancelled task. The flags are independent of
 /// the state: a heartbeat can make a machine `retained` while a return call for the machine is in
-/// flight or while its tombstone is still to be written. RecordCache, not this class, tells whether
-/// a tombstone is written.
+/// flight or while its tombstone is still to be written. Whether a tombstone is written is known
+/// from the RecordCache and not from this class.
 ///
 /// All lists are in the order of the machine ids. ScaleIn owns the tracker and alone changes it.
 class ScaleInTracker {
--- a/src/coordination/leadership/cancellation_gossip.hpp
+++ b/src/coordination/leadership/cancellation_gossip.hpp
@@ -51,7 +51,7 @@
     bool reply_at_once = false;
   };
   /// Processes a peer's heartbeat; no effect if the sender is not a peer, or if the heartbeat is a
-  /// late one of an earlier incarnation.
+  /// delayed one of an earlier incarnation.
   MergeResult merge(const PeerHeartbeat& heartbeat, double now);
 
   /// Steady time of the job's cancellation, or earlier, according to peers; nothing if no peer has
@@ -70,8 +70,8 @@
   struct Peer {
     bool has_sent = false;
     uint64_t incarnation = 0;
-    uint64_t received_upto = 0;      // highest number up to which its cancellations were received
-    uint64_t acknowledged_upto = 0;  // highest number up to which it has received ours
+    uint64_t received_upto = 0;      // up to this number the peer's cancellations were received
+    uint64_t acknowledged_upto = 0;  // up to this number the peer has received ours
     // Incarnation and clock of the sender in the peer's newest heartbeat, to be echoed.
     uint64_t newest_incarnation = 0;
     uint64_t newest_sent_ms = 0;
--- a/src/coordination/leadership/peer_network.hpp
+++ b/src/coordination/leadership/peer_network.hpp
@@ -2,8 +2,8 @@
 ///
 /// Heartbeats carry hints that need not be current: which controllers are alive and reach the
 /// key-value store, which one leads the shard, and which jobs are cancelled. From its peers'
-/// heartbeats a controller can tell an outage of the store for all controllers from a loss of only
-/// its own connection.
+/// heartbeats a controller can distinguish an outage of the store for all controllers from a loss
+/// of only its own connection.
 #pragma once
 #include <functional>
 #include <map>
--- a/src/coordination/leadership/renewal_policy.hpp
+++ b/src/coordination/leadership/renewal_policy.hpp
@@ -5,8 +5,8 @@
 
 namespace damsonport {
 
-/// What a controller knows when it receives a heartbeat, from a machine that it leads or from one
-/// that another controller leads.
+/// The state of a controller when it receives a heartbeat, either from a machine that it leads or
+/// from one that another controller leads.
 struct RenewalState {
   bool reaches_store = false;       // this controller reaches the key-value store
   bool peer_reaches_store = false;  // some live peer reaches the key-value store
@@ -23,7 +23,8 @@
 /// cancellation.
 double staleness_bound_s(double cancel_s, double lease_s);
 
-/// Redirects in any case if the staleness has reached `bound_s`.
+/// Decides on a heartbeat that is received in this state. Always redirects if the staleness has
+/// reached `bound_s`.
 RenewalDecision decide_renewal(const RenewalState& state, double bound_s);
 
 }  // namespace damsonport
--- a/src/coordination/leadership/store_contact.hpp
+++ b/src/coordination/leadership/store_contact.hpp
@@ -1,4 +1,4 @@
-/// Tells whether this controller is in contact with the key-value store.
+/// Determines whether this controller is in contact with the key-value store.
 #pragma once
 #include "config/settings.hpp"
 #include "storage/key_value_client.hpp"
--- a/src/coordination/scheduling/gang_tracker.hpp
+++ b/src/coordination/scheduling/gang_tracker.hpp
@@ -1,4 +1,4 @@
-/// Tracks what a shard leader has observed of the current attempts of gangs, and derives the next
+/// Tracks the shard leader's observations of the current attempts of gangs, and derives the next
 /// action for each gang.
 #pragma once
 #include <map>
@@ -31,7 +31,8 @@
   /// A task of this attempt was seen running or saving its state. For a replica: all its parts were
   /// running at the same time.
   void note_running(const Job& job, TaskRange gang, uint64_t attempt);
-  /// A task of this attempt is proven to have ended. `stopped`: the task had been told to stop.
+  /// A task of this attempt is proven to have ended. `stopped`: a stop of the task had
+  /// been decided before.
   void note_exit(const Job& job, TaskRange gang, uint64_t attempt, ExitCause cause, bool stopped);
   /// The machine of a part doesn't have the part, and no command for the part is under way. If the
   /// replica may have been ready, the attempt is broken.
--- a/src/coordination/scheduling/task_state_provider.hpp
+++ b/src/coordination/scheduling/task_state_provider.hpp
@@ -16,7 +16,7 @@
   TaskStateProvider& operator=(const TaskStateProvider&) = delete;
   virtual ~TaskStateProvider() = default;
 
-  /// Whether this attempt was told to stop, or a stop command for it is about to be sent.
+  /// Whether a stop command for this attempt was sent or is about to be sent.
   [[nodiscard]] virtual bool is_stopping(const PlacedTask& task) const = 0;
   /// Whether this attempt is known to have ended, but its exit is not committed to the records yet.
   [[nodiscard]] virtual bool has_ended(const PlacedTask& task) const = 0;
--- a/src/coordination/shard_leader/shard_leader.hpp
+++ b/src/coordination/shard_leader/shard_leader.hpp
@@ -45,7 +45,7 @@
 /// - Within this class, only run() and what it awaits commit changes of jobs and tasks, one
 ///   transaction at a time, each conditional on the shard table that contains this controller's
 ///   lease.
-/// - What is known of machines and attempts belongs to one lease; on_lease_acquired() discards it.
+/// - The state of machines and attempts belongs to one lease; on_lease_acquired() discards it.
 class ShardLeader : private TaskStateProvider {
  public:
   /// All references have to outlive the shard leader.
@@ -192,7 +192,8 @@
   Task<void> reread_keys(std::vector<std::string> failed);
   // The limits that every write has to fit.
   const StateLimits& limits() const { return settings_.state_limits.minimum(); }
-  // Whether the job's end may be committed: no task of it is left to run.
+  // Whether the job's end may be committed: all its tasks are done, or it is cancelled and none of
+  // its tasks is live.
   static bool is_finalizable(const Job& job) {
     return job.cancelled ? job.live == 0 : job.finished();
   }
@@ -205,7 +206,7 @@
   void announce_deficits();
 
   // --- gangs (shard_leader_gangs.cpp)
-  // Notes a proven exit. In a gang, the other tasks' state may follow from it.
+  // Notes a proven exit. In a gang, the other tasks may be done or to be stopped as well.
   void note_exit(const TaskId& task, PendingExit exit);
   bool is_stopping(const PlacedTask& task) const override;
   bool has_ended(const PlacedTask& task) const override;
@@ -228,14 +229,14 @@
   void forget_machine(const std::string& id);
 
   // --- machines (shard_leader_heartbeats.cpp, shard_leader_failures.cpp)
-  // The machine with this id, which becomes known if it wasn't.
+  // Returns the machine with this id; adds it if this shard leader doesn't have it yet.
   Machine& machine(const std::string& id);
   HttpResponse on_decoded_heartbeat(const Heartbeat& heartbeat, const HttpRequest& request);
-  // The error response for a machine whose worker has learned this fencing token; nothing: its
-  // heartbeat may be answered now.
+  // The error response for a machine whose worker has learned this fencing token; nullopt if the
+  // machine's heartbeat may be answered now.
   std::optional<HttpResponse> refusal_response(const std::string& machine, uint64_t fencing_token);
   // Answers a heartbeat that repeats the machine's last one, without decoding the heartbeat;
-  // nothing: the heartbeat has to be decoded and processed.
+  // nullopt if the heartbeat has to be decoded and processed.
   std::optional<HttpResponse> answer_repeated_heartbeat(const HttpRequest& request);
   // Returns true if a heartbeat that repeats this one need not be processed.
   // `direct`, `as_of`: see apply_heartbeat().
