--- a/tests/scenarios/random_scenario.cpp
+++ b/tests/scenarios/random_scenario.cpp
@@ -223,7 +223,7 @@
                1 + draw_.below(14));
     add_line("at {:.2f} outage for={:.2f}", outage_at_s, draw_.uniform(5, 90));
     if (draw_.chance(0.5))
-      add_line("at {:.2f} hang {} for={:.2f}", draw_.uniform(refused_at_s - 1, out),
+      add_line("at {:.2f} hang {} for={:.2f}", draw_.uniform(refused_at_s - 1, outage_at_s),
                draw_.one_of("m1", "m2,m3", "m4"), draw_.uniform(10, 100));
     for (int i = 0, n = draw_.below(3); i < n; ++i)
       add_line("at {:.2f} crash {} for={:.2f}", draw_.uniform(refused_at_s, outage_at_s + 40),
@@ -233,7 +233,7 @@
                draw_.uniform(refused_at_s - 2, outage_at_s + 10), draw_.one_of("hold", "drop"),
                draw_.uniform(5, 80));
     if (draw_.chance(0.25))
-      add_line("at {:.2f} deaf {} for={:.2f}", draw_.uniform(refused_at_s - 2, out),
+      add_line("at {:.2f} deaf {} for={:.2f}", draw_.uniform(refused_at_s - 2, outage_at_s),
                draw_.one_of("m1", "m2,m3"), draw_.uniform(5, 60));
   }
 
