--- a/simulation/key_value_store.cpp
+++ b/simulation/key_value_store.cpp
@@ -8,18 +8,18 @@
 constexpr size_t max_kept_changes = 10000;
 constexpr size_t max_transaction_bytes = size_t{64} * 1024;
 constexpr size_t default_list_limit = 1000;
-constexpr double late_from_s = 2;  // bounds of the delay of transactions that are applied late
-constexpr double late_to_s = 12;
+constexpr double min_late_apply_s = 2;  // bounds of the delay of a transaction that is applied late
+constexpr double max_late_apply_s = 12;
 constexpr double lease_tolerance_s = 0.05;
 constexpr std::string_view record_path = "/keys/";
 constexpr std::string_view lease_path = "/grants/";
 
-std::string field_of(const std::map<std::string, std::string>& query, const std::string& name) {
+std::string query_field(const std::map<std::string, std::string>& query, const std::string& name) {
   auto it = query.find(name);
   return it == query.end() ? std::string() : it->second;
 }
 
-uint64_t lease_of_write(const Json& write) {
+uint64_t lease_id_of(const Json& write) {
   return write.contains("permit") ? write["permit"].get<uint64_t>() : 0;
 }
 }  // namespace
@@ -29,16 +29,16 @@
       limits_(limits),
       requests_left_(limits.requests_per_s),
       writes_left_(limits.writes_per_s) {
-  world_.serve(host, [this](auto& from, Method method, auto& target, auto& body, auto answer) {
-    world_.in(delay_s_ * world_.uniform(0.5, 1.5), [this, from, method, target, body, answer] {
-      handle(from, method, target, body, answer);
+  world_.serve(host, [this](auto& from, Method method, auto& target, auto& body, auto respond) {
+    world_.in(delay_s_ * world_.uniform(0.5, 1.5), [this, from, method, target, body, respond] {
+      handle(from, method, target, body, respond);
     });
   });
 }
 
-void KeyValueStore::set_fate(Fate fate, std::string host) {
-  fate_ = fate;
-  fate_host_ = std::move(host);
+void KeyValueStore::set_transaction_fault(TransactionFault fault, std::string host) {
+  transaction_fault_ = fault;
+  transaction_fault_host_ = std::move(host);
 }
 
 const Json* KeyValueStore::value(const std::string& key) const {
@@ -53,15 +53,15 @@
     return;
   }
   for (auto& [id, lease] : leases_) renew_lease(id);
-  answer_watches();
+  respond_to_watches();
 }
 
-void KeyValueStore::refuse(const std::string& host, bool on) {
-  if (on) {
+void KeyValueStore::set_refused(const std::string& host, bool refused) {
+  if (refused) {
     refused_hosts_.insert(host);
   } else {
     refused_hosts_.erase(host);
-    answer_watches();
+    respond_to_watches();
   }
 }
 
@@ -78,17 +78,17 @@
   world_.cancel(it->second.expiry);
   leases_.erase(it);
   ++revision_;
-  std::vector<std::string> ended_keys;
-  for (auto& [key, lease] : lease_of_)
-    if (lease == id) ended_keys.push_back(key);
-  for (auto& key : ended_keys) remove(key);
-  answer_watches();
+  std::vector<std::string> expired_keys;
+  for (auto& [key, lease] : lease_by_key_)
+    if (lease == id) expired_keys.push_back(key);
+  for (auto& key : expired_keys) remove(key);
+  respond_to_watches();
 }
 
 void KeyValueStore::put(const std::string& key, const Json& value, uint64_t lease) {
   records_[key] = {value, revision_};
-  lease_of_.erase(key);
-  if (lease) lease_of_[key] = lease;
+  lease_by_key_.erase(key);
+  if (lease) lease_by_key_[key] = lease;
   changes_.push_back({key, value, revision_});
   if (on_change) on_change(key, value);
 }
@@ -96,21 +96,22 @@
 void KeyValueStore::write(const std::string& key, const Json& value) {
   ++revision_;
   put(key, value, 0);
-  answer_watches();
+  respond_to_watches();
 }
 
 void KeyValueStore::remove(const std::string& key) {
   records_.erase(key);
-  lease_of_.erase(key);
+  lease_by_key_.erase(key);
   changes_.push_back({key, Json(), revision_});
   if (on_change) on_change(key, Json());
 }
 
-void KeyValueStore::answer_watches() {
+void KeyValueStore::respond_to_watches() {
   while (changes_.size() > max_kept_changes) changes_.pop_front();
   for (auto& watch : watches_)
-    watch.is_answered = watch.is_answered || answer_watch(watch, WatchAnswer::only_with_changes);
-  std::erase_if(watches_, [](auto& watch) { return watch.is_answered; });
+    watch.has_response =
+        watch.has_response || respond_to_watch(watch, ResponseCondition::only_with_changes);
+  std::erase_if(watches_, [](auto& watch) { return watch.has_response; });
 }
 
 Json KeyValueStore::changes_for(const Watch& watch) const {
@@ -129,15 +130,15 @@
   return changes;
 }
 
-bool KeyValueStore::answer_watch(const Watch& watch, WatchAnswer when) const {
+bool KeyValueStore::respond_to_watch(const Watch& watch, ResponseCondition when) const {
   if (is_down_ || refused_hosts_.contains(watch.host)) return false;
   Json changes = changes_for(watch);
-  if (changes.empty() && when == WatchAnswer::only_with_changes) return false;
-  watch.answer({200, encode({{"ledger", revision_}, {"news", std::move(changes)}})});
+  if (changes.empty() && when == ResponseCondition::only_with_changes) return false;
+  watch.respond({200, encode({{"ledger", revision_}, {"news", std::move(changes)}})});
   return true;
 }
 
-bool KeyValueStore::take_request(int writes) {
+bool KeyValueStore::try_consume_request(int writes) {
   const double passed_s = world_.now() - rate_counted_at_;
   rate_counted_at_ = world_.now();
   requests_left_ =
@@ -153,35 +154,35 @@
 }
 
 void KeyValueStore::handle(const std::string& from, Method method, const std::string& target,
-                           const std::string& body, const World::Answer& answer) {
-  if (is_down_ || refused_hosts_.contains(from)) return answer({503, {}});
+                           const std::string& body, const World::ResponseHandler& respond) {
+  if (is_down_ || refused_hosts_.contains(from)) return respond({503, {}});
   const auto path = target.substr(0, target.find('?'));
-  if (path == "/txn") return transact(from, body, answer);
-  if (!take_request(0)) return answer({429, {}});
+  if (path == "/txn") return transact(from, body, respond);
+  if (!try_consume_request(0)) return respond({429, {}});
   const auto query = query_of(target);
-  if (path == "/watch") return watch(from, query, answer);
-  if (path == "/keys") return answer(list(query));
-  if (path.starts_with(record_path)) return answer(get(path.substr(record_path.size())));
-  if (path == "/grants") return answer(grant_lease(decode_map(body)));
+  if (path == "/watch") return watch(from, query, respond);
+  if (path == "/keys") return respond(list(query));
+  if (path.starts_with(record_path)) return respond(get(path.substr(record_path.size())));
+  if (path == "/grants") return respond(grant_lease(decode_map(body)));
   if (path.starts_with(lease_path))
-    return answer(change_lease(method, std::stoull(path.substr(lease_path.size()))));
-  answer({400, {}});
+    return respond(change_lease(method, std::stoull(path.substr(lease_path.size()))));
+  respond({400, {}});
 }
 
-HttpReply KeyValueStore::get(const std::string& key) const {
+HttpClientResponse KeyValueStore::get(const std::string& key) const {
   auto record = records_.find(key);
   if (record == records_.end()) return {404, encode({{"ledger", revision_}})};
-  auto lease = lease_of_.find(key);
+  auto lease = lease_by_key_.find(key);
   return {200, encode({{"path", key},
                        {"data", record->second.value},
                        {"stamp", record->second.revision},
-                       {"permit", lease == lease_of_.end() ? 0 : lease->second}})};
+                       {"permit", lease == lease_by_key_.end() ? 0 : lease->second}})};
 }
 
-HttpReply KeyValueStore::list(const Query& query) const {
-  const auto prefix = field_of(query, "starts");
-  const auto since = field_of(query, "since");
-  const auto limit_text = field_of(query, "limit");
+HttpClientResponse KeyValueStore::list(const Query& query) const {
+  const auto prefix = query_field(query, "starts");
+  const auto since = query_field(query, "since");
+  const auto limit_text = query_field(query, "limit");
   const size_t limit = limit_text.empty() ? default_list_limit : std::stoul(limit_text);
   Json pairs = Json::array();
   bool more = false;
@@ -196,13 +197,13 @@
 }
 
 void KeyValueStore::watch(const std::string& from, const Query& query,
-                          const World::Answer& answer) {
+                          const World::ResponseHandler& respond) {
   const uint64_t since = std::stoull(query.at("since"));
   const bool misses_changes =
       changes_.size() >= max_kept_changes && changes_.front().revision > since + 1;
-  if (misses_changes) return answer({410, {}});
-  const Watch watch{++last_watch_, from, field_of(query, "starts"), since, answer};
-  if (answer_watch(watch, WatchAnswer::only_with_changes)) return;
+  if (misses_changes) return respond({410, {}});
+  const Watch watch{++last_watch_id_, from, query_field(query, "starts"), since, respond};
+  if (respond_to_watch(watch, ResponseCondition::only_with_changes)) return;
   watches_.push_back(watch);
   const double wait_s = std::stod(query.at("block_ms")) / 1000;
   world_.in(wait_s, [this, id = watch.id] { on_watch_timeout(id); });
@@ -211,17 +212,17 @@
 void KeyValueStore::on_watch_timeout(uint64_t id) {
   auto it =
       std::find_if(watches_.begin(), watches_.end(), [id](auto& watch) { return watch.id == id; });
-  if (it != watches_.end() && answer_watch(*it, WatchAnswer::always)) watches_.erase(it);
+  if (it != watches_.end() && respond_to_watch(*it, ResponseCondition::always)) watches_.erase(it);
 }
 
-HttpReply KeyValueStore::grant_lease(const Json& request) {
-  const uint64_t id = next_lease_++;
+HttpClientResponse KeyValueStore::grant_lease(const Json& request) {
+  const uint64_t id = next_lease_id_++;
   leases_[id].duration_s = request.value("life_ms", 1000) / 1000.0;
   renew_lease(id);
   return {200, encode({{"permit", id}})};
 }
 
-HttpReply KeyValueStore::change_lease(Method method, uint64_t id) {
+HttpClientResponse KeyValueStore::change_lease(Method method, uint64_t id) {
   if (!leases_.contains(id)) return {404, {}};
   if (method == Method::del) {
     end_lease(id);
@@ -232,23 +233,25 @@
 }
 
 void KeyValueStore::transact(const std::string& from, const std::string& body,
-                             const World::Answer& answer) {
+                             const World::ResponseHandler& respond) {
   const Json transaction = decode_map(body);
-  if (!transaction.is_object()) return answer({400, {}});
+  if (!transaction.is_object()) return respond({400, {}});
   const int writes =
       transaction.contains("writes") ? static_cast<int>(transaction["writes"].size()) : 0;
-  if (!take_request(writes)) return answer({429, {}});
-  const bool is_struck = writes > 0 && (fate_host_.empty() || fate_host_ == from);
-  if (is_struck && fate_ == Fate::applied_late) {
-    world_.in(world_.uniform(late_from_s, late_to_s), [this, transaction] { apply(transaction); });
+  if (!try_consume_request(writes)) return respond({429, {}});
+  const bool is_affected =
+      writes > 0 && (transaction_fault_host_.empty() || transaction_fault_host_ == from);
+  if (is_affected && transaction_fault_ == TransactionFault::applied_late) {
+    world_.in(world_.uniform(min_late_apply_s, max_late_apply_s),
+              [this, transaction] { apply(transaction); });
     return;
   }
   auto reply = apply(transaction);
-  if (is_struck && fate_ == Fate::answer_lost) return;
-  answer(std::move(reply));
+  if (is_affected && transaction_fault_ == TransactionFault::response_lost) return;
+  respond(std::move(reply));
 }
 
-HttpReply KeyValueStore::refuse_for_size() {
+HttpClientResponse KeyValueStore::refuse_for_size() {
   ++refused_for_size_;
   return {400, encode({{"error", "too large"}})};
 }
@@ -260,16 +263,17 @@
          transaction.dump().size() > max_transaction_bytes;
 }
 
-std::optional<HttpReply> KeyValueStore::check_write(const Json& write) {
+std::optional<HttpClientResponse> KeyValueStore::check_write(const Json& write) {
   if (!write.contains("set")) return std::nullopt;
   if (static_cast<double>(write["data"].dump().size()) > limits_.value_bytes())
     return refuse_for_size();
-  if (write.contains("permit") && !leases_.contains(lease_of_write(write)))
-    return HttpReply{400, encode({{"error", "no such lease"}})};
+  if (write.contains("permit") && !leases_.contains(lease_id_of(write)))
+    return HttpClientResponse{400, encode({{"error", "no such lease"}})};
   return std::nullopt;
 }
 
-// The protocol leaves open which of several are named: one is enough.
+// The protocol doesn't define which of several failed conditions a response names, so the first one
+// suffices.
 Json KeyValueStore::failed_conditions(const Json& conditions) const {
   Json failed = Json::array();
   for (auto& condition : conditions) {
@@ -287,15 +291,15 @@
   if (!writes.empty()) ++revision_;
   for (auto& write : writes) {
     if (write.contains("set")) {
-      put(write["set"], write["data"], lease_of_write(write));
+      put(write["set"], write["data"], lease_id_of(write));
     } else if (records_.contains(write.at("remove"))) {
       remove(write.at("remove"));
     }
   }
-  answer_watches();
+  respond_to_watches();
 }
 
-HttpReply KeyValueStore::apply(const Json& transaction) {
+HttpClientResponse KeyValueStore::apply(const Json& transaction) {
   const Json none = Json::array();
   const Json& writes = transaction.contains("writes") ? transaction["writes"] : none;
   const Json& conditions = transaction.contains("if") ? transaction["if"] : none;
--- a/src/coordination/api/admission.cpp
+++ b/src/coordination/api/admission.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Tolerance of sums of decimal fractions, in CPUs or accelerators.
+/// Tolerance for rounding errors in sums of decimal fractions, in CPUs or GPUs.
 constexpr double rounding_tolerance = 1e-9;
 
 bool contains(const std::vector<std::string>& names, const std::string& name) {
@@ -19,15 +19,15 @@
   return job.cpus <= type.cpus && job.gpus <= type.gpus && job.memory_gb <= type.memory_gb;
 }
 
-/// A limit of 0 stands for none.
-bool exceeds(double wanted, double limit, double kept_elsewhere) {
-  return limit > 0 && wanted > limit - kept_elsewhere + rounding_tolerance;
+/// A `limit` of 0 means that there is no limit.
+bool exceeds(double wanted, double limit, double reserved_elsewhere) {
+  return limit > 0 && wanted > limit - reserved_elsewhere + rounding_tolerance;
 }
 
 bool exceeds_limit(const JobSpec& job, const TeamSettings& team) {
-  const double tasks_at_once = job.kind == JobKind::batch ? 1 : job.tasks;
-  return exceeds(job.cpus * tasks_at_once, team.cpus_max, team.cpus_elsewhere) ||
-         exceeds(job.gpus * tasks_at_once, team.gpus_max, team.gpus_elsewhere);
+  const double min_concurrent_tasks = job.kind == JobKind::batch ? 1 : job.tasks;
+  return exceeds(job.cpus * min_concurrent_tasks, team.cpus_max, team.cpus_elsewhere) ||
+         exceeds(job.gpus * min_concurrent_tasks, team.gpus_max, team.gpus_elsewhere);
 }
 
 }  // namespace
--- a/src/coordination/api/version_confirmer.cpp
+++ b/src/coordination/api/version_confirmer.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-/// How long run() sleeps without a check before it looks at the stop token again.
+/// Maximum time for which run() waits for a check before it checks the stop token again.
 constexpr double idle_wait_s = 60;
-/// Checks that arrive within this time of the first one share its transaction.
+/// Checks that arrive within this time after the first one share its transaction.
 constexpr double batching_delay_s = 0.02;
-constexpr size_t max_waiting = 256;
-/// The record's version, and where there is none, the absence of a final state.
+constexpr size_t max_pending = 256;
+/// The version of the record and, for version 0, the absence of a final state.
 constexpr size_t max_conditions_per_check = 2;
 
-bool has_failed(const TransactionResult& result, const std::string& key) {
+bool is_precondition_failed(const TransactionResult& result, const std::string& key) {
   return std::find(result.failed_keys.begin(), result.failed_keys.end(), key) !=
          result.failed_keys.end();
 }
@@ -26,10 +26,10 @@
 VersionConfirmer::VersionConfirmer(Loop& loop, const Settings& settings, KeyValueClient& store)
     : loop_(loop),
       store_(store),
-      max_conditions_(static_cast<size_t>(settings.state_limits.always().txn_conditions())),
+      max_conditions_(static_cast<size_t>(settings.state_limits.minimum().txn_conditions())),
       queue_(loop) {}
 
-bool VersionConfirmer::is_full() const { return queue_.size() >= max_waiting; }
+bool VersionConfirmer::is_full() const { return queue_.size() >= max_pending; }
 
 Task<void> VersionConfirmer::run(std::stop_token stop_token) {
   while (!stop_token.stop_requested()) {
@@ -50,12 +50,13 @@
 VersionConfirmer::PreparedBatch VersionConfirmer::take_batch() {
   PreparedBatch batch;
   auto& preconditions = batch.transaction.preconditions;
-  auto& waiting = queue_.entries();
-  while (!waiting.empty() && preconditions.size() + max_conditions_per_check <= max_conditions_) {
-    auto* entry = waiting.front();
-    waiting.pop_front();
+  auto& pending = queue_.entries();
+  while (!pending.empty() && preconditions.size() + max_conditions_per_check <= max_conditions_) {
+    auto* entry = pending.front();
+    pending.pop_front();
     const auto& [job, version] = entry->request;
-    // One transaction confirms one version of a job: the cache changed between these two checks.
+    // One transaction can confirm only one version of a job. If the cache changed between two
+    // checks of a job, the second check is deferred to the next transaction.
     const auto [condition, inserted] = preconditions.try_emplace(keys::job(job), version);
     if (!inserted && condition->second != version) {
       batch.deferred.push_back(entry);
@@ -76,12 +77,12 @@
       entry->resolve(Confirmation::confirmed);
     } else if (result.outcome != TransactionOutcome::conflict) {
       entry->resolve(Confirmation::unavailable);
-    } else if (result.failed_keys.empty() || has_failed(result, keys::job(job)) ||
-               has_failed(result, keys::final_state(job))) {
+    } else if (result.failed_keys.empty() || is_precondition_failed(result, keys::job(job)) ||
+               is_precondition_failed(result, keys::final_state(job))) {
       entry->resolve(Confirmation::changed);
     } else {
-      // A conflict need not name every precondition that failed. Nothing is known of those that it
-      // leaves out: they are checked again. Each round resolves at least one check.
+      // A conflict need not list every failed precondition, so the checks without a listed one are
+      // undecided and repeated. Each transaction resolves at least one check.
       unresolved.push_back(entry);
     }
   }
--- a/src/coordination/leadership/cancellation_gossip.cpp
+++ b/src/coordination/leadership/cancellation_gossip.cpp
@@ -9,9 +9,9 @@
 // much; what doesn't fit follows in the next heartbeat.
 constexpr size_t max_entries = 1000;
 constexpr size_t max_bytes = size_t{12} * 1024;
-// Of one entry, beside the job's name: the name's length and the age.
+// Size of an entry without the job's name: the name's length and the age.
 constexpr size_t entry_overhead_bytes = 8;
-// Sent for cancellations of unknown age: older than any that still matters.
+// Sent for cancellations of unknown age; older than any cancellation that still matters.
 constexpr double max_age_s = 1e7;
 
 uint64_t to_ms(double seconds) { return static_cast<uint64_t>(std::max(seconds, 0.0) * 1000); }
@@ -46,21 +46,21 @@
 void CancellationGossip::add_to(PeerHeartbeat& heartbeat, const std::string& peer_name,
                                 double now) const {
   heartbeat.sent_ms = to_ms(now);
-  heartbeat.last = last_number_;
-  heartbeat.upto = last_number_;
+  heartbeat.newest_number = last_number_;
+  heartbeat.listed_upto = last_number_;
   auto it = peers_.find(peer_name);
   if (it == peers_.end()) return;
   const Peer& peer = it->second;
   heartbeat.echo_incarnation = peer.newest_incarnation;
   heartbeat.echo_ms = peer.newest_sent_ms;
-  heartbeat.have = peer.received_upto;
-  heartbeat.from = peer.acknowledged_upto;
+  heartbeat.received_upto = peer.received_upto;
+  heartbeat.listed_after = peer.acknowledged_upto;
   size_t bytes = 0;
   for (auto next = known_.upper_bound(peer.acknowledged_upto); next != known_.end(); ++next) {
     const auto& [number, cancellation] = *next;
     bytes += cancellation.job.size() + entry_overhead_bytes;
     if (heartbeat.cancelled.size() == max_entries || bytes > max_bytes) {
-      heartbeat.upto = number - 1;
+      heartbeat.listed_upto = number - 1;
       break;
     }
     const double age_s = std::min(now - cancellation.since, max_age_s);
@@ -68,8 +68,8 @@
   }
 }
 
-// The sender echoes the newest time of ours that it has, so its heartbeat was sent after that. One
-// that is held up on the way is older than it looks, and by the echo it is never taken for newer.
+// The sender echoes the newest send time that it has received from us, so its heartbeat was sent
+// after that time. A heartbeat that was delayed on the way is never taken for newer than it is.
 std::optional<double> CancellationGossip::echoed_time(const PeerHeartbeat& heartbeat) const {
   if (heartbeat.echo_incarnation != incarnation_) return std::nullopt;
   return from_ms(heartbeat.echo_ms);
@@ -78,7 +78,7 @@
 bool CancellationGossip::follow_incarnation(Peer& peer, const PeerHeartbeat& heartbeat,
                                             std::optional<double> echoed) {
   if (heartbeat.incarnation != peer.incarnation) {
-    // The numbers of an earlier incarnation mean nothing in the present one.
+    // The numbers of an earlier incarnation are meaningless in the present one.
     if (peer.has_sent && echoed && *echoed < peer.watermark) return false;
     peer.incarnation = heartbeat.incarnation;
     peer.received_upto = 0;
@@ -95,12 +95,13 @@
   if (!is_newest) return;
   peer.newest_incarnation = heartbeat.incarnation;
   peer.newest_sent_ms = heartbeat.sent_ms;
-  // As it says, also when that is less than before: it may have restarted.
-  if (echoed) peer.acknowledged_upto = std::min(heartbeat.have, last_number_);
+  // The peer's figure is adopted even if it is lower than before, because the peer may have
+  // restarted.
+  if (echoed) peer.acknowledged_upto = std::min(heartbeat.received_upto, last_number_);
 }
 
-std::vector<std::string> CancellationGossip::take_cancellations(const PeerHeartbeat& heartbeat,
-                                                                double sent_after, double now) {
+std::vector<std::string> CancellationGossip::merge_cancellations(const PeerHeartbeat& heartbeat,
+                                                                 double sent_after, double now) {
   std::vector<std::string> new_jobs;
   for (auto& cancellation : heartbeat.cancelled) {
     const double since = sent_after - from_ms(cancellation.age_ms);
@@ -123,18 +124,19 @@
   const auto echoed = echoed_time(heartbeat);
   if (!follow_incarnation(peer, heartbeat, echoed)) return result;
   note_acknowledgement(peer, heartbeat, echoed);
-  result.new_jobs = take_cancellations(heartbeat, std::min(echoed.value_or(now), now), now);
-  if (peer.received_upto >= heartbeat.from)
-    peer.received_upto = std::max(peer.received_upto, heartbeat.upto);
-  // Before it has loaded the records, the peer knows nothing of what its earlier incarnations sent.
-  // Afterwards it knows all of that, since they sent only what stood in the records.
-  if (echoed && heartbeat.loaded && peer.received_upto >= heartbeat.last)
+  result.new_jobs = merge_cancellations(heartbeat, std::min(echoed.value_or(now), now), now);
+  if (peer.received_upto >= heartbeat.listed_after)
+    peer.received_upto = std::max(peer.received_upto, heartbeat.listed_upto);
+  // Until the peer has loaded the records, it doesn't know the cancellations that its earlier
+  // incarnations sent. Afterwards it knows all of them, since those incarnations sent only
+  // cancellations that were in the records.
+  if (echoed && heartbeat.records_loaded && peer.received_upto >= heartbeat.newest_number)
     peer.watermark = std::max(peer.watermark, *echoed);
   const bool peer_waits_for_more =
       peer.acknowledged_upto > acknowledged_before && peer.acknowledged_upto < last_number_;
   const bool more_follows =
-      peer.received_upto > received_before && peer.received_upto < heartbeat.last;
-  result.answer_at_once = peer_waits_for_more || more_follows;
+      peer.received_upto > received_before && peer.received_upto < heartbeat.newest_number;
+  result.reply_at_once = peer_waits_for_more || more_follows;
   return result;
 }
 
--- a/src/coordination/leadership/peer_network.cpp
+++ b/src/coordination/leadership/peer_network.cpp
@@ -6,17 +6,19 @@
 namespace damsonport {
 
 namespace {
-// The controllers' heartbeats for each of the workers'.
+// Controllers send this many heartbeats per heartbeat interval of the workers.
 constexpr double heartbeats_per_worker_heartbeat = 3;
-// A peer is alive while its last heartbeat is less than so many intervals old.
+// A peer is alive while its last heartbeat is less than this many intervals old.
 constexpr double alive_intervals = 3;
-// What must be sent at once waits for this part of an interval, for what comes just behind it.
-constexpr double intervals_per_gathering = 20;
+// An urgent heartbeat is delayed by this fraction of an interval, so that it includes further
+// changes that follow immediately.
+constexpr double batch_delays_per_interval = 20;
 
-// Streams that may be open at once: peers reconnect before the old stream is known to be gone.
+// Maximum number of streams open at once. Peers may reconnect before the loss of the old stream is
+// noticed.
 size_t max_streams(const Settings& settings) { return 2 + 4 * settings.peers.size(); }
 
-constexpr long bad_bytes = -1;  // closes the stream
+constexpr long malformed_input = -1;  // closes the stream
 }  // namespace
 
 PeerNetwork::PeerNetwork(Loop& loop, Network& network, const Settings& settings,
@@ -33,7 +35,6 @@
                                [this](std::string_view bytes) { return receive(bytes); });
 }
 
-// Takes whole heartbeats off the front; returns how many bytes they had.
 long PeerNetwork::receive(std::string_view bytes) {
   long used = 0;
   for (;;) {
@@ -41,19 +42,20 @@
     size_t size = 0;
     const auto framed =
         decode_peer_heartbeat(bytes.substr(static_cast<size_t>(used)), heartbeat, size);
-    if (framed == Framed::bad) return bad_bytes;
-    if (framed == Framed::partial) return used;
+    if (framed == FrameStatus::malformed) return malformed_input;
+    if (framed == FrameStatus::incomplete) return used;
     used += static_cast<long>(size);
-    take(std::move(heartbeat));
+    process_heartbeat(std::move(heartbeat));
   }
 }
 
-void PeerNetwork::take(PeerHeartbeat heartbeat) {
-  // Only the controllers named in the settings: nothing grows with what strangers send.
+void PeerNetwork::process_heartbeat(PeerHeartbeat heartbeat) {
+  // Heartbeats of controllers that the settings don't name are ignored, so that unknown senders
+  // can't use memory.
   auto peer = peers_.find(heartbeat.controller);
   if (peer == peers_.end()) return;
   const auto merged = cancellations_.merge(heartbeat, loop_.now());
-  if (merged.answer_at_once) wake_.notify();
+  if (merged.reply_at_once) wake_.notify();
   for (auto& job : merged.new_jobs)
     if (on_cancelled) on_cancelled(job);
   heartbeat.cancelled.clear();
@@ -69,7 +71,7 @@
       cancellations_.add_to(heartbeat, peer, loop_.now());
       link->send(encode_peer_heartbeat(heartbeat));
     }
-    if (!co_await Sleep(loop_, interval_s_ / intervals_per_gathering, stop_token)) co_return;
+    if (!co_await Sleep(loop_, interval_s_ / batch_delays_per_interval, stop_token)) co_return;
     co_await wake_.wait(interval_s_ * loop_.uniform(0.85, 1.05), stop_token);
   }
 }
@@ -98,7 +100,7 @@
 
 uint64_t PeerNetwork::wanted_writes() const {
   uint64_t sum = 0;
-  for_each_live([&](auto&, const PeerHeartbeat& heartbeat) { sum += heartbeat.writes; });
+  for_each_live([&](auto&, const PeerHeartbeat& heartbeat) { sum += heartbeat.writes_per_s; });
   return sum;
 }
 
--- a/src/coordination/machines/command_dispatcher.cpp
+++ b/src/coordination/machines/command_dispatcher.cpp
@@ -5,21 +5,22 @@
 namespace damsonport {
 
 void CommandDispatcher::dispatch(Machine& machine, Command command) {
-  machine.outbox.push_back(std::move(command));
+  machine.pending_commands.push_back(std::move(command));
   enqueue(machine);
 }
 
 void CommandDispatcher::enqueue(Machine& machine) {
-  if (machine.sending || machine.agent_epoch == 0 || machine.outbox.empty()) return;
-  // Its next heartbeat is answered with what is still wanted, and no socket waits for it until
-  // then.
-  if (callbacks_.is_suspected(machine)) return machine.outbox.clear();
+  if (machine.sending || machine.agent_epoch == 0 || machine.pending_commands.empty()) return;
+  // The response to the machine's next heartbeat carries the commands that are still needed. Until
+  // then no socket waits for a response of a suspected machine.
+  if (callbacks_.is_suspected(machine)) return machine.pending_commands.clear();
   machine.sending = true;
   queue_.push_back(machine.id);
   start_sends();
 }
 
-// Bounded, so that commands to many unreachable machines leave sockets to everybody else.
+// The number of sends is limited, so that commands to many unreachable machines leave enough
+// sockets for users, other workers and the key-value store.
 void CommandDispatcher::start_sends() {
   while (sends_in_progress_ < max_concurrent_sends(settings_) && !queue_.empty()) {
     ++sends_in_progress_;
@@ -29,24 +30,24 @@
 }
 
 Task<void> CommandDispatcher::send(std::string machine_id) {
-  // Lets the other commands of this turn join the request.
+  // The commands of the rest of this loop iteration join the request.
   co_await Sleep(loop_, 0, {});
   co_await send_until_empty(std::move(machine_id));
   --sends_in_progress_;
   start_sends();
 }
 
-std::vector<Command> CommandDispatcher::take_wanted_commands(Machine& machine) const {
-  auto commands = std::exchange(machine.outbox, {});
+std::vector<Command> CommandDispatcher::take_needed_commands(Machine& machine) const {
+  auto commands = std::exchange(machine.pending_commands, {});
   std::erase_if(commands,
-                [&](const Command& command) { return !callbacks_.is_wanted(machine, command); });
+                [&](const Command& command) { return !callbacks_.is_needed(machine, command); });
   return commands;
 }
 
-Task<HttpReply> CommandDispatcher::post_commands(std::string address, uint64_t agent_epoch,
-                                                 std::vector<Command> commands) {
+Task<HttpClientResponse> CommandDispatcher::post_commands(std::string address, uint64_t agent_epoch,
+                                                          std::vector<Command> commands) {
   Endpoint endpoint;
-  if (!parse_endpoint(address, endpoint)) co_return HttpReply{};
+  if (!parse_endpoint(address, endpoint)) co_return HttpClientResponse{};
   co_return co_await http_.request(
       endpoint, Method::post, "/commands",
       encode_direct_commands(callbacks_.fencing_token(), agent_epoch, commands),
@@ -57,7 +58,7 @@
   for (;;) {
     Machine* machine = callbacks_.find_machine(machine_id);
     if (!machine) co_return;
-    auto commands = take_wanted_commands(*machine);
+    auto commands = take_needed_commands(*machine);
     if (commands.empty() || !callbacks_.is_leading()) {
       machine->sending = false;
       co_return;
@@ -65,46 +66,47 @@
     std::set<AttemptKey> starts;
     for (auto& command : commands)
       if (command.op == Command::Op::start) starts.insert({command.task, command.attempt});
-    machine->in_flight.insert(starts.begin(), starts.end());
+    machine->starts_in_flight.insert(starts.begin(), starts.end());
     const uint64_t agent_epoch = machine->agent_epoch;
     const uint64_t fencing_token = callbacks_.fencing_token();
     const double requested_at = loop_.now();
-    const HttpReply reply =
+    const HttpClientResponse reply =
         co_await post_commands(machine->address, agent_epoch, std::move(commands));
     machine = callbacks_.find_machine(machine_id);
     if (!machine || fencing_token != callbacks_.fencing_token()) co_return;
     if (machine->agent_epoch == agent_epoch) {
       for (auto& start : starts) {
-        machine->in_flight.erase(start);
-        // The agent may still receive it at any time in this epoch.
-        if (!reply.answered()) machine->in_limbo.insert(start);
+        machine->starts_in_flight.erase(start);
+        // The worker may still receive the command at any time in this epoch.
+        if (!reply.answered()) machine->starts_unacknowledged.insert(start);
       }
     }
     if (!reply.answered()) {
-      note_no_answer(*machine);
+      handle_missing_response(*machine);
       co_return;
     }
-    process_answer(*machine, reply, requested_at);
+    handle_response(*machine, reply, requested_at);
   }
 }
 
-void CommandDispatcher::note_no_answer(Machine& machine) {
+void CommandDispatcher::handle_missing_response(Machine& machine) {
   ++machine.failed_sends;
   callbacks_.on_send_failed(machine.id);
   machine.sending = false;
-  machine.outbox.clear();
+  machine.pending_commands.clear();
   spdlog::debug("{} does not answer commands", machine.id);
 }
 
-void CommandDispatcher::process_answer(Machine& machine, const HttpReply& reply,
-                                       double requested_at) {
+void CommandDispatcher::handle_response(Machine& machine, const HttpClientResponse& reply,
+                                        double requested_at) {
   machine.failed_sends = 0;
   const auto status = decode_heartbeat(decode_map(reply.body));
   if (!status || status->machine != machine.id) return;
-  // Only removals are sent at once. A stop whose answer still shows the task saving, and the like,
-  // wait for the next heartbeat.
+  // Only removals are sent at once. Other commands wait for the next heartbeat: the response to a
+  // stop, for example, may still show the task as saving.
   for (auto& command : callbacks_.on_status(machine, *status, requested_at))
-    if (reply.status == 200 && command.op == Command::Op::remove) machine.outbox.push_back(command);
+    if (reply.status == 200 && command.op == Command::Op::remove)
+      machine.pending_commands.push_back(command);
 }
 
 void CommandDispatcher::start_probe(const std::string& machine_id) {
@@ -120,13 +122,13 @@
   const uint64_t fencing_token = callbacks_.fencing_token();
   const double requested_at = loop_.now();
   probes_in_progress_.insert(machine_id);
-  const HttpReply reply =
+  const HttpClientResponse reply =
       co_await http_.request(endpoint, Method::get, "/show", {}, settings_.heartbeat_interval_s);
   probes_in_progress_.erase(machine_id);
   machine = callbacks_.find_machine(machine_id);
   if (reply.status != 200 || !machine || fencing_token != callbacks_.fencing_token()) co_return;
   const auto status = decode_heartbeat(decode_map(reply.body));
-  // What follows from it is sent with the response to the next heartbeat.
+  // The response to the next heartbeat carries the resulting commands.
   if (status && status->machine == machine_id)
     callbacks_.on_status(*machine, *status, requested_at);
 }
--- a/src/coordination/quotas/region_network.cpp
+++ b/src/coordination/quotas/region_network.cpp
@@ -9,10 +9,12 @@
 constexpr double max_message_intervals = 1.0;
 /// Shortest time between two messages to a region, in heartbeat intervals.
 constexpr double min_message_intervals = 0.05;
-/// The longest time is drawn between these shares of it, so that controllers don't send in step.
+/// The period is drawn uniformly between these shares of the longest time, so that controllers
+/// don't send in lockstep.
 constexpr double min_period_share = 0.85;
 constexpr double max_period_share = 1.05;
-/// Streams accepted from each controller of the other regions: one in use, one being replaced.
+/// Streams accepted from each controller of another region: the one in use, and one that is being
+/// replaced.
 constexpr size_t streams_per_peer = 2;
 }  // namespace
 
@@ -39,18 +41,18 @@
 
 long RegionNetwork::receive(std::string_view bytes) {
   long consumed = 0;
-  bool news = false;
+  bool records_due = false;
   for (;;) {
     RegionMessage message;
     size_t used = 0;
-    const auto framed =
+    const auto status =
         decode_region_message(bytes.substr(static_cast<size_t>(consumed)), message, used);
-    if (framed == Framed::bad) return -1;
-    if (framed == Framed::partial) break;
+    if (status == FrameStatus::malformed) return -1;
+    if (status == FrameStatus::incomplete) break;
     consumed += static_cast<long>(used);
-    news |= quotas_.receive_message(message, loop_.now());
+    records_due |= quotas_.receive_message(message, loop_.now());
   }
-  if (news && on_news) on_news();
+  if (records_due && on_quota_changes_due) on_quota_changes_due();
   return consumed;
 }
 
--- a/src/coordination/quotas/team_demand.cpp
+++ b/src/coordination/quotas/team_demand.cpp
@@ -4,14 +4,15 @@
 
 namespace {
 
-/// Of so many tasks of the job together.
+/// Resources of `tasks` tasks of the job together.
 scheduling::Resources resources_of(const JobSpec& spec, uint64_t tasks) {
   const auto n = static_cast<double>(tasks);
   return {spec.cpus * n, spec.gpus * n, spec.memory_gb * n};
 }
 
-/// 0 in `smallest`: no need noted yet; a need of 0 isn't noted.
-void note_smallest(double& smallest, double need) {
+/// Lowers `smallest` to `need`. A `smallest` of 0 means that there is no value yet; a `need` of 0
+/// is ignored.
+void update_smallest(double& smallest, double need) {
   if (need > 0 && (smallest == 0 || need < smallest)) smallest = need;
 }
 
@@ -23,12 +24,12 @@
     const auto& spec = job->spec;
     auto& demand = demands[spec.team];
     demand.used += resources_of(spec, job->live);
-    const uint64_t pending = job->cancelled ? 0 : job->unstarted();
+    const uint64_t pending = job->cancelled ? 0 : job->startable_count();
     if (pending == 0) continue;
     demand.need += resources_of(spec, pending);
     if (spec.priority >= Priority::high) demand.urgent_need += resources_of(spec, pending);
-    note_smallest(demand.smallest_need.cpus, spec.cpus);
-    note_smallest(demand.smallest_need.gpus, spec.gpus);
+    update_smallest(demand.smallest_need.cpus, spec.cpus);
+    update_smallest(demand.smallest_need.gpus, spec.gpus);
   }
   return demands;
 }
--- a/src/coordination/scheduling/start_edits.cpp
+++ b/src/coordination/scheduling/start_edits.cpp
@@ -4,16 +4,16 @@
 
 namespace damsonport {
 
-StartableTask find_startable(const Job& job, ChunkEdits& edits,
-                             const std::function<bool(const TaskChunk&)>& must_wait) {
+StartableTask find_startable_task(const Job& job, ChunkEdits& edits,
+                                  const std::function<bool(const TaskChunk&)>& must_wait) {
   StartableTask found;
   for (; found.chunk < job.chunk_count(); ++found.chunk) {
     if (job.all_started(found.chunk)) continue;
     TaskChunk* record = edits.edit(job, found.chunk);
-    found.full = record == nullptr;
-    if (found.full) return found;
-    const uint32_t size = job.size_of(found.chunk);
-    const auto next = record->peek_startable(size);
+    found.transaction_full = record == nullptr;
+    if (found.transaction_full) return found;
+    const uint32_t size = job.tasks_in_chunk(found.chunk);
+    const auto next = record->next_startable(size);
     if (!next) continue;
     found.index = next->index;
     found.attempt = next->attempt;
@@ -26,7 +26,7 @@
 
 namespace {
 
-/// Puts a gang's starts into the chunks of one transaction, task by task.
+/// Adds the starts of a gang's tasks to the chunks of one transaction.
 class GangStartEditor {
  public:
   GangStartEditor(const Job& job, const DecidedGang& gang, size_t committed, uint64_t attempt,
@@ -52,10 +52,10 @@
   void edit_chunk(uint32_t chunk, TaskChunk& record) {
     const uint32_t chunk_start = chunk * job_.chunk_size;
     const uint32_t first = std::max(gang_.tasks.first, chunk_start) - chunk_start;
-    const uint32_t end = std::min(gang_.tasks.end() - chunk_start, job_.size_of(chunk));
+    const uint32_t end = std::min(gang_.tasks.end() - chunk_start, job_.tasks_in_chunk(chunk));
     for (uint32_t index = first; index < end && !all_placed(); ++index) {
       if (!record.is_startable(index)) continue;
-      if (!edits_.take_entry()) break;
+      if (!edits_.reserve_task_entry()) break;
       const DecidedStart& start = gang_.starts[placed()];
       record.start(index, attempt_, start.machine);
       const TaskId task{job_.spec.id, chunk_start + index};
--- a/src/coordination/shard_leader/shard_leader_autoscaling.cpp
+++ b/src/coordination/shard_leader/shard_leader_autoscaling.cpp
@@ -1,4 +1,4 @@
-// What scale-in and the autoscaler need of the shard leader.
+// Connects the shard leader with ScaleIn and the AutoscalerDriver.
 #include "coordination/shard_leader/shard_leader.hpp"
 
 namespace damsonport {
@@ -13,18 +13,19 @@
           deps_.changed,
           deps_.incarnation,
           [this] { return is_leading(); },
-          [this](const std::string& id) { mark_changed(id); },
+          [this](const std::string& id) { mark_machine_changed(id); },
           [this](const std::string& id, bool declared_dead) {
             on_machine_returned(id, declared_dead);
           }};
 }
 
-// Gone, with everything on it: the proof that lets its tasks start elsewhere.
+// The machine is gone with everything that ran on it, which proves that its tasks may be started
+// elsewhere.
 void ShardLeader::on_machine_returned(const std::string& id, bool declared_dead) {
   autoscaler_.note_returned(id, find_machine(id), declared_dead);
   forget_machine(id);
-  for (auto& [a, attempt] : cache_.assigned(id)) {
-    TaskId name{a.job->spec.id, a.index};
+  for (auto& [assignment, attempt] : cache_.assignments_on(id)) {
+    TaskId name{assignment.job->spec.id, assignment.index};
     note_exit(name, {attempt, ExitCause::stopped, id});
   }
 }
--- a/src/coordination/shard_leader/shard_leader_failures.cpp
+++ b/src/coordination/shard_leader/shard_leader_failures.cpp
@@ -1,4 +1,4 @@
-// What is concluded from missed heartbeats and from failed tasks.
+// The shard leader's conclusions from missed heartbeats and failed tasks.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -8,29 +8,31 @@
 namespace damsonport {
 
 namespace {
-constexpr uint64_t attempts_in_vain = 3;  // of one task, in the records: its job is suspected
+// A job is suspected to be faulty if its records show so many attempts of one task without success.
+constexpr uint64_t min_unsuccessful_attempts = 3;
 }  // namespace
 
 void ShardLeader::detect_dead_machines() {
   FailureDetector::FleetFacts facts;
   facts.has_tombstone = [this](auto& id) { return cache_.has_tombstone(id); };
   facts.is_leaving = [this](auto& id) { return scale_in_.is_leaving(id); };
-  facts.has_assignments = [this](auto& id) { return !cache_.assigned(id).empty(); };
-  facts.silent_peers = deps_.peer_network.unreachable_peers();
+  facts.has_assignments = [this](auto& id) { return !cache_.assignments_on(id).empty(); };
+  facts.unreachable_peers = deps_.peer_network.unreachable_peers();
   for (auto& machine : failure_detector_.detect(machines_, facts, loop_.now())) {
     scheduling_requested_ = true;
     commands_.start_probe(machine.id);
     if (!machine.is_dead) continue;
-    scale_in_.request(machine.id,
-                      "silent for " + std::to_string(static_cast<int>(machine.silent_s)) + " s",
-                      ScaleInCause::declared_dead);
+    scale_in_.request(
+        machine.id,
+        "silent for " + std::to_string(static_cast<int>(machine.heartbeat_age_s)) + " s",
+        ScaleInCause::declared_dead);
   }
 }
 
-// After the exit is in the records: what it teaches about the machine and the job.
-void ShardLeader::finish_exit(const PendingExit& exit, const TaskId& task) {
+// Called after the exit was committed: updates what is known of the machine and the job.
+void ShardLeader::process_committed_exit(const PendingExit& exit, const TaskId& task) {
   const double now = loop_.now();
-  stopping_.erase(task);
+  stop_requests_.erase(task);
   Attempt seen;
   if (auto a = attempts_.find(task); a != attempts_.end()) {
     if (auto i = a->second.find(exit.attempt); i != a->second.end()) seen = i->second;
@@ -40,8 +42,9 @@
   auto it = machines_.find(exit.machine);
   if (!job || it == machines_.end()) return;
   Machine& m = it->second;
-  mark_changed(m.id);
-  // The worker can drop it from its reports now; a later report repeats this if it is lost.
+  mark_machine_changed(m.id);
+  // The worker may remove the task from its heartbeats now. If the command is lost, the next
+  // heartbeat with the task causes another one.
   if (auto t = m.tasks.find(task); t != m.tasks.end() && t->second.attempt == exit.attempt &&
                                    t->second.state == TaskState::exited &&
                                    !m.has_outstanding_start({task, exit.attempt}))
@@ -49,11 +52,12 @@
   switch (exit.cause) {
     case ExitCause::done: {
       task_failures_.note_success(task.job, m.id, seen.running_at);
-      if (!seen.image_cached || seen.ordered_at == 0) break;
-      // A gang's tasks all take the time of its slowest machine: their median says nothing of any.
+      if (!seen.image_cached || seen.start_committed_at == 0) break;
+      // All tasks of a gang take as long as the one on the slowest machine, so their run_s times
+      // say nothing about single machines.
       if (job->spec.kind == JobKind::gang) break;
-      double run = std::max(now - seen.ordered_at, settings_.heartbeat_interval_s);
-      if (stragglers_.note_success(task.job, run, m.straggler)) {
+      double run_s = std::max(now - seen.start_committed_at, settings_.heartbeat_interval_s);
+      if (stragglers_.note_success(task.job, run_s, m.straggler)) {
         spdlog::warn("{} is a straggler: its average is {:.2f} of its jobs' medians", m.id,
                      m.straggler.average);
         m.straggler_since = now;
@@ -63,12 +67,13 @@
     case ExitCause::error:
       note_error(m, job->spec);
       break;
-    case ExitCause::no_room:
-    case ExitCause::busy:
-    case ExitCause::unknown:
+    case ExitCause::insufficient_resources:
+    case ExitCause::other_attempt_running:
+    case ExitCause::not_found:
       spdlog::info("{} was refused by {}", task.text(), m.id);
       task_failures_.note_refusal(task.job, now);
-      // Its place in the gang is filled elsewhere, under the attempt that this machine has refused.
+      // The task is started on another machine under the same attempt, which this machine has
+      // refused.
       if (job->spec.gang_size() > 0) m.failed_jobs[task.job] = now;
       break;
     default:
@@ -91,7 +96,7 @@
     Machine& m = machines_.at(id);
     m.draining = false;
     m.faulty_since = 0;
-    mark_changed(id);
+    mark_machine_changed(id);
   }
   for (auto& id : review.faulty) {
     spdlog::warn("{} is drained: tasks of different jobs fail on it", id);
@@ -101,12 +106,12 @@
   }
 }
 
-bool ShardLeader::failed_before(const Job& job) {
+bool ShardLeader::failed_under_earlier_leases(const Job& job) {
   if (job.live > 0 || job.done > 0) return false;
-  // Their attempts grow with every machine that is lost.
+  // The attempts of a replicated job grow with every machine that is lost.
   if (job.spec.replicated()) return false;
   return std::any_of(job.chunks.begin(), job.chunks.end(), [](auto& chunk) {
-    return chunk.second.record.last_attempt() >= attempts_in_vain;
+    return chunk.second.record.last_attempt() >= min_unsuccessful_attempts;
   });
 }
 
--- a/src/protocol/cloud_messages.cpp
+++ b/src/protocol/cloud_messages.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Names on the wire.
+/// Field names in the messages of the cloud.
 namespace wire {
 constexpr const char* machine_types = "hulls";
 constexpr const char* type_name = "name";
@@ -30,15 +30,15 @@
 constexpr const char* count = "count";
 }  // namespace wire
 
-// "MESSAGE: LIST[3].FIELD is missing or invalid".
+// Returns the error "MESSAGE: LIST[INDEX].FIELD is missing or invalid".
 Error invalid_field(const char* message, const char* list, size_t index, const char* field) {
   return Error{std::string(message) + ": " + list + "[" + std::to_string(index) + "]." + field +
                " is missing or invalid"};
 }
 
-// The entries, or nullptr where the message has no such list.
-const Json* find_list(const Json& m, const char* name) {
-  const auto* list = m.is_object() ? cbor::find(m, name) : nullptr;
+// Returns the list in the field `name`, or nullptr if the message has no such list.
+const Json* find_list(const Json& map, const char* name) {
+  const auto* list = map.is_object() ? cbor::find(map, name) : nullptr;
   return list && list->is_array() ? list : nullptr;
 }
 
@@ -46,38 +46,39 @@
   return Error{std::string(message) + ": " + list + " is missing or no list"};
 }
 
-// The wire name of the first field that is missing or invalid; nullptr where there is none.
-const char* decode_machine_type(const Json& m, MachineType& out) {
-  if (!m.is_object() || !cbor::read(m, wire::type_name, out.name)) return wire::type_name;
-  if (!cbor::read(m, wire::cpus, out.cpus)) return wire::cpus;
-  if (!cbor::read(m, wire::memory_gb, out.memory_gb)) return wire::memory_gb;
-  cbor::read_optional(m, wire::gpus, out.gpus);
-  cbor::read_optional(m, wire::cache_gb, out.cache_gb);
-  cbor::read_optional(m, wire::fetch_gb_per_s, out.fetch_gb_per_s);
-  cbor::read_optional(m, wire::price, out.price);
-  cbor::read_optional(m, wire::spot_price, out.spot_price);
-  cbor::read_optional(m, wire::boot_s, out.boot_s);
-  cbor::read_optional(m, wire::zones, out.zones);
+// Returns the wire name of the first required field that is missing or invalid, or nullptr if all
+// required fields are valid. Errors in optional fields are not reported.
+const char* decode_machine_type(const Json& map, MachineType& out) {
+  if (!map.is_object() || !cbor::read(map, wire::type_name, out.name)) return wire::type_name;
+  if (!cbor::read(map, wire::cpus, out.cpus)) return wire::cpus;
+  if (!cbor::read(map, wire::memory_gb, out.memory_gb)) return wire::memory_gb;
+  cbor::read_optional(map, wire::gpus, out.gpus);
+  cbor::read_optional(map, wire::cache_gb, out.cache_gb);
+  cbor::read_optional(map, wire::fetch_gb_per_s, out.fetch_gb_per_s);
+  cbor::read_optional(map, wire::price, out.price);
+  cbor::read_optional(map, wire::spot_price, out.spot_price);
+  cbor::read_optional(map, wire::boot_s, out.boot_s);
+  cbor::read_optional(map, wire::zones, out.zones);
   return nullptr;
 }
 
-// As decode_machine_type().
-const char* decode_listed_machine(const Json& m, ListedMachine& out) {
-  if (!m.is_object() || !cbor::read(m, wire::machine_id, out.id)) return wire::machine_id;
-  cbor::read_optional(m, wire::address, out.address);
-  cbor::read_optional(m, wire::type, out.type);
-  cbor::read_optional(m, wire::zone, out.zone);
-  cbor::read_optional(m, wire::state, out.state);
-  cbor::read_optional(m, wire::spot, out.spot);
-  cbor::read_optional(m, wire::age_s, out.age_s);
+// Returns the same as decode_machine_type().
+const char* decode_listed_machine(const Json& map, ListedMachine& out) {
+  if (!map.is_object() || !cbor::read(map, wire::machine_id, out.id)) return wire::machine_id;
+  cbor::read_optional(map, wire::address, out.address);
+  cbor::read_optional(map, wire::type, out.type);
+  cbor::read_optional(map, wire::zone, out.zone);
+  cbor::read_optional(map, wire::state, out.state);
+  cbor::read_optional(map, wire::spot, out.spot);
+  cbor::read_optional(map, wire::age_s, out.age_s);
   return nullptr;
 }
 
 }  // namespace
 
-Result<std::vector<MachineType>> decode_catalog(const Json& m) {
+Result<std::vector<MachineType>> decode_catalog(const Json& map) {
   constexpr const char* message = "machine type catalogue";
-  const auto* list = find_list(m, wire::machine_types);
+  const auto* list = find_list(map, wire::machine_types);
   if (!list) return missing_list(message, wire::machine_types);
   std::vector<MachineType> out;
   for (const auto& entry : *list) {
@@ -87,12 +88,12 @@
   return out;
 }
 
-Result<MachineList> decode_machine_list(const Json& m) {
+Result<MachineList> decode_machine_list(const Json& map) {
   constexpr const char* message = "machine list";
-  const auto* list = find_list(m, wire::machines);
+  const auto* list = find_list(map, wire::machines);
   if (!list) return missing_list(message, wire::machines);
   MachineList out;
-  cbor::read_optional(m, wire::more, out.more);
+  cbor::read_optional(map, wire::more, out.more);
   for (const auto& entry : *list) {
     if (const char* field = decode_listed_machine(entry, out.machines.emplace_back()))
       return invalid_field(message, wire::machines, out.machines.size() - 1, field);
@@ -108,13 +109,13 @@
                  {wire::count, request.count}});
 }
 
-std::vector<std::string> decode_created_machines(const Json& m) {
+std::vector<std::string> decode_created_machines(const Json& map) {
   std::vector<std::string> machines;
-  if (m.is_object()) cbor::read_optional(m, wire::machines, machines);
+  if (map.is_object()) cbor::read_optional(map, wire::machines, machines);
   return machines;
 }
 
-std::string encode_return(const std::vector<std::string>& machines) {
+std::string encode_return_request(const std::vector<std::string>& machines) {
   return encode({{wire::machines, machines}});
 }
 
--- a/src/storage/job.cpp
+++ b/src/storage/job.cpp
@@ -5,8 +5,8 @@
 namespace damsonport {
 
 namespace {
-// Calls `use` with each written chunk that has tasks of the range, the chunk's number, and the part
-// of the range that lies in it.
+// Calls `use` for each written chunk that contains tasks of the range, with the chunk, the chunk's
+// number, and the part of the range that lies in the chunk, relative to the chunk's first task.
 template <class Use>
 void for_each_chunk(const Job& job, TaskRange range, Use use) {
   for (auto it = job.chunks.lower_bound(range.first / job.chunk_size); it != job.chunks.end();
@@ -24,7 +24,7 @@
   auto it = chunks.find(chunk);
   if (it == chunks.end()) return false;
   const TaskChunk& record = it->second.record;
-  return record.next == size_of(chunk) && record.waiting.empty();
+  return record.next == tasks_in_chunk(chunk) && record.waiting.empty();
 }
 
 std::vector<PlacedTask> Job::live_tasks(TaskRange range) const {
--- a/src/storage/job_index.cpp
+++ b/src/storage/job_index.cpp
@@ -9,7 +9,7 @@
 namespace {
 const MachineAssignments no_assignments;
 
-bool is_same(const LiveTask* a, const LiveTask& b) {
+bool is_same_attempt(const LiveTask* a, const LiveTask& b) {
   return a && a->attempt == b.attempt && a->machine == b.machine;
 }
 }  // namespace
@@ -26,7 +26,7 @@
 }
 
 void JobIndex::update(Job& job, const JobUpdate& update) {
-  // Rechunked: the chunks of the new layout were all written before the job's record.
+  // The job was rechunked: all chunks of the new layout were written before the job's record.
   if (job.chunk_layout != update.chunk_layout) detach_chunks(job);
   job.chunk_size = update.chunk_size;
   job.chunk_layout = update.chunk_layout;
@@ -41,9 +41,9 @@
   auto it = jobs_.find(job_id);
   Job& job = *it->second;
   detach_chunks(job);
-  // Those of a layout that it never took go as well.
-  unattached_.orphan_all_of(job_id);
-  if (events_.on_job_gone) events_.on_job_gone(&job);
+  // Chunks of a layout that the job's record never had become orphaned too.
+  unattached_.orphan_chunks_of(job_id);
+  if (events_.on_job_removed) events_.on_job_removed(&job);
   jobs_.erase(it);
   notify(nullptr);
 }
@@ -55,14 +55,14 @@
       unattached_.remove(chunk.key);
       return;
     }
-    // A chunk of a later layout waits for its job to take it.
+    // A chunk of a later layout stays unattached until the job's record has that layout.
     const bool orphaned = !job || name.chunk_layout < job->chunk_layout;
     unattached_.put(chunk, orphaned ? ChunkUse::orphaned : ChunkUse::expected);
     return;
   }
   auto known = job->chunks.find(name.number);
   if (known != job->chunks.end() && chunk.version <= known->second.version) return;
-  // A chunk is removed only together with or after its job.
+  // A chunk is removed only together with its job or after it, so removing the job covers this.
   if (chunk.value.is_null()) return;
   set_chunk(*job, name.number, decode_chunk(chunk.value), chunk.version);
   notify(job);
@@ -73,15 +73,16 @@
   return it == jobs_.end() ? nullptr : it->second.get();
 }
 
-const MachineAssignments& JobIndex::assigned(const std::string& machine) const {
-  auto it = assigned_.find(machine);
-  return it == assigned_.end() ? no_assignments : it->second;
+const MachineAssignments& JobIndex::assignments_on(const std::string& machine) const {
+  auto it = assignments_.find(machine);
+  return it == assignments_.end() ? no_assignments : it->second;
 }
 
-bool JobIndex::places(const TaskId& task, uint64_t attempt, const std::string& machine) const {
+bool JobIndex::has_assignment(const TaskId& task, uint64_t attempt,
+                              const std::string& machine) const {
   Job* job = find(task.job);
   if (!job) return false;
-  auto& tasks = assigned(machine);
+  auto& tasks = assignments_on(machine);
   auto it = tasks.find({job, task.index});
   return it != tasks.end() && it->second == attempt;
 }
@@ -93,7 +94,8 @@
   return chunk == job->chunks.end() ? 0 : chunk->second.version;
 }
 
-// Only what differs is touched: a change of one task must not cost as much as the whole chunk.
+// Reports only the assignments that differ, so that a change of one task is not as expensive as a
+// change of the whole chunk.
 void JobIndex::set_chunk(Job& job, uint32_t number, TaskChunk record, uint64_t version) {
   auto& chunk = job.chunks[number];
   const uint32_t start = number * job.chunk_size;
@@ -102,27 +104,27 @@
   job.live += chunk.record.live.size() - before.live.size();
   job.done += chunk.record.done_count() - before.done_count();
   for (auto& task : before.live)
-    if (!is_same(chunk.record.find_live(task.index), task))
+    if (!is_same_attempt(chunk.record.find_live(task.index), task))
       assign(job, task, start, AssignmentChange::removed);
   for (auto& task : chunk.record.live)
-    if (!is_same(before.find_live(task.index), task))
+    if (!is_same_attempt(before.find_live(task.index), task))
       assign(job, task, start, AssignmentChange::added);
 }
 
 void JobIndex::assign(Job& job, const LiveTask& task, uint32_t chunk_start,
                       AssignmentChange change) {
-  auto& tasks = assigned_[task.machine];
+  auto& tasks = assignments_[task.machine];
   const Assignment assignment{&job, chunk_start + task.index};
   if (change == AssignmentChange::added) {
     tasks[assignment] = task.attempt;
   } else {
     tasks.erase(assignment);
-    if (tasks.empty()) assigned_.erase(task.machine);
+    if (tasks.empty()) assignments_.erase(task.machine);
   }
   if (events_.on_assignment) events_.on_assignment(task.machine, job, change);
 }
 
-// The job's chunks are no longer its own: they are kept as orphaned ones, to be removed.
+// Moves the job's chunks to the unattached chunks as orphaned, to be removed from the store.
 void JobIndex::detach_chunks(Job& job) {
   for (auto& [number, chunk] : job.chunks) {
     const uint64_t version = chunk.version;
@@ -134,7 +136,8 @@
   job.chunks.clear();
 }
 
-// Takes the chunks that were read before the job's record, or before it took their layout.
+// Attaches the chunks that were read before the job's record, or before the version of the record
+// that has their layout.
 void JobIndex::attach_chunks(Job& job) {
   for (uint32_t number = 0; number < job.chunk_count() && !unattached_.empty(); ++number) {
     const auto chunk = unattached_.take(job.chunk_key(number));
--- a/src/transport/event_loop.cpp
+++ b/src/transport/event_loop.cpp
@@ -23,14 +23,14 @@
 
 class EventTimer : public Timer {
  public:
-  EventTimer(event_base* base, Fire fire, void* argument)
-      : fire_(fire),
+  EventTimer(event_base* base, Callback callback, void* argument)
+      : callback_(callback),
         argument_(argument),
         event_(evtimer_new(
             base,
             [](evutil_socket_t, short, void* self) {
               auto* t = static_cast<EventTimer*>(self);
-              t->fire_(t->argument_);  // may destroy the timer
+              t->callback_(t->argument_);  // may destroy the timer
             },
             this)) {}
   ~EventTimer() override { event_free(event_); }
@@ -41,13 +41,14 @@
   void disarm() override { event_del(event_); }
 
  private:
-  Fire fire_;
+  Callback callback_;
   void* argument_;
   event* event_;
 };
 }  // namespace
 
-// Two calls: with one seed of 32 bits the incarnations of many restarts would collide.
+// Two calls of random_device, because with one 32-bit seed the incarnations of many restarts would
+// collide.
 struct EventLoop::Seed {
   std::seed_seq sequence{std::random_device{}(), std::random_device{}(),
                          static_cast<unsigned>(clock_seconds(CLOCK_REALTIME) * 1e3)};
@@ -62,14 +63,14 @@
 EventLoop::~EventLoop() { event_base_free(base_); }
 
 double EventLoop::now() const { return clock_seconds(CLOCK_MONOTONIC); }
-double EventLoop::wall() const { return clock_seconds(CLOCK_REALTIME); }
+double EventLoop::unix_time() const { return clock_seconds(CLOCK_REALTIME); }
 
-std::unique_ptr<Timer> EventLoop::timer(Timer::Fire fire, void* argument) {
-  return std::make_unique<EventTimer>(base_, fire, argument);
+std::unique_ptr<Timer> EventLoop::timer(Timer::Callback callback, void* argument) {
+  return std::make_unique<EventTimer>(base_, callback, argument);
 }
 
 void EventLoop::run() { event_base_loop(base_, EVLOOP_NO_EXIT_ON_EMPTY); }
 
-void EventLoop::ended() { event_base_loopbreak(base_); }
+void EventLoop::on_tasks_ended() { event_base_loopbreak(base_); }
 
 }  // namespace damsonport
--- a/tests/spending_and_headroom_test.cpp
+++ b/tests/autoscaling/cost_and_headroom_test.cpp
@@ -1,4 +1,4 @@
-// What the fleet costs, and how much room is kept ready for work to come.
+/// Cost account of the fleet, expected arrivals and target headroom.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -33,7 +33,7 @@
   EXPECT_DOUBLE_EQ(account.spent().booting, 10);
   EXPECT_DOUBLE_EQ(account.spent().in_use, 7.5);
   EXPECT_DOUBLE_EQ(account.spent().idle, 2.5 + 4);
-  // A machine that is gone costs no more; what it cost stays.
+  // A machine that no longer exists adds no cost, but its earlier cost remains in the account.
   account.charge({machine("g", true, 0)}, types, 100 + 3600);
   EXPECT_DOUBLE_EQ(account.spent().total(), 24 + 4);
   double by_kind = 0;
@@ -63,28 +63,29 @@
   EXPECT_TRUE(account.report(3622, 22));
 }
 
-TEST(Headroom, CoversArrivalsDuringABootAndTheirSpread) {
-  // One job of 4 in each of five boot times; a boot is taken to last half as long again.
+TEST(Headroom, CoversArrivalsDuringBootAndTheirDeviation) {
+  // One job with 4 units arrives in each of five boot times. A boot is assumed to take 1.5 times
+  // the boot time.
   std::vector<headroom::Arrival> arrivals;
   arrivals.reserve(6);
   for (int i = 0; i < 5; ++i) arrivals.push_back({60.0 * i + 30, 4});
-  arrivals.push_back({10000, 1000});  // too old to count
+  arrivals.push_back({10000, 1000});  // outside the window
   EXPECT_DOUBLE_EQ(headroom::expected_arrivals(arrivals, 60, 0), 6);
   EXPECT_NEAR(headroom::expected_arrivals(arrivals, 60, 2), 6 + 2 * std::sqrt(24), 1e-9);
   EXPECT_DOUBLE_EQ(headroom::expected_arrivals({}, 60, 2), 0);
 }
 
 TEST(Headroom, IsBoundedByUseAndPrice) {
-  headroom::Pool pool;
-  pool.in_use = 100, pool.unit_price = 2, pool.fleet_price = 200;
-  pool.expected = 15;
-  EXPECT_DOUBLE_EQ(headroom::target_headroom(pool, 0.25, 0.05), 15);
-  pool.expected = 60;
-  EXPECT_DOUBLE_EQ(headroom::target_headroom(pool, 0.25, 0.05), 25);
-  pool.expected = 0;
-  EXPECT_DOUBLE_EQ(headroom::target_headroom(pool, 0.25, 0.05), 5);
-  pool.unit_price = 0.05;
-  EXPECT_DOUBLE_EQ(headroom::target_headroom(pool, 0.25, 0.05), 25);
+  headroom::HeadroomInput input;
+  input.in_use = 100, input.unit_price = 2, input.fleet_price = 200;
+  input.expected = 15;
+  EXPECT_DOUBLE_EQ(headroom::target_headroom(input, 0.25, 0.05), 15);
+  input.expected = 60;
+  EXPECT_DOUBLE_EQ(headroom::target_headroom(input, 0.25, 0.05), 25);
+  input.expected = 0;
+  EXPECT_DOUBLE_EQ(headroom::target_headroom(input, 0.25, 0.05), 5);
+  input.unit_price = 0.05;
+  EXPECT_DOUBLE_EQ(headroom::target_headroom(input, 0.25, 0.05), 25);
 }
 
 }  // namespace
--- a/tests/regions/budgets_test.cpp
+++ b/tests/regions/quota_policy_test.cpp
@@ -1,8 +1,10 @@
-// The pure parts of dividing limits among regions: settings, codec, first division and policy.
+// Tests of the pure functions that divide limits among regions: regions file, message and record
+// encoding, initial units and transfer policy.
+#include "coordination/quotas/quota_policy.hpp"
+
 #include <gtest/gtest.h>
 
 #include "coordination/quotas/initial_units.hpp"
-#include "coordination/quotas/quota_policy.hpp"
 #include "protocol/region_message.hpp"
 #include "storage/quota_record.hpp"
 
@@ -15,7 +17,7 @@
   (region south (share 1) (zones c) (controller pier-0 "10.4.0.1:8082")
                                     (controller pier-1 "10.4.0.2:8082"))))";
 
-TEST(RegionSettings, AControllerBelongsToTheRegionOfItsZone) {
+TEST(RegionSettings, ControllerBelongsToTheRegionOfItsZone) {
   auto settings = parse_regions(two_regions, "c");
   ASSERT_TRUE(settings) << settings.error();
   EXPECT_EQ(settings->own().name, "south");
@@ -40,10 +42,10 @@
       {"(regions (region n (share 1) (zones b)))", "no region lists the zone a"},
       {"(regions (region n (share 1) (zones a))", "'(' is not closed"},
       {"(areas)", "expected (regions ...)"}};
-  for (auto& [text, complaint] : bad) {
+  for (auto& [text, problem] : bad) {
     auto settings = parse_regions(text, "a");
     ASSERT_FALSE(settings) << text;
-    EXPECT_NE(settings.error().find(complaint), std::string::npos) << settings.error();
+    EXPECT_NE(settings.error().find(problem), std::string::npos) << settings.error();
   }
 }
 
@@ -53,7 +55,7 @@
   for (uint64_t share : {1, 2, 3, 7, 999983, 1000000}) {
     regions[1].share = share;
     const auto units = initial_units(regions);
-    EXPECT_EQ(units[0] + units[1] + units[2], all_quota_units) << share;
+    EXPECT_EQ(units[0] + units[1] + units[2], total_quota_units) << share;
     EXPECT_EQ(units[2], 0u);
     const double expected = static_cast<double>(share) / static_cast<double>(share + 2);
     EXPECT_NEAR(amount_of(units[1], 1), expected, 1e-9) << share;
@@ -61,7 +63,7 @@
   regions.assign(8, {"all", 1000000, {"z"}, {}});
   uint64_t sum = 0;
   for (uint64_t units : initial_units(regions)) sum += units;
-  EXPECT_EQ(sum, all_quota_units);
+  EXPECT_EQ(sum, total_quota_units);
 }
 
 TEST(InitialUnits, GuaranteeSharesSumToTheGuarantee) {
@@ -75,20 +77,20 @@
 
 TEST(RegionMessage, RoundTrips) {
   RegionMessage message{"north", "south", "quay-0", 41, 7, {}};
-  message.teams.push_back({"t", {1, 2}, {3, 4}, {5, 6}, {7, 8}, {9, 10}, {11, all_quota_units}});
+  message.teams.push_back({"t", {1, 2}, {3, 4}, {5, 6}, {7, 8}, {9, 10}, {11, total_quota_units}});
   const auto bytes = encode_region_message(message);
   RegionMessage read;
   size_t used = 0;
   for (size_t size = 0; size < bytes.size(); ++size)
     EXPECT_EQ(decode_region_message(std::string_view(bytes).substr(0, size), read, used),
-              Framed::partial);
-  ASSERT_EQ(decode_region_message(bytes + "x", read, used), Framed::whole);
+              FrameStatus::incomplete);
+  ASSERT_EQ(decode_region_message(bytes + "x", read, used), FrameStatus::complete);
   EXPECT_EQ(used, bytes.size());
   EXPECT_EQ(read.region, "north");
   EXPECT_EQ(read.receiver, "south");
   EXPECT_EQ(read.fencing_token, 41u);
   ASSERT_EQ(read.teams.size(), 1u);
-  EXPECT_EQ(read.teams[0].request, (QuotaUnits{11, all_quota_units}));
+  EXPECT_EQ(read.teams[0].request, (QuotaUnits{11, total_quota_units}));
   EXPECT_EQ(read.teams[0].received, (QuotaUnits{3, 4}));
 }
 
@@ -96,7 +98,7 @@
   const std::string later = encode_frame(std::string("\x02whatever", 9));
   RegionMessage read;
   size_t used = 0;
-  ASSERT_EQ(decode_region_message(later, read, used), Framed::whole);
+  ASSERT_EQ(decode_region_message(later, read, used), FrameStatus::complete);
   EXPECT_EQ(used, later.size());
   EXPECT_TRUE(read.region.empty());
 }
@@ -109,26 +111,27 @@
   RegionMessage read;
   size_t used = 0;
   for (size_t size = 1; size < body.size(); ++size)
-    EXPECT_EQ(decode_region_message(encode_frame(body.substr(0, size)), read, used), Framed::bad);
+    EXPECT_EQ(decode_region_message(encode_frame(body.substr(0, size)), read, used),
+              FrameStatus::malformed);
 }
 
 TEST(QuotaRecord, RoundTrips) {
   QuotaRecord record{{10, 20}, {{"south", {1, 2}}}, {{"south", {3, 4}}, {"west", {5, 6}}}};
   EXPECT_EQ(decode_quota(encode_quota(record)), record);
-  EXPECT_EQ(record.units(), (QuotaUnits{17, 28}));
+  EXPECT_EQ(record.available_units(), (QuotaUnits{17, 28}));
 }
 
 TEST(QuotaPolicy, SurplusExcludesUseNeedAndGuarantee) {
-  Standing s{.quota = 100, .used = 30, .guaranteed = 20, .urgent_need = 5, .need = 25};
+  QuotaState s{.quota = 100, .used = 30, .guaranteed = 20, .urgent_need = 5, .need = 25};
   EXPECT_EQ(surplus(s, false).urgent, 65u);
   EXPECT_EQ(surplus(s, false).any, 45u);
   s.recent_peak = 90;
   EXPECT_EQ(surplus(s, false).any, 10u);
-  EXPECT_EQ(surplus(s, false).urgent, 65u) << "what was needed lately gives way to urgent work";
+  EXPECT_EQ(surplus(s, false).urgent, 65u) << "recent need yields to urgent work";
   s.guaranteed = 80;
   EXPECT_EQ(surplus(s, false).urgent, 20u);
   s.used = 120;
-  EXPECT_EQ(surplus(s, false).urgent, 0u) << "more in use than the budget: nothing to give";
+  EXPECT_EQ(surplus(s, false).urgent, 0u) << "no surplus, since more than the quota is in use";
 }
 
 TEST(QuotaPolicy, TransfersRequestedUnitsNotYetSent) {
@@ -147,27 +150,27 @@
   EXPECT_EQ(urgent, 20u);
   EXPECT_LE(any, 50u);
   EXPECT_EQ(requests[0].any, 0u);
-  EXPECT_EQ(requests[2].urgent, 20u) << "the one that can spare most is asked first";
+  EXPECT_EQ(requests[2].urgent, 20u) << "the region with the largest surplus is used first";
   EXPECT_LE(requests[1].any, 15u);
   EXPECT_GE(any, 40u);
 }
 
-TEST(QuotaPolicy, OneOfTwoRegionsWithTooLittleDefers) {
-  Standing s{.quota = 10, .used = 8, .need = 40, .smallest_need = 4};
+TEST(QuotaPolicy, OneOfTwoRegionsWithTooLittleQuotaDefers) {
+  QuotaState s{.quota = 10, .used = 8, .need = 40, .smallest_need = 4};
   EXPECT_EQ(surplus(s, false).any, 0u);
   EXPECT_EQ(surplus(s, true).any, 2u);
   s.quota = 12;
-  EXPECT_EQ(surplus(s, true).any, 0u) << "a task fits";
+  EXPECT_EQ(surplus(s, true).any, 0u) << "the free quota is enough for a pending task";
 }
 
 TEST(QuotaPolicy, RecentPeakExpires) {
   RecentPeak peak;
-  peak.note(10, 100, 20);
-  peak.note(3, 109, 20);
+  peak.add_sample(10, 100, 20);
+  peak.add_sample(3, 109, 20);
   EXPECT_EQ(peak.value(), 10u);
-  peak.note(3, 112, 20);
+  peak.add_sample(3, 112, 20);
   EXPECT_EQ(peak.value(), 10u);
-  peak.note(3, 123, 20);
+  peak.add_sample(3, 123, 20);
   EXPECT_EQ(peak.value(), 3u);
 }
 
--- a/tests/regions/region_cluster.cpp
+++ b/tests/regions/region_cluster.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr double eps = 1e-6;
+constexpr double resource_tolerance = 1e-6;
 constexpr uint16_t api_port = 8080, peer_port = 8081, region_port = 8082;
 const std::string user_host = "10.9.0.1";
 
@@ -21,29 +21,31 @@
 std::string controller_name(size_t region, size_t n) { return fmt::format("r{}n{}", region, n); }
 std::string zone_name(size_t region) { return fmt::format("zone-{}", region); }
 
-MachineType machine_type(const ClusterPlan& plan) {
+MachineType machine_type(const ClusterOptions& options) {
   MachineType type;
   type.name = "g", type.cpus = 64, type.gpus = 8, type.memory_gb = 512;
   type.cache_gb = 500, type.fetch_gb_per_s = 10;
   type.price = 10, type.spot_price = 2, type.boot_s = 30;
-  for (size_t r = 0; r < plan.regions; ++r) type.zones.push_back(zone_name(r));
+  for (size_t r = 0; r < options.regions; ++r) type.zones.push_back(zone_name(r));
   return type;
 }
 
 }  // namespace
 
-RegionCluster::RegionCluster(ClusterPlan plan)
-    : plan_(std::move(plan)), world_(plan_.seed), checked_limit_(plan_.team.gpus_max) {
-  plan_.share.resize(plan_.regions, 1);
-  regions_.resize(plan_.regions);
-  for (size_t r = 0; r < plan_.regions; ++r) set_up_region(r);
+RegionCluster::RegionCluster(ClusterOptions options)
+    : options_(std::move(options)),
+      world_(options_.seed),
+      checked_limit_gpus_(options_.team.gpus_max) {
+  options_.share.resize(options_.regions, 1);
+  regions_.resize(options_.regions);
+  for (size_t r = 0; r < options_.regions; ++r) create_region(r);
 }
 
 RegionSettings RegionCluster::region_settings(size_t own) const {
   RegionSettings out;
-  for (size_t r = 0; r < plan_.regions; ++r) {
-    Region region{fmt::format("region-{}", r), plan_.share[r], {zone_name(r)}, {}};
-    for (size_t n = 0; n < plan_.controllers; ++n)
+  for (size_t r = 0; r < options_.regions; ++r) {
+    Region region{fmt::format("region-{}", r), options_.share[r], {zone_name(r)}, {}};
+    for (size_t n = 0; n < options_.controllers; ++n)
       region.controllers.push_back({controller_name(r, n), {controller_host(r, n), region_port}});
     out.regions.push_back(std::move(region));
   }
@@ -51,7 +53,7 @@
   return out;
 }
 
-void RegionCluster::set_up_region(size_t index) {
+void RegionCluster::create_region(size_t index) {
   auto& region = regions_[index];
   region.name = fmt::format("region-{}", index);
   region.zone = zone_name(index);
@@ -61,37 +63,38 @@
   const StateLimits limits{150, 50, 16, 12};
   s.state_limits = {limits, limits};
   s.cloud_rps = 5, s.list_lag_s = 4, s.max_sockets = 600;
-  // Budgets are looked at, not rentals: machines that have no work yet stay.
+  // These tests check quotas, not scale in, so idle machines are never deleted.
   s.tuning.idle_replacements = 1000;
   s.zones = {region.zone};
-  s.controller_count = static_cast<int>(plan_.controllers);
+  s.controller_count = static_cast<int>(options_.controllers);
   s.state = {state_host(index), 2379};
   s.cloud = {cloud_host(index), 8443};
-  s.teams = {plan_.team};
-  std::vector<ControllerAddress> nodes;
-  for (size_t n = 0; n < plan_.controllers; ++n)
-    nodes.push_back({controller_name(index, n), controller_host(index, n)});
+  s.teams = {options_.team};
+  std::vector<ControllerAddress> addresses;
+  for (size_t n = 0; n < options_.controllers; ++n)
+    addresses.push_back({controller_name(index, n), controller_host(index, n)});
   region.state = std::make_unique<KeyValueStore>(world_, s.state.host, limits);
   region.state->on_change = [this, index](const std::string& key, const Json& value) {
-    if (key == keys::quota(plan_.team.name)) budget_changed(index, value);
+    if (key == keys::quota(options_.team.name)) quota_changed(index, value);
   };
   region.fleet =
-      std::make_unique<SimulatedFleet>(world_, s, std::vector<MachineType>{machine_type(plan_)},
-                                       nodes, fmt::format("10.{}.", 100 + index));
-  region.fleet->cloud().set_capacity(plan_.machines);
-  region.fleet->rules().on_start = [this](const TaskId&) { check_use(); };
-  for (int i = 0; i < plan_.machines; ++i) region.fleet->add_up("g", region.zone, false);
-  auto with_elsewhere = s;
+      std::make_unique<SimulatedFleet>(world_, s, std::vector<MachineType>{machine_type(options_)},
+                                       addresses, fmt::format("10.{}.", 100 + index));
+  region.fleet->cloud().set_capacity(options_.machines);
+  region.fleet->rules().on_start = [this](const TaskId&) { check_usage(); };
+  for (int i = 0; i < options_.machines; ++i) region.fleet->add_up("g", region.zone, false);
+  auto settings_with_guarantees = s;
   const auto regions = region_settings(index);
-  quotas::keep_guarantees_elsewhere(with_elsewhere, regions);
-  for (size_t n = 0; n < plan_.controllers; ++n) {
-    Settings own = with_elsewhere;
-    own.controller_name = nodes[n].name;
+  quotas::set_guarantees_elsewhere(settings_with_guarantees, regions);
+  for (size_t n = 0; n < options_.controllers; ++n) {
+    Settings own = settings_with_guarantees;
+    own.controller_name = addresses[n].name;
     own.zone = region.zone;
-    own.listen = {nodes[n].host, api_port};
-    own.peer_listen = {nodes[n].host, peer_port};
-    for (size_t m = 0; m < plan_.controllers; ++m)
-      if (m != n) own.peers.push_back({nodes[m].name, region.zone, {nodes[m].host, peer_port}});
+    own.listen = {addresses[n].host, api_port};
+    own.peer_listen = {addresses[n].host, peer_port};
+    for (size_t m = 0; m < options_.controllers; ++m)
+      if (m != n)
+        own.peers.push_back({addresses[m].name, region.zone, {addresses[m].host, peer_port}});
     constexpr double clock_drift = 0.0005;
     region.controllers.push_back(std::make_unique<VirtualController>(
         world_, streams_, std::move(own), regions, 1 + (n % 2 == 1 ? clock_drift : 0)));
@@ -104,7 +107,7 @@
 void RegionCluster::submit(size_t region, const std::string& job, uint32_t tasks, double gpus,
                            double run_s, Priority priority) {
   JobSpec spec;
-  spec.id = job, spec.job_class = "c", spec.team = plan_.team.name;
+  spec.id = job, spec.job_class = "c", spec.team = options_.team.name;
   spec.kind = run_s > 0 ? JobKind::batch : JobKind::service;
   spec.priority = priority;
   spec.tasks = tasks, spec.cpus = 1, spec.gpus = gpus, spec.memory_gb = 1;
@@ -117,25 +120,27 @@
   send_submission(region, job, 0);
 }
 
-void RegionCluster::send_submission(size_t region, const std::string& job, size_t node) {
-  constexpr double patience_s = 5, retry_s = 1;
-  const double asked = world_.now();
-  auto answered = std::make_shared<bool>(false);
-  auto next = [this, region, job, node] {
-    world_.in(retry_s, [this, region, job, node] {
-      send_submission(region, job, (node + 1) % plan_.controllers);
+void RegionCluster::send_submission(size_t region, const std::string& job,
+                                    size_t controller_index) {
+  constexpr double timeout_s = 5, retry_s = 1;
+  const double sent_at = world_.now();
+  auto replied = std::make_shared<bool>(false);
+  auto next = [this, region, job, controller_index] {
+    world_.in(retry_s, [this, region, job, controller_index] {
+      send_submission(region, job, (controller_index + 1) % options_.controllers);
     });
   };
-  world_.in(patience_s, [answered, next] {
-    if (!std::exchange(*answered, true)) next();
+  world_.in(timeout_s, [replied, next] {
+    if (!std::exchange(*replied, true)) next();
   });
-  world_.ask(user_host, regions_[region].controllers[node]->host(), Method::post, "/api/jobs",
-             encode(submission_of(jobs_.at(job))),
-             [this, region, job, asked, answered, next](const HttpReply& reply) {
-               if (std::exchange(*answered, true)) return;
-               regions_[region].fleet->rules().on_answer(job, reply.status, "queued", asked);
-               if (reply.status != 200 && reply.status != 201) next();
-             });
+  world_.send_request(user_host, regions_[region].controllers[controller_index]->host(),
+                      Method::post, "/api/jobs", encode(submission_of(jobs_.at(job))),
+                      [this, region, job, sent_at, replied, next](const HttpClientResponse& reply) {
+                        if (std::exchange(*replied, true)) return;
+                        regions_[region].fleet->rules().on_response(job, reply.status, "queued",
+                                                                    sent_at);
+                        if (reply.status != 200 && reply.status != 201) next();
+                      });
 }
 
 void RegionCluster::cancel(size_t region, const std::string& job) {
@@ -143,15 +148,16 @@
   send_cancellation(region, job, 0);
 }
 
-void RegionCluster::send_cancellation(size_t region, const std::string& job, size_t node) {
+void RegionCluster::send_cancellation(size_t region, const std::string& job,
+                                      size_t controller_index) {
   constexpr double retry_s = 1;
   auto done = std::make_shared<bool>(false);
-  world_.in(retry_s, [this, region, job, node, done] {
-    if (!*done) send_cancellation(region, job, (node + 1) % plan_.controllers);
+  world_.in(retry_s, [this, region, job, controller_index, done] {
+    if (!*done) send_cancellation(region, job, (controller_index + 1) % options_.controllers);
   });
-  world_.ask(user_host, regions_[region].controllers[node]->host(), Method::post,
-             "/api/jobs/" + job + "/cancel", {},
-             [done](const HttpReply& reply) { *done = reply.status == 200; });
+  world_.send_request(user_host, regions_[region].controllers[controller_index]->host(),
+                      Method::post, "/api/jobs/" + job + "/cancel", {},
+                      [done](const HttpClientResponse& reply) { *done = reply.status == 200; });
 }
 
 int RegionCluster::running(const std::string& job) const {
@@ -175,16 +181,16 @@
 
 // --- faults
 
-void RegionCluster::cut(size_t a, size_t b, Way way, World::Cut how, double for_s) {
-  std::vector<std::pair<std::string, std::string>> ways;
+void RegionCluster::cut(size_t a, size_t b, Direction direction, World::Cut how, double for_s) {
+  std::vector<std::pair<std::string, std::string>> links;
   for (auto& from : regions_[a].controllers)
     for (auto& to : regions_[b].controllers) {
-      ways.emplace_back(from->host(), to->host());
-      if (way == Way::both) ways.emplace_back(to->host(), from->host());
+      links.emplace_back(from->host(), to->host());
+      if (direction == Direction::both) links.emplace_back(to->host(), from->host());
     }
-  for (auto& [from, to] : ways) world_.cut(from, to, how);
-  world_.in(for_s, [this, ways] {
-    for (auto& [from, to] : ways) world_.heal(from, to);
+  for (auto& [from, to] : links) world_.cut(from, to, how);
+  world_.in(for_s, [this, links] {
+    for (auto& [from, to] : links) world_.heal(from, to);
   });
 }
 
@@ -203,7 +209,7 @@
     for (auto& controller : region.controllers) controller->settings().teams[0].gpus_max = gpus;
 }
 
-void RegionCluster::repeat_messages_within(double seconds) {
+void RegionCluster::duplicate_messages_within(double seconds) {
   for (auto& [address, take] : streams_) {
     if (!address.ends_with(":" + std::to_string(region_port))) continue;
     take = [this, seconds, address = address, original = take](std::string_view bytes) {
@@ -222,23 +228,23 @@
   }
 }
 
-// --- what is checked
+// --- checks
 
 QuotaRecord RegionCluster::quota(size_t region) const {
   auto it = quotas_.find(region);
   return it == quotas_.end() ? QuotaRecord{} : it->second;
 }
 
-double RegionCluster::budget_gpus(size_t region) const {
-  return amount_of(quota(region).units().gpus, plan_.team.gpus_max);
+double RegionCluster::quota_gpus(size_t region) const {
+  return amount_of(quota(region).available_units().gpus, options_.team.gpus_max);
 }
 
-uint64_t RegionCluster::gpu_parts_on_the_way() const {
+uint64_t RegionCluster::gpu_units_in_transit() const {
   uint64_t sum = 0;
   for (auto& [from, record] : quotas_)
-    for (auto& [to, parts] : record.sent) {
+    for (auto& [to, units] : record.sent) {
       const auto receiver = static_cast<size_t>(std::stoul(to.substr(to.find('-') + 1)));
-      sum += parts.gpus - quota(receiver).received_from(regions_[from].name).gpus;
+      sum += units.gpus - quota(receiver).received_from(regions_[from].name).gpus;
     }
   return sum;
 }
@@ -247,7 +253,7 @@
   double sum = 0;
   for (auto& [id, worker] : regions_[region].fleet->workers())
     for (auto& [attempt, task] : worker->tasks())
-      if (on_machine(task.report)) sum += jobs_.at(attempt.task.job).gpus;
+      if (occupies_machine(task.report)) sum += jobs_.at(attempt.task.job).gpus;
   return sum;
 }
 
@@ -257,44 +263,51 @@
   return sum;
 }
 
-void RegionCluster::check_use() {
+void RegionCluster::check_usage() {
   const double used = used_gpus();
-  most_used_ = std::max(most_used_, used);
-  if (used > checked_limit_ + eps)
-    broken_.push_back(fmt::format("quota at {}: {} accelerators of {} are used over all regions",
-                                  world_.now(), used, checked_limit_));
+  peak_used_gpus_ = std::max(peak_used_gpus_, used);
+  if (used > checked_limit_gpus_ + resource_tolerance)
+    violations_.push_back(
+        fmt::format("at {} s all regions together use {} accelerators of a limit of {}",
+                    world_.now(), used, checked_limit_gpus_));
 }
 
-void RegionCluster::budget_changed(size_t region, const Json& value) {
-  if (!value.is_object()) return broken_.push_back("a budget's record was removed");
+void RegionCluster::quota_changed(size_t region, const Json& value) {
+  if (!value.is_object()) return violations_.push_back("a quota record was removed");
   const auto before = quota(region);
   quotas_[region] = decode_quota(value);
   check_totals();
-  if (used_gpus(region) > budget_gpus(region) + eps && checked_limit_ >= plan_.team.gpus_max)
-    broken_.push_back(fmt::format("at {} {} uses {} accelerators of a budget of {}", world_.now(),
-                                  regions_[region].name, used_gpus(region), budget_gpus(region)));
-  if (on_budget) on_budget(region, before, quotas_[region]);
+  if (used_gpus(region) > quota_gpus(region) + resource_tolerance &&
+      checked_limit_gpus_ >= options_.team.gpus_max)
+    violations_.push_back(fmt::format("at {} s {} uses {} accelerators of a quota of {}",
+                                      world_.now(), regions_[region].name, used_gpus(region),
+                                      quota_gpus(region)));
+  if (on_quota_change) on_quota_change(region, before, quotas_[region]);
 }
 
-// All parts are with some region or on the way between two; nothing is received that wasn't sent.
+// Checks that every quota unit is held by one region or in transit between two, and that no units
+// are received that weren't sent.
 void RegionCluster::check_totals() {
   if (quotas_.size() < regions_.size()) return;
   uint64_t sum = 0;
   for (auto& [region, record] : quotas_) {
-    const uint64_t parts = record.units().gpus;
-    if (parts > all_quota_units)
-      broken_.push_back(fmt::format("{} has given more than it had", regions_[region].name));
-    sum += parts;
+    const uint64_t units = record.available_units().gpus;
+    if (units > total_quota_units)
+      violations_.push_back(
+          fmt::format("{} has sent more quota than it had", regions_[region].name));
+    sum += units;
   }
-  if (const uint64_t moving = gpu_parts_on_the_way();
-      moving > all_quota_units || sum + moving != all_quota_units)
-    broken_.push_back(fmt::format("at {} {} parts and {} on the way", world_.now(), sum, moving));
+  if (const uint64_t in_transit = gpu_units_in_transit();
+      in_transit > total_quota_units || sum + in_transit != total_quota_units)
+    violations_.push_back(fmt::format("at {} s quotas sum to {} units, and {} are in transit",
+                                      world_.now(), sum, in_transit));
 }
 
-std::vector<std::string> RegionCluster::broken() const {
-  auto out = broken_;
+std::vector<std::string> RegionCluster::violations() const {
+  auto out = violations_;
   for (auto& region : regions_)
-    for (auto& what : region.fleet->rules().violations()) out.push_back(region.name + ": " + what);
+    for (auto& violation : region.fleet->rules().violations())
+      out.push_back(region.name + ": " + violation);
   return out;
 }
 
--- a/tests/scenarios/scenario_actions.hpp
+++ b/tests/scenarios/scenario_actions.hpp
@@ -1,5 +1,5 @@
-/// Actions of a scenario: requests of users, and faults of every kind. See the list of verbs in
-/// traces/scenarios/README.
+/// The actions of a scenario: requests of users, and faults. traces/scenarios/README lists the
+/// verbs.
 #pragma once
 #include <functional>
 #include <string>
@@ -9,12 +9,13 @@
 
 namespace damsonport::simulation {
 
+/// Applies the actions of a trace to a deployment and its users.
 class ScenarioActions {
  public:
   ScenarioActions(World& world, const ScenarioPlan& plan, ScenarioDeployment& deployment,
                   ScenarioUsers& users)
       : world_(world), plan_(plan), deployment_(deployment), users_(users) {}
-  /// Begins the action now. False: its verb is not known.
+  /// Starts the action now. Returns false if the verb is unknown.
   [[nodiscard]] bool apply(const ScenarioEvent& event);
 
  private:
@@ -25,12 +26,12 @@
   void submit(const ScenarioEvent& event);
   void resubmit(const ScenarioEvent& event);
   void cancel(const ScenarioEvent& event);
-  void ask(const ScenarioEvent& event);
+  void poll(const ScenarioEvent& event);
   void send_invalid_requests(const ScenarioEvent& event);
   // Faults of the key-value store.
   void refuse(const ScenarioEvent& event);
   void store_outage(const ScenarioEvent& event);
-  void spoil_transactions(const ScenarioEvent& event);
+  void set_transaction_fault(const ScenarioEvent& event);
   void lower_limits(const ScenarioEvent& event);
   void slow_store(const ScenarioEvent& event);
   // Faults of controllers and of the network.
@@ -43,17 +44,17 @@
   void cloud_outage(const ScenarioEvent& event);
   void change_boot_time(const ScenarioEvent& event);
   void hang(const ScenarioEvent& event);
-  void make_deaf(const ScenarioEvent& event);
-  void make_mute(const ScenarioEvent& event);
-  void make_sick(const ScenarioEvent& event);
-  void set_trouble(const ScenarioEvent& event, bool Worker::*trouble);
-  void remove_machines(const ScenarioEvent& event);
-  void keep_report(const ScenarioEvent& event);
-  void repeat_kept_report(const ScenarioEvent& event);
+  void drop_incoming_messages(const ScenarioEvent& event);
+  void drop_heartbeats(const ScenarioEvent& event);
+  void fail_tasks(const ScenarioEvent& event);
+  void set_machine_fault(const ScenarioEvent& event, bool Worker::*fault);
+  void terminate_machines(const ScenarioEvent& event);
+  void keep_heartbeat(const ScenarioEvent& event);
+  void redeliver_kept_heartbeat(const ScenarioEvent& event);
 
-  /// Calls `request` for each job that the event names, `every` seconds apart.
-  void for_each_job_in_turn(const ScenarioEvent& event,
-                            const std::function<void(const std::string& job)>& request);
+  /// Calls `request` for each job that the event names, at intervals of `every` seconds.
+  void for_each_job_at_interval(const ScenarioEvent& event,
+                                const std::function<void(const std::string& job)>& request);
 
   World& world_;
   const ScenarioPlan& plan_;
--- a/tests/scenarios/scenario_digest.cpp
+++ b/tests/scenarios/scenario_digest.cpp
@@ -1,10 +1,10 @@
-/// Prints a hash over all traffic of fault scenarios on virtual time: requests, responses and
-/// stream messages as bytes, in order, with their virtual times. Two versions of the program whose
-/// digests are equal behave alike in these scenarios. See tests/README.md.
+/// Prints a hash of all traffic of fault scenarios on virtual time: the bytes of requests,
+/// responses and stream messages in order, with their virtual times. Two versions of the program
+/// with equal digests behave identically in these scenarios. See tests/README.md.
 ///
-///   scenario_digest --list          names of all scenarios, one on a line
-///   scenario_digest NAME [NAME...]  a line "NAME HASH" for each
-///   scenario_digest --log NAME      a line for each message, to find the first that differs
+///   scenario_digest --list          prints the names of all scenarios, one on a line
+///   scenario_digest NAME [NAME...]  prints a line "NAME HASH" for each scenario
+///   scenario_digest --log NAME      prints a line for each message, to find the first difference
 #include <spdlog/spdlog.h>
 
 #include <bit>
@@ -21,12 +21,12 @@
 namespace damsonport::simulation {
 namespace {
 
-constexpr uint64_t drawn_seeds = 100;  // of each kind of drawn scenario
-constexpr std::string_view drawn_prefix = "drawn/";
-constexpr std::string_view drawn_replica_prefix = "drawn-replica/";
+constexpr uint64_t random_seed_count = 100;  // for each kind of random scenario
+constexpr std::string_view random_prefix = "drawn/";
+constexpr std::string_view random_replica_prefix = "drawn-replica/";
 using Lines = std::vector<std::string>;
 
-/// FNV-1a, 64 bits.
+/// A 64-bit FNV-1a hash.
 class TrafficHash {
  public:
   void add(std::string_view bytes) {
@@ -35,7 +35,7 @@
       value_ ^= byte;
       value_ *= prime;
     }
-    // Separates the fields from one another.
+    // The length separates a field from the next one.
     value_ ^= bytes.size();
     value_ *= prime;
   }
@@ -71,20 +71,20 @@
     hash.add(header);
     hash.add(body);
   });
-  for (const auto& unmet : scenario.play()) hash.add(unmet);
+  for (const auto& failure : scenario.play()) hash.add(failure);
 }
 
-uint64_t seed_behind(const std::string& name, std::string_view prefix) {
+uint64_t parse_seed(const std::string& name, std::string_view prefix) {
   return std::stoull(name.substr(prefix.size()));
 }
 
 uint64_t digest(const std::string& name) {
   TrafficHash hash;
-  if (name.starts_with(drawn_prefix)) {
-    const uint64_t seed = seed_behind(name, drawn_prefix);
+  if (name.starts_with(random_prefix)) {
+    const uint64_t seed = parse_seed(name, random_prefix);
     play(random_scenario(seed), seed, hash);
-  } else if (name.starts_with(drawn_replica_prefix)) {
-    const uint64_t seed = seed_behind(name, drawn_replica_prefix);
+  } else if (name.starts_with(random_replica_prefix)) {
+    const uint64_t seed = parse_seed(name, random_replica_prefix);
     play(random_replica_scenario(seed), seed, hash);
   } else {
     std::ifstream in(scenario_path(TRACE_DIR, name));
@@ -95,9 +95,9 @@
 }
 
 void list_scenarios() {
-  for (const auto& name : kept_scenarios(TRACE_DIR)) std::cout << name << '\n';
-  for (const auto prefix : {drawn_prefix, drawn_replica_prefix})
-    for (uint64_t seed = 1; seed <= drawn_seeds; ++seed) std::cout << prefix << seed << '\n';
+  for (const auto& name : trace_scenarios(TRACE_DIR)) std::cout << name << '\n';
+  for (const auto prefix : {random_prefix, random_replica_prefix})
+    for (uint64_t seed = 1; seed <= random_seed_count; ++seed) std::cout << prefix << seed << '\n';
 }
 
 }  // namespace
--- a/tests/scheduling/gang_tracker_test.cpp
+++ b/tests/scheduling/gang_tracker_test.cpp
@@ -1,4 +1,5 @@
-// What a leader concludes about attempts that it started, and about those it found.
+// Tests of GangTracker: the next action for attempts that this leader started, and for attempts
+// that an earlier leader started.
 #include "coordination/scheduling/gang_tracker.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +9,8 @@
 namespace damsonport {
 namespace {
 
-class KnownMachines : public TaskFacts {
+/// Provides fixed machines; no task is stopping or has ended.
+class FakeTaskStates : public TaskStateProvider {
  public:
   bool is_stopping(const PlacedTask&) const override { return false; }
   bool has_ended(const PlacedTask&) const override { return false; }
@@ -19,12 +21,13 @@
   std::map<std::string, Machine> machines;
 };
 
+/// A service with one replica of two parts.
 struct Fixture {
   simulation::World world{1};
   simulation::VirtualLoop loop{world, "n0", std::seed_seq{1}, 1, 0};
   Settings settings;
-  KnownMachines facts;
-  GangTracker tracker{loop, settings, facts};
+  FakeTaskStates task_states;
+  GangTracker tracker{loop, settings, task_states};
   Job job;
   const TaskRange replica{0, 2};
 
@@ -35,60 +38,61 @@
     job.spec.kind = JobKind::service;
     job.spec.tasks = job.spec.parts = 2;
     job.chunk_size = 2;
-    for (const char* id : {"i-1", "i-2", "i-3"}) facts.machines[id].agent_epoch = 1;
+    for (const char* id : {"i-1", "i-2", "i-3"}) task_states.machines[id].agent_epoch = 1;
   }
   TaskChunk& record() { return job.chunks[0].record; }
-  // By this leader, or by an earlier one.
-  void start_both(uint64_t attempt, bool begun_here) {
-    if (begun_here) tracker.note_attempt_started(job, replica, attempt);
+  // `by_this_leader`: false if an earlier leader started the attempt.
+  void start_both_parts(uint64_t attempt, bool by_this_leader) {
+    if (by_this_leader) tracker.note_attempt_started(job, replica, attempt);
     record().start(0, attempt, "i-1");
     record().start(1, attempt, "i-2");
   }
-  void lose_one(ExitCause cause = ExitCause::stopped) {
+  // The exit of the second part, which has to be started again.
+  void end_second_part(ExitCause cause = ExitCause::stopped) {
     tracker.note_exit(job, replica, record().live.back().attempt, cause, false);
-    record().end(1, TaskEnd::restart);
+    record().end_attempt(1, TaskEnd::restart);
   }
 };
 
 TEST(GangTracker, PartLostBeforeReadinessIsReplacedInTheAttempt) {
   Fixture f;
-  f.start_both(1, true);
+  f.start_both_parts(1, true);
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::none);
-  f.lose_one();
-  EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::complete);
-  EXPECT_EQ(f.tracker.startable(f.job, f.replica), 1u);
-  f.facts.machines["i-1"].agent_epoch = 0;
+  f.end_second_part();
+  EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::replace_missing);
+  EXPECT_EQ(f.tracker.count_startable(f.job, f.replica), 1u);
+  f.task_states.machines["i-1"].agent_epoch = 0;
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::none)
-      << "it has not sent a heartbeat yet";
+      << "a machine of the gang has not sent a heartbeat yet";
 }
 
 TEST(GangTracker, PartLostAfterReadinessAbandonsTheAttempt) {
   Fixture f;
-  f.start_both(1, true);
+  f.start_both_parts(1, true);
   f.tracker.note_running(f.job, f.replica, 1);
-  f.lose_one();
+  f.end_second_part();
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::abandon);
-  f.record().end(0, TaskEnd::restart);
+  f.record().end_attempt(0, TaskEnd::restart);
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::start);
   EXPECT_EQ(next_attempt(f.job, f.replica), 2u);
 }
 
 TEST(GangTracker, AttemptOfAnEarlierLeaderCountsAsReady) {
   Fixture f;
-  f.start_both(3, false);
+  f.start_both_parts(3, false);
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::none);
   f.tracker.note_task_missing(f.job, f.replica, 3);
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::abandon);
 }
 
-TEST(GangTracker, PartMissingBeforeReadinessIsAwaited) {
+TEST(GangTracker, PartMissingBeforeReadinessKeepsTheAttempt) {
   Fixture f;
-  f.start_both(1, true);
+  f.start_both_parts(1, true);
   f.tracker.note_task_missing(f.job, f.replica, 1);
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::none);
 }
 
-// As an older version leaves them, which starts tasks one by one.
+// An older version starts tasks one by one and can leave parts with different attempt numbers.
 TEST(GangTracker, PartsOfTwoAttemptsAreAbandoned) {
   Fixture f;
   f.record().start(0, 1, "i-1");
@@ -99,11 +103,11 @@
 
 TEST(GangTracker, SecondFailureAbandonsTheAttempt) {
   Fixture f;
-  f.start_both(1, true);
-  f.lose_one(ExitCause::error);
-  EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::complete);
+  f.start_both_parts(1, true);
+  f.end_second_part(ExitCause::error);
+  EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::replace_missing);
   f.record().start(1, 1, "i-3");
-  f.lose_one(ExitCause::error);
+  f.end_second_part(ExitCause::error);
   EXPECT_EQ(f.tracker.next_action(f.job, f.replica), GangAction::abandon);
 }
 
--- a/tests/scheduling/scheduling_cost_test.cpp
+++ b/tests/scheduling/scheduling_cost_test.cpp
@@ -1,5 +1,6 @@
-// Bounds the work of one scheduling cycle and of one autoscaling plan by the number of examined
-// machines, on a fleet half as large again as the largest deployment.
+// Guards against scheduling cycles and autoscaling plans whose cost grows with jobs or tasks times
+// machines. The cost is measured in examined machines. The scheduling cycles run on a fleet of 1.5
+// times the size of the largest deployment.
 #include <gtest/gtest.h>
 
 #include "coordination/autoscaling/autoscaler.hpp"
@@ -10,7 +11,7 @@
 
 constexpr size_t machines = 1800, jobs = 2500;
 
-// Every machine is full of replicas that nothing may preempt.
+// All machines are full of replicas that no other job may preempt.
 SchedulerSnapshot full_fleet() {
   SchedulerSnapshot snapshot;
   snapshot.teams.push_back({"t", {}, {}});
@@ -30,7 +31,7 @@
     for (uint32_t n = 0; n < 8; ++n) {
       RunningTaskSnapshot task;
       task.index = static_cast<uint32_t>(i) * 8 + n;
-      machine.live.push_back(task);
+      machine.running_tasks.push_back(task);
     }
     snapshot.machines.push_back(machine);
   }
@@ -45,64 +46,66 @@
     job.priority = 1;
     job.need = {4, 1, 12};
     job.tasks = tasks;
-    job.waiting = tasks;
-    job.unfinished = tasks;
+    job.pending_tasks = tasks;
+    job.unfinished_tasks = tasks;
     job.accepted_at = static_cast<double>(i);
     snapshot.jobs.push_back(job);
   }
 }
 
-// What the first of a class has shown is not looked for again by the others.
+// The search for free capacity for the first job of an equivalence class also covers the other
+// jobs.
 TEST(SchedulingCost, EquivalentUnschedulableJobsExamineTheFleetOnce) {
   auto in = full_fleet();
   add_pending_jobs(in, jobs, 60);
-  auto out = place(in);
-  EXPECT_TRUE(out.starts.empty());
-  EXPECT_TRUE(out.stops.empty());
+  auto out = schedule(in);
+  EXPECT_TRUE(out.placements.empty());
+  EXPECT_TRUE(out.preemptions.empty());
   ASSERT_EQ(out.unschedulable.size(), jobs);
-  // The first of them looked at every machine.
-  EXPECT_LE(out.examined, machines);
+  // Only the search for the first job examines the machines.
+  EXPECT_LE(out.machines_examined, machines);
 }
 
-// A search for tasks to preempt that found none holds for the whole class, too.
+// A search for victims that finds none also covers the whole equivalence class.
 TEST(SchedulingCost, EquivalentJobsWithoutVictimsExamineTheFleetThreeTimes) {
   auto in = full_fleet();
   in.jobs[0].priority = 0;
   add_pending_jobs(in, jobs, 60);
   for (size_t i = 1; i < in.jobs.size(); ++i) in.jobs[i].need = {60, 8, 513};
-  auto out = place(in);
-  EXPECT_TRUE(out.stops.empty());
-  // For free capacity, then for preemption without and with urgent services.
-  EXPECT_LE(out.examined, 3 * machines);
+  auto out = schedule(in);
+  EXPECT_TRUE(out.preemptions.empty());
+  // Three searches: for free capacity, for preemption except of urgent services, and for preemption
+  // of any task.
+  EXPECT_LE(out.machines_examined, 3 * machines);
 }
 
-// Machines are examined once a job, whatever number of its tasks starts.
+// The machines are examined once per job, regardless of the number of tasks that start.
 TEST(SchedulingCost, JobExaminesTheFleetOnceForAllItsTasks) {
   auto in = full_fleet();
   for (auto& machine : in.machines) {
-    machine.live.clear();
+    machine.running_tasks.clear();
     machine.free = machine.total;
   }
   add_pending_jobs(in, 40, 60);
-  auto out = place(in);
-  EXPECT_EQ(out.starts.size(), 40u * 60u);
-  EXPECT_LE(out.examined, machines * 40 + out.starts.size());
+  auto out = schedule(in);
+  EXPECT_EQ(out.placements.size(), 40u * 60u);
+  EXPECT_LE(out.machines_examined, machines * 40 + out.placements.size());
 }
 
-// A smaller task may still fit where a larger one did not.
+// A smaller task may fit where a larger one did not, so it has to be examined again.
 TEST(SchedulingCost, SmallerJobIsNotInTheClassOfALargerOne) {
   auto in = full_fleet();
   in.machines[7].free = {4, 1, 12};
   add_pending_jobs(in, 2, 1);
   in.jobs[1].need = {40, 1, 12};
-  auto out = place(in);
-  ASSERT_EQ(out.starts.size(), 1u);
-  EXPECT_EQ(out.starts[0].job, 2u);
-  EXPECT_EQ(out.starts[0].machine, 7u);
+  auto out = schedule(in);
+  ASSERT_EQ(out.placements.size(), 1u);
+  EXPECT_EQ(out.placements[0].job, 2u);
+  EXPECT_EQ(out.placements[0].machine, 7u);
 }
 
-// What the cloud is asked for is worked out for the like at once: an array of as many tasks as a
-// job may have, in a fleet of the largest size, of whose machines a quarter may be rented anew.
+// Scale-out is planned for all equal tasks at once. The test uses jobs with the maximum number of
+// tasks and a fleet of the maximum size, which may grow by a quarter in one plan.
 TEST(AutoscalingCost, ScaleOutGrowsWithMachinesNotWithTasksTimesMachines) {
   constexpr size_t fleet = 6000, tasks = 100000, kinds = 8;
   autoscaling::AutoscalerInput in;
@@ -125,11 +128,11 @@
   int rented = 0;
   for (auto& r : plan.scale_out) rented += r.count;
   EXPECT_EQ(rented, static_cast<int>(fleet / 4));
-  // Each of the rented is looked at for each demand, and each machine of the fleet once.
+  // Every new machine is examined once per demand, and every machine of the fleet once.
   EXPECT_LT(plan.examined, fleet * 3);
 }
 
-// Many small jobs that may use spot machines, in a large fleet: full rooms are looked at once.
+// Many small jobs that may use spot machines, in a large fleet: each full machine is examined once.
 TEST(AutoscalingCost, SpotWorkGrowsWithMachinesNotWithJobsTimesMachines) {
   constexpr size_t fleet = 6000, spot_jobs = 2500;
   autoscaling::AutoscalerInput in;
--- a/tests/stored_data_test.cpp
+++ b/tests/stored_data_test.cpp
@@ -1,5 +1,8 @@
-// What the version named in tests/README.md stores and sends, kept in fixtures/landed.records, is
-// read here, and is written here byte for byte the same. Each line of the file is one test.
+// Compatibility of stored records and messages with the released version named in tests/README.md:
+// fixtures/landed.records has the records and messages that the released version writes. Each line
+// of the file is one test, which decodes the line, encodes the same data, or both, and expects the
+// same bytes. A failure means that old and new controllers misread each other's data during a
+// rolling upgrade.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -21,17 +24,18 @@
 constexpr double accepted_at = 1.7e9;
 constexpr double cancelled_at = 1.7e9 + 60.5;
 constexpr uint32_t first_chunk_size = 340;
-constexpr uint32_t divided_chunk_size = 41;
+constexpr uint32_t rechunked_chunk_size = 41;
 
-// `name` is a record's key or a message's name, `value` the JSON text or the bytes in hex.
+// One line of the fixture. `name` is the key of a record or the name of a message; `value` is the
+// JSON text of the record or the bytes of the message in hexadecimal.
 struct Line {
   std::string name, value;
 };
 
-// GoogleTest names a line so, also in the list of tests.
+// GoogleTest prints a line by its name in failures and in the list of tests.
 void PrintTo(const Line& line, std::ostream* out) { *out << line.name; }
 
-std::vector<Line> landed_lines() {
+std::vector<Line> fixture_lines() {
   std::vector<Line> lines;
   std::ifstream in(std::string(FIXTURES_DIR) + "/landed.records");
   for (std::string text; std::getline(in, text);) {
@@ -60,12 +64,13 @@
 
 Json message_of(const Line& line) { return decode_map(from_hex(line.value)); }
 
-// The part of a record's key after its prefix.
-std::string key_tail(const Line& line, std::string_view prefix) {
+// Returns a record's key without its prefix.
+std::string key_without_prefix(const Line& line, std::string_view prefix) {
   return line.name.substr(prefix.size());
 }
 
-// The cache reads the records that no decode function reads.
+// A RecordCache to which a test applies a record, for record kinds whose decoded content is checked
+// through the cache.
 struct CacheFixture {
   EventLoop loop;
   RecordCache cache{loop, 0, 50};
@@ -73,7 +78,7 @@
   void apply(const Line& line) { cache.apply({line.name, Json::parse(line.value), 1, 0}); }
 };
 
-// Shards and leadership.
+// Records of shards and leadership.
 
 void check_shard_table(const Line& line) {
   ShardTable table;
@@ -91,7 +96,7 @@
   EXPECT_EQ(encode_leader(decode_leader(Json::parse(line.value))).dump(), line.value);
 }
 
-// Jobs and their tasks.
+// Records of jobs and their tasks.
 
 JobSpec job(const std::string& id, JobKind kind, Priority priority, uint32_t tasks) {
   JobSpec spec;
@@ -112,7 +117,7 @@
   return spec;
 }
 
-// Every field has a value of its own.
+// A job with a different, non-default value in every field.
 JobSpec full_job() {
   JobSpec spec;
   spec.id = "run-full";
@@ -161,7 +166,7 @@
       {job("run-service", JobKind::service, Priority::normal, 3)},
       {replicated_job()},
       {job("run-cancelled", JobKind::batch, Priority::normal, 5), first_chunk_size, 0, true},
-      {job("run-divided", JobKind::batch, Priority::normal, 100), divided_chunk_size, 1, false},
+      {job("run-divided", JobKind::batch, Priority::normal, 100), rechunked_chunk_size, 1, false},
   };
 }
 
@@ -182,7 +187,7 @@
 }
 
 void check_job(const Line& line) {
-  const auto expected = stored_job(key_tail(line, "d/j/"));
+  const auto expected = stored_job(key_without_prefix(line, "d/j/"));
   ASSERT_TRUE(expected);
   EXPECT_EQ(line.name, keys::job(expected->spec.id));
   EXPECT_EQ(encode_stored_job(expected->spec, *expected).dump(), line.value);
@@ -198,8 +203,8 @@
   EXPECT_EQ(cached->chunk_layout, expected->chunk_layout);
   EXPECT_EQ(cached->cancelled, expected->cancelled);
   if (!cached->cancelled) return;
-  constexpr double tolerance_s = 60;  // for the time that the test itself takes
-  const double age_s = fixture.loop.wall() - cancelled_at;
+  constexpr double tolerance_s = 60;  // for the run time of the test
+  const double age_s = fixture.loop.unix_time() - cancelled_at;
   EXPECT_NEAR(cached->cancelled_since, fixture.loop.now() - age_s, tolerance_s);
 }
 
@@ -212,7 +217,7 @@
 
 TaskChunk waiting_chunk(uint32_t tasks, uint64_t attempt) {
   TaskChunk record = live_chunk(tasks, attempt);
-  for (uint32_t index = 0; index < tasks; ++index) record.end(index, TaskEnd::restart);
+  for (uint32_t index = 0; index < tasks; ++index) record.end_attempt(index, TaskEnd::restart);
   return record;
 }
 
@@ -250,7 +255,7 @@
 }
 
 void check_chunk(const Line& line) {
-  const auto name = parse_chunk_name(key_tail(line, "d/t/"));
+  const auto name = parse_chunk_name(key_without_prefix(line, "d/t/"));
   ASSERT_TRUE(name);
   EXPECT_EQ(line.name, keys::chunk(name->job, name->number, name->chunk_layout));
   const auto chunks = stored_chunks();
@@ -264,13 +269,13 @@
   const std::map<std::string, Json> states = {
       {"run-done", encode_final_state(FinalState::done, 5)},
       {"run-aborted", encode_final_state(FinalState::cancelled, 2)}};
-  const std::string id = key_tail(line, "f/");
+  const std::string id = key_without_prefix(line, "f/");
   ASSERT_TRUE(states.contains(id));
   EXPECT_EQ(line.name, keys::final_state(id));
   EXPECT_EQ(states.at(id).dump(), line.value);
 }
 
-// Exits by their causes, which are stored as numbers.
+// Covers every exit cause, because causes are stored as numbers.
 void check_forwarded_exits(const Line& line) {
   ForwardedExits expected;
   expected.fencing_token = 77;
@@ -278,11 +283,11 @@
       {"i-100001", {"run-batch", 0}, 1, ExitCause::done},
       {"i-100002", {"run-batch", 1}, 2, ExitCause::stopped},
       {"i-100003", {"run-batch", 2}, 3, ExitCause::error},
-      {"i-100004", {"run-batch", 3}, 4, ExitCause::no_room},
-      {"i-100005", {"run-batch", 4}, 5, ExitCause::busy},
-      {"i-100006", {"run-batch", 5}, 6, ExitCause::unknown},
-      {"i-100007", {"run-batch", 6}, 7, ExitCause::peers},
-      {"i-100008", {"run-batch", 7}, 8, ExitCause::alone},
+      {"i-100004", {"run-batch", 3}, 4, ExitCause::insufficient_resources},
+      {"i-100005", {"run-batch", 4}, 5, ExitCause::other_attempt_running},
+      {"i-100006", {"run-batch", 5}, 6, ExitCause::not_found},
+      {"i-100007", {"run-batch", 6}, 7, ExitCause::gang_member_lost},
+      {"i-100008", {"run-batch", 7}, 8, ExitCause::gang_incomplete},
   };
   const ForwardedExits decoded = decode_forwarded_exits(Json::parse(line.value));
   EXPECT_EQ(line.name, keys::forwarded_exits("quay-0"));
@@ -292,7 +297,7 @@
   EXPECT_EQ(encode_forwarded_exits(decoded).dump(), line.value);
 }
 
-// Machines.
+// Records of machines.
 
 void check_tombstone(const Line& line) {
   EXPECT_EQ(line.name, keys::tombstone(std::to_string(incarnation) + "-1"));
@@ -318,7 +323,7 @@
   EXPECT_EQ(request.count, 12);
 }
 
-// Controllers and regions.
+// Records and messages of controllers and regions.
 
 void check_version(const Line& line) {
   EXPECT_EQ(line.name, keys::version("quay-0"));
@@ -330,7 +335,7 @@
 }
 
 void check_quota(const Line& line) {
-  const QuotaRecord expected{{all_quota_units, all_quota_units / 2},
+  const QuotaRecord expected{{total_quota_units, total_quota_units / 2},
                              {{"south", {1, 2}}},
                              {{"south", {3, 4}}, {"west", {5, 6}}}};
   const QuotaRecord decoded = decode_quota(Json::parse(line.value));
@@ -340,52 +345,52 @@
   EXPECT_EQ(encode_quota(decoded).dump(), line.value);
 }
 
-PeerHeartbeat expected_heartbeat() {
+PeerHeartbeat expected_peer_heartbeat() {
   PeerHeartbeat heartbeat;
   heartbeat.controller = "quay-0";
   heartbeat.incarnation = incarnation;
   heartbeat.state_age_ms = 120;
-  heartbeat.waiting = 7;
-  heartbeat.loaded = true;
+  heartbeat.pending_tasks = 7;
+  heartbeat.records_loaded = true;
   heartbeat.misrouted_machines = 3;
-  heartbeat.writes = 200;
+  heartbeat.writes_per_s = 200;
   heartbeat.fencing_token = 77;
   heartbeat.sent_ms = 1000123;
   heartbeat.echo_incarnation = 4503599627370400;
   heartbeat.echo_ms = 2000456;
-  heartbeat.have = 11;
-  heartbeat.from = 12;
-  heartbeat.upto = 14;
-  heartbeat.last = 15;
+  heartbeat.received_upto = 11;
+  heartbeat.listed_after = 12;
+  heartbeat.listed_upto = 14;
+  heartbeat.newest_number = 15;
   heartbeat.cancelled = {{"run-8", 1500}, {"run-9", 0}};
   return heartbeat;
 }
 
-void check_heartbeat(const Line& line) {
+void check_peer_heartbeat(const Line& line) {
   const std::string bytes = from_hex(line.value);
   PeerHeartbeat decoded;
   size_t used = 0;
-  ASSERT_EQ(decode_peer_heartbeat(bytes, decoded, used), Framed::whole);
+  ASSERT_EQ(decode_peer_heartbeat(bytes, decoded, used), FrameStatus::complete);
   EXPECT_EQ(used, bytes.size());
   EXPECT_EQ(to_hex(encode_peer_heartbeat(decoded)), line.value);
-  EXPECT_EQ(to_hex(encode_peer_heartbeat(expected_heartbeat())), line.value);
+  EXPECT_EQ(to_hex(encode_peer_heartbeat(expected_peer_heartbeat())), line.value);
 }
 
 void check_region_message(const Line& line) {
   RegionMessage expected{"north", "south", "quay-0", 77, 8, {}};
   expected.teams.push_back(
-      {"team", {1, 2}, {3, 4}, {5, 6}, {7, 8}, {9, 10}, {11, all_quota_units}});
+      {"team", {1, 2}, {3, 4}, {5, 6}, {7, 8}, {9, 10}, {11, total_quota_units}});
   expected.teams.push_back({"idle", {}, {}, {}, {}, {}, {}});
   const std::string bytes = from_hex(line.value);
   RegionMessage decoded;
   size_t used = 0;
-  ASSERT_EQ(decode_region_message(bytes, decoded, used), Framed::whole);
+  ASSERT_EQ(decode_region_message(bytes, decoded, used), FrameStatus::complete);
   EXPECT_EQ(used, bytes.size());
   EXPECT_EQ(to_hex(encode_region_message(decoded)), line.value);
   EXPECT_EQ(to_hex(encode_region_message(expected)), line.value);
 }
 
-// Messages that are only written here.
+// Messages that controllers only encode.
 
 std::vector<Command> commands_of_every_kind() {
   return {{Command::Op::start, {"run-1", 4}, 2, 0},
@@ -393,11 +398,11 @@
           {Command::Op::remove, {"run-3", 0}, 300, 0}};
 }
 
-void check_report_answer(const Line& line) {
+void check_heartbeat_response(const Line& line) {
   EXPECT_EQ(to_hex(encode_heartbeat_response(77, commands_of_every_kind())), line.value);
 }
 
-void check_report_answer_without_commands(const Line& line) {
+void check_heartbeat_response_without_commands(const Line& line) {
   EXPECT_EQ(to_hex(encode_heartbeat_response(77, {})), line.value);
 }
 
@@ -405,11 +410,11 @@
   EXPECT_EQ(to_hex(encode_direct_commands(77, 6, commands_of_every_kind())), line.value);
 }
 
-void check_report_to_node(const Line& line) {
+void check_redirect_to_controller(const Line& line) {
   EXPECT_EQ(to_hex(encode_redirect("quay-2")), line.value);
 }
 
-void check_report_to_any_node(const Line& line) {
+void check_redirect_to_any_controller(const Line& line) {
   EXPECT_EQ(to_hex(encode_redirect("")), line.value);
 }
 
@@ -425,15 +430,15 @@
   EXPECT_EQ(to_hex(bad_request("cores is missing or invalid").body), line.value);
 }
 
-void check_rental_request(const Line& line) {
+void check_scale_out_message(const Line& line) {
   EXPECT_EQ(to_hex(encode_scale_out_request({"r-17", "g8", "a", true, 12})), line.value);
 }
 
 void check_machine_return(const Line& line) {
-  EXPECT_EQ(to_hex(encode_return({"i-100001", "i-100002"})), line.value);
+  EXPECT_EQ(to_hex(encode_return_request({"i-100001", "i-100002"})), line.value);
 }
 
-// Messages that are only read here.
+// Messages that controllers only decode.
 
 struct ExpectedTask {
   TaskState state;
@@ -441,31 +446,37 @@
   bool saved;
 };
 
-// The task of index n is in its attempt n + 1.
+// The states of the reported tasks, by index; the task with index n is in attempt n + 1.
 constexpr ExpectedTask expected_tasks[] = {
-    {TaskState::fetching, ExitCause::none, false}, {TaskState::running, ExitCause::none, false},
-    {TaskState::saving, ExitCause::none, false},   {TaskState::waiting, ExitCause::none, false},
-    {TaskState::exited, ExitCause::done, false},   {TaskState::exited, ExitCause::stopped, false},
-    {TaskState::exited, ExitCause::error, false},  {TaskState::exited, ExitCause::no_room, false},
-    {TaskState::exited, ExitCause::busy, false},   {TaskState::exited, ExitCause::unknown, false},
-    {TaskState::exited, ExitCause::peers, false},  {TaskState::exited, ExitCause::alone, false},
+    {TaskState::fetching, ExitCause::none, false},
+    {TaskState::running, ExitCause::none, false},
+    {TaskState::saving, ExitCause::none, false},
+    {TaskState::waiting, ExitCause::none, false},
+    {TaskState::exited, ExitCause::done, false},
+    {TaskState::exited, ExitCause::stopped, false},
+    {TaskState::exited, ExitCause::error, false},
+    {TaskState::exited, ExitCause::insufficient_resources, false},
+    {TaskState::exited, ExitCause::other_attempt_running, false},
+    {TaskState::exited, ExitCause::not_found, false},
+    {TaskState::exited, ExitCause::gang_member_lost, false},
+    {TaskState::exited, ExitCause::gang_incomplete, false},
     {TaskState::exited, ExitCause::stopped, true},
 };
 
-void check_machine_of_report(const Heartbeat& report) {
-  EXPECT_EQ(report.machine, "i-100001");
-  EXPECT_EQ(report.address, "10.1.0.1:9000");
-  EXPECT_EQ(report.type, "g8");
-  EXPECT_EQ(report.zone, "a");
-  EXPECT_EQ(report.agent_epoch, 6u);
-  EXPECT_EQ(report.sequence, 300u);
-  EXPECT_EQ(report.fencing_token, 77u);
+void check_machine_of_heartbeat(const Heartbeat& heartbeat) {
+  EXPECT_EQ(heartbeat.machine, "i-100001");
+  EXPECT_EQ(heartbeat.address, "10.1.0.1:9000");
+  EXPECT_EQ(heartbeat.type, "g8");
+  EXPECT_EQ(heartbeat.zone, "a");
+  EXPECT_EQ(heartbeat.agent_epoch, 6u);
+  EXPECT_EQ(heartbeat.sequence, 300u);
+  EXPECT_EQ(heartbeat.fencing_token, 77u);
 }
 
-void check_tasks_of_report(const Heartbeat& report) {
-  ASSERT_EQ(report.tasks.size(), std::size(expected_tasks));
-  for (uint32_t index = 0; index < report.tasks.size(); ++index) {
-    const TaskStatus& task = report.tasks[index];
+void check_tasks_of_heartbeat(const Heartbeat& heartbeat) {
+  ASSERT_EQ(heartbeat.tasks.size(), std::size(expected_tasks));
+  for (uint32_t index = 0; index < heartbeat.tasks.size(); ++index) {
+    const TaskStatus& task = heartbeat.tasks[index];
     EXPECT_EQ(task.task, (TaskId{"run-1", index}));
     EXPECT_EQ(task.attempt, index + 1);
     EXPECT_EQ(task.state, expected_tasks[index].state) << index;
@@ -474,26 +485,26 @@
   }
 }
 
-void check_report(const Line& line) {
+void check_worker_heartbeat(const Line& line) {
   EXPECT_NE(from_hex(line.value).find(encoded_sequence_key()), std::string::npos);
-  const auto report = decode_heartbeat(message_of(line));
-  ASSERT_TRUE(report) << report.error();
-  check_machine_of_report(*report);
-  check_tasks_of_report(*report);
-  EXPECT_TRUE(report->spot);
-  EXPECT_EQ(report->notice_s, 120.5);
+  const auto heartbeat = decode_heartbeat(message_of(line));
+  ASSERT_TRUE(heartbeat) << heartbeat.error();
+  check_machine_of_heartbeat(*heartbeat);
+  check_tasks_of_heartbeat(*heartbeat);
+  EXPECT_TRUE(heartbeat->spot);
+  EXPECT_EQ(heartbeat->notice_s, 120.5);
 }
 
-void check_report_of_an_idle_machine(const Line& line) {
-  const auto report = decode_heartbeat(message_of(line));
-  ASSERT_TRUE(report) << report.error();
-  check_machine_of_report(*report);
-  EXPECT_TRUE(report->tasks.empty());
-  EXPECT_FALSE(report->spot);
-  EXPECT_FALSE(report->notice_s);
+void check_heartbeat_of_an_idle_machine(const Line& line) {
+  const auto heartbeat = decode_heartbeat(message_of(line));
+  ASSERT_TRUE(heartbeat) << heartbeat.error();
+  check_machine_of_heartbeat(*heartbeat);
+  EXPECT_TRUE(heartbeat->tasks.empty());
+  EXPECT_FALSE(heartbeat->spot);
+  EXPECT_FALSE(heartbeat->notice_s);
 }
 
-// Compares every field, in the form in which it is stored.
+// Compares all fields by comparing the stored forms of the jobs.
 void check_submitted_job(const Line& line, const JobSpec& expected) {
   const auto decoded = decode_submission(message_of(line));
   ASSERT_TRUE(decoded) << decoded.error();
@@ -518,7 +529,7 @@
   check_submitted_job(line, expected);
 }
 
-void check_catalogue(const Line& line) {
+void check_catalog(const Line& line) {
   const auto types = decode_catalog(message_of(line));
   ASSERT_TRUE(types) << types.error();
   ASSERT_EQ(types->size(), 1u);
@@ -550,13 +561,13 @@
   EXPECT_EQ(machine.age_s, 30.5);
 }
 
-void check_rented_machines(const Line& line) {
+void check_created_machines(const Line& line) {
   EXPECT_EQ(decode_created_machines(message_of(line)),
             (std::vector<std::string>{"i-100001", "i-100002"}));
 }
 
-// Every kind of line, and how many of it the file has. A name that ends with a slash is the prefix
-// of a record's key; every other one is a whole name.
+// The kinds of lines, with the number of lines of each kind in the file. A name that ends with a
+// slash is the prefix of a record's key; any other name is the whole name of a line.
 struct LineKind {
   std::string_view name;
   size_t lines;
@@ -574,25 +585,25 @@
     {"d/e/", 1, check_forwarded_exits},
     {"d/q/", 1, check_quota},
     {"f/", 2, check_final_state},
-    {"heartbeat", 1, check_heartbeat},
+    {"heartbeat", 1, check_peer_heartbeat},
     {"region_message", 1, check_region_message},
     {"job_status", 1, check_job_status},
     {"job_progress", 1, check_job_progress},
     {"bad_request", 1, check_bad_request},
-    {"report_answer", 1, check_report_answer},
-    {"report_answer_without_commands", 1, check_report_answer_without_commands},
+    {"report_answer", 1, check_heartbeat_response},
+    {"report_answer_without_commands", 1, check_heartbeat_response_without_commands},
     {"direct_commands", 1, check_direct_commands},
-    {"report_to_node", 1, check_report_to_node},
-    {"report_to_any_node", 1, check_report_to_any_node},
-    {"rental_request", 1, check_rental_request},
+    {"report_to_node", 1, check_redirect_to_controller},
+    {"report_to_any_node", 1, check_redirect_to_any_controller},
+    {"rental_request", 1, check_scale_out_message},
     {"machine_return", 1, check_machine_return},
-    {"report", 1, check_report},
-    {"report_of_an_idle_machine", 1, check_report_of_an_idle_machine},
+    {"report", 1, check_worker_heartbeat},
+    {"report_of_an_idle_machine", 1, check_heartbeat_of_an_idle_machine},
     {"submission", 1, check_submission},
     {"submission_with_nulls", 1, check_submission_with_nulls},
-    {"catalogue", 1, check_catalogue},
+    {"catalogue", 1, check_catalog},
     {"machine_list", 1, check_machine_list},
-    {"rented_machines", 1, check_rented_machines},
+    {"rented_machines", 1, check_created_machines},
 };
 
 bool has_kind(const Line& line, const LineKind& kind) {
@@ -605,9 +616,9 @@
   return found == std::end(line_kinds) ? nullptr : found;
 }
 
-class LandedLine : public testing::TestWithParam<Line> {};
+class FixtureLine : public testing::TestWithParam<Line> {};
 
-// Test names have letters, digits and underscores only.
+// Test names may contain only letters, digits and underscores.
 std::string test_name(const testing::TestParamInfo<Line>& info) {
   std::string name = info.param.name;
   std::replace_if(
@@ -615,16 +626,16 @@
   return name;
 }
 
-TEST_P(LandedLine, DecodedAndEncoded_IsUnchanged) {
+TEST_P(FixtureLine, DecodedAndEncoded_IsUnchanged) {
   const LineKind* kind = find_kind(GetParam());
   ASSERT_NE(kind, nullptr) << "no check for a line of this kind";
   kind->check(GetParam());
 }
 
-INSTANTIATE_TEST_SUITE_P(StoredData, LandedLine, testing::ValuesIn(landed_lines()), test_name);
+INSTANTIATE_TEST_SUITE_P(StoredData, FixtureLine, testing::ValuesIn(fixture_lines()), test_name);
 
 TEST(StoredData, WholeFile_HasEveryKindOfLine) {
-  const auto lines = landed_lines();
+  const auto lines = fixture_lines();
   for (const LineKind& kind : line_kinds) {
     const auto count = std::count_if(lines.begin(), lines.end(),
                                      [&](const Line& line) { return has_kind(line, kind); });
@@ -637,10 +648,11 @@
     EXPECT_EQ(find_kind({name, "{}"}), nullptr) << name;
 }
 
-// A chunk of a later layout belongs to its job, whichever of the two records is read first.
+// A chunk of a later layout that is read before its job must be attached when the job is read, and
+// must not count as orphaned.
 TEST(StoredData, ChunkOfLaterLayoutReadBeforeItsJob_IsTakenByTheJob) {
   CacheFixture fixture;
-  auto lines = landed_lines();
+  auto lines = fixture_lines();
   std::reverse(lines.begin(), lines.end());
   for (const Line& line : lines)
     if (line.name.find("run-divided") != std::string::npos) fixture.apply(line);
